--- a/src/cell/advising/advice.rs
+++ b/src/cell/advising/advice.rs
@@ -19,7 +19,7 @@
 
 /// A question.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Question {
+pub struct AdviceRequest {
     /// The step.
     pub step: StepKey,
     /// The workers.
@@ -33,7 +33,7 @@
 /// The questions that wait and the entries that can ask.
 #[derive(Debug, Default)]
 pub struct Advisers {
-    waiting: VecDeque<Question>,
+    waiting: VecDeque<AdviceRequest>,
     callers: BTreeMap<Name, Caller>,
 }
 
@@ -68,7 +68,7 @@
     }
 
     /// Adds a question, in the order of its rank.
-    pub fn push(&mut self, question: Question) {
+    pub fn push(&mut self, question: AdviceRequest) {
         let at = self.waiting.partition_point(|other| other.rank <= question.rank);
         self.waiting.insert(at, question);
     }
@@ -100,7 +100,7 @@
     }
 
     /// The next question and who asks it: entries of this cell, or any while there is none of them.
-    pub fn assign(&mut self, now: Millis) -> Option<(Name, Question)> {
+    pub fn assign(&mut self, now: Millis) -> Option<(Name, AdviceRequest)> {
         let all_away = self.callers.values().all(|caller| !caller.is_home);
         let usable = || self.callers.iter().filter(|(_, caller)| caller.is_home || all_away);
         let count = usable().count();
@@ -110,7 +110,7 @@
         let may_long = long + kept < count || count == 1;
         let idle = usable().find(|(_, caller)| caller.asking.is_none());
         let entry = idle.map(|(name, _)| name.clone())?;
-        let fits = |question: &Question| may_long || question.cost < LONG;
+        let fits = |question: &AdviceRequest| may_long || question.cost < LONG;
         let at = self.waiting.iter().position(fits)?;
         let question = self.waiting.remove(at)?;
         let until = now + question.cost + question.cost + ANSWER_SPARE;
--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -1,6 +1,6 @@
 //! What the advice service is asked, and what its answers mean for placing.
 
-use crate::cell::advising::advice::Question;
+use crate::cell::advising::advice::AdviceRequest;
 use crate::cell::jobs::job::{Job, Ticket};
 use crate::cell::jobs::life::rank;
 use crate::cell::mechanism::Mechanism;
@@ -46,8 +46,8 @@
             return;
         }
         let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
-        let question = Question { step: key, workers, cost, rank: rank(job) };
-        self.advisers.push(question);
+        let question = AdviceRequest { step: key, workers, cost, rank: rank(job) };
+        self.advice_queue.push(question);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
             (step.advised.asking, step.advised.since) = (true, now);
         }
@@ -63,7 +63,7 @@
         };
         let charge = spec.charge();
         let advised = &step.advised;
-        let names_busy = !self.bounds.off.has(Mechanism::AskBusy);
+        let names_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open(now, key, job, spec).into_iter();
         let asked = |fit: &Fit| {
             advised.denied.contains(&fit.name) || advised.holds(&fit.name, now + TICKET_SPARE)
@@ -126,7 +126,7 @@
 
     /// Hands waiting questions to entries that can ask them.
     pub(in crate::cell) fn ask_next(&mut self, now: Millis) {
-        while let Some((entry, question)) = self.advisers.assign(now) {
+        while let Some((entry, question)) = self.advice_queue.assign(now) {
             let job = self.jobs.get(&question.step.job);
             let since = job.and_then(|job| job.step(question.step)).map(|step| step.advised.since);
             log::info!(
@@ -136,7 +136,7 @@
                 question.cost,
                 now.since(since.unwrap_or(now))
             );
-            self.actions.push(Action::Ask { entry, question });
+            self.actions.push(Action::RequestAdvice { entry, request: question });
         }
     }
 
@@ -149,12 +149,12 @@
         named: &[Name],
         answer: Option<Cleared>,
     ) {
-        self.advisers.answered(entry, key);
+        self.advice_queue.answered(entry, key);
         match answer {
             Some(cleared) => self.clear(now, key, named, cleared),
             None => self.return_question(key, entry, "no-answer"),
         }
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     fn clear(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
@@ -194,7 +194,7 @@
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
             step.advised.asking = false;
-            self.changed = true;
+            self.needs_placement = true;
         }
     }
 
@@ -209,7 +209,7 @@
     /// Tickets run out and pauses end: steps that wait are looked at again.
     pub(in crate::cell) fn expire_questions(&mut self, now: Millis) {
         // A step whose answer was lost on its way was never asked about again.
-        for step in self.advisers.expire(now) {
+        for step in self.advice_queue.expire(now) {
             let job = self.jobs.get(&step.job);
             let since = job.and_then(|job| job.step(step)).map(|state| state.advised.since);
             log::info!(
@@ -220,7 +220,7 @@
             self.expired_waits += 1;
             self.forget_question(step);
         }
-        self.changed = self.changed || !self.ready.is_empty();
+        self.needs_placement = self.needs_placement || !self.ready_steps.is_empty();
     }
 }
 
--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -12,7 +12,7 @@
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
 use crate::cell::jobs::stage::{Crash, Evidence, QUARANTINE, Stage, stage_of};
-use crate::cell::records::journal::Fate;
+use crate::cell::records::journal::JobOutcome;
 use crate::cell::workers::worker::{Run, Worker};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -94,7 +94,7 @@
         let is_next =
             |other: &Worker| other.heard && other.listed.addr == addr && other.listed.id != *name;
         let is_confirmed = is_confirmed || self.workers.values().any(is_next);
-        self.counts.crashed += u64::from(is_confirmed);
+        self.crash_counts.crashed += u64::from(is_confirmed);
         for Sent { task, since, evidence, is_seen } in sent {
             let (worker, addr) = (life.clone(), addr.clone());
             let evidence = match is_seen || !self.has_crashed_at(task, &addr) {
@@ -146,24 +146,25 @@
              confirmed={is_confirmed}",
             state.crashes.len()
         );
-        self.unconfirmed.add(now, task, &state.crashes);
-        self.dirty.insert(task.step.job);
-        self.recounted.insert(task.step.job);
+        self.unconfirmed_crashes.add(now, task, &state.crashes);
+        self.dirty_jobs.insert(task.step.job);
+        self.recount_jobs.insert(task.step.job);
     }
 
     /// Another life is at the address of one that may have crashed: so it did.
     pub(in crate::cell) fn confirm_crashes(&mut self, life: &Life, addr: &Name) {
         let is_before =
             |other: &Life, candidate: &Candidate| candidate.addr == *addr && other.differs(life);
-        for over in self.unconfirmed.find(is_before) {
+        for over in self.unconfirmed_crashes.find(is_before) {
             self.settle_crash(&over, Found::Over);
         }
     }
 
     /// Settles crashes that nothing confirmed or denied.
     pub(in crate::cell) fn expire_unconfirmed(&mut self, now: Millis) {
-        for life in
-            self.unconfirmed.find(|_, candidate| now.since(candidate.since) >= CONFIRM_LIMIT)
+        for life in self
+            .unconfirmed_crashes
+            .find(|_, candidate| now.since(candidate.since) >= CONFIRM_LIMIT)
         {
             self.settle_crash(&life, Found::Unknown);
         }
@@ -171,13 +172,13 @@
 
     /// A life answers: it did not crash, and those before it at its address did.
     pub(in crate::cell) fn settle_by(&mut self, name: &Name) {
-        if self.unconfirmed.0.is_empty() {
+        if self.unconfirmed_crashes.0.is_empty() {
             return;
         }
         let Some(worker) = self.workers.get(name) else { return };
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
         // What was written of it before it told its start names the id alone.
-        for same in self.unconfirmed.find(|other, _| !other.differs(&life)) {
+        for same in self.unconfirmed_crashes.find(|other, _| !other.differs(&life)) {
             self.settle_crash(&same, Found::Alive);
         }
         self.confirm_crashes(&life, &addr);
@@ -186,9 +187,9 @@
     /// It is settled whether a life ended. Where nothing was heard of it, it counts against
     /// tasks with two confirmed crashes.
     pub(in crate::cell) fn settle_crash(&mut self, life: &Life, found: Found) {
-        let Some(Candidate { tasks, .. }) = self.unconfirmed.0.remove(life) else { return };
+        let Some(Candidate { tasks, .. }) = self.unconfirmed_crashes.0.remove(life) else { return };
         log::info!("event=crash-settled worker={life} found={found:?} tasks={}", tasks.len());
-        self.counts.crashed += u64::from(found == Found::Over);
+        self.crash_counts.crashed += u64::from(found == Found::Over);
         for task in tasks {
             let job = self.jobs.get_mut(&task.step.job);
             let step = job.and_then(|job| job.step_mut(task.step));
@@ -206,20 +207,20 @@
                     of_life.for_each(|crash| crash.is_confirmed = true);
                 }
             }
-            self.dirty.insert(task.step.job);
-            self.recounted.insert(task.step.job);
-            self.changed = true;
+            self.dirty_jobs.insert(task.step.job);
+            self.recount_jobs.insert(task.step.job);
+            self.needs_placement = true;
         }
     }
 
     /// Ends jobs with a task that has used up its crashes.
     pub(in crate::cell) fn give_up(&mut self, now: Millis) {
-        for key in std::mem::take(&mut self.recounted) {
+        for key in std::mem::take(&mut self.recount_jobs) {
             let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { continue };
             let Some((task, count)) = find_exhausted(key, job) else { continue };
             log::warn!("event=given-up task={task} crashes={count}");
-            self.counts.given_up += 1;
-            self.close(now, key, Fate::Failed);
+            self.crash_counts.given_up += 1;
+            self.close(now, key, JobOutcome::Failed);
         }
     }
 
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -2,7 +2,9 @@
 
 use crate::cell::jobs::stage::Crash;
 use crate::cell::jobs::wait::Wait;
-use crate::cell::records::journal::{CrashNote, Fate, JobRecord, Progress, StepNote, TaskNote};
+use crate::cell::records::journal::{
+    JobOutcome, JobRecord, Progress, StepProgress, TaskCrashes, TaskProgress,
+};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::workload::{JobKey, Queue, Step, StepKey, TaskKey, Work};
@@ -156,7 +158,7 @@
     /// The failure domain that its tasks go to as far as there is room.
     pub home: Option<Name>,
     /// How it ended, with the batch that says so and the time.
-    pub closed: Option<(Fate, u64, Millis)>,
+    pub closed: Option<(JobOutcome, u64, Millis)>,
     /// Progress has been written.
     pub noted: bool,
     /// Crashes under its tasks have been written.
@@ -194,7 +196,7 @@
     }
 
     /// A job that ended under an earlier owner: only its fate is known.
-    pub fn ended(queue: Arc<Queue>, fate: Fate, now: Millis) -> Self {
+    pub fn ended(queue: Arc<Queue>, fate: JobOutcome, now: Millis) -> Self {
         let work = Work {
             spec: "".into(),
             steps: Vec::new(),
@@ -294,7 +296,7 @@
     /// The record of the job.
     pub fn record(&self) -> JobRecord {
         match self.closed {
-            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), fate },
+            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome: fate },
             None => JobRecord::Open { queue: (*self.queue).clone(), work: self.work.clone() },
         }
     }
@@ -310,15 +312,15 @@
     }
 
     /// The crashes under the job's tasks.
-    pub fn crashes(&self) -> Vec<CrashNote> {
+    pub fn crashes(&self) -> Vec<TaskCrashes> {
         let width = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
         let notes = steps.flat_map(|(no, step)| {
             let place = ((no / width) as u32, (no % width) as u16);
             let tasks = step.tasks.iter().enumerate();
             let crashed = tasks.filter(|(_, task)| !task.crashes.is_empty());
-            crashed.map(move |(index, task)| CrashNote {
-                place,
+            crashed.map(move |(index, task)| TaskCrashes {
+                step_index: place,
                 index: index as u32,
                 crashes: task.crashes.clone(),
             })
@@ -327,9 +329,9 @@
     }
 
     /// Takes in the crashes that an earlier owner counted.
-    pub fn restore_crashes(&mut self, notes: &[CrashNote]) {
+    pub fn restore_crashes(&mut self, notes: &[TaskCrashes]) {
         for note in notes {
-            let at = self.at(note.place.0, note.place.1);
+            let at = self.at(note.step_index.0, note.step_index.1);
             let step = self.steps.get_mut(at);
             let task = step.and_then(|step| step.tasks.get_mut(note.index as usize));
             if let Some(task) = task {
@@ -342,15 +344,15 @@
     /// Takes in what an earlier owner knew.
     pub fn restore(&mut self, progress: &Progress) {
         for note in &progress.steps {
-            let at = self.at(note.place.0, note.place.1);
+            let at = self.at(note.step_index.0, note.step_index.1);
             if let Some(step) = self.steps.get_mut(at) {
                 step.restore(note);
             }
         }
         // Progress is noted of jobs that were given to a worker, and stays when nothing is left to note.
         self.bound = true;
-        let has_run = |note: &TaskNote| !note.failed.is_empty() || !note.saved.is_empty();
-        let known = |note: &StepNote| !note.done.is_empty() || note.tasks.iter().any(has_run);
+        let has_run = |note: &TaskProgress| !note.failed.is_empty() || !note.checkpoint.is_empty();
+        let known = |note: &StepProgress| !note.done.is_empty() || note.tasks.iter().any(has_run);
         self.has_run = self.has_run || progress.steps.iter().any(known);
         self.noted = true;
     }
@@ -372,9 +374,9 @@
         waiting.filter_map(|task| task.idle_since).min()
     }
 
-    fn note(&self, place: (u32, u16)) -> StepNote {
+    fn note(&self, place: (u32, u16)) -> StepProgress {
         const BITS: usize = 8;
-        let mut note = StepNote { place, ..StepNote::default() };
+        let mut note = StepProgress { step_index: place, ..StepProgress::default() };
         if self.left < self.tasks.len() as u32 {
             note.done = vec![0; self.tasks.len().div_ceil(BITS)];
         }
@@ -391,13 +393,18 @@
             };
             if bound.is_some() || !task.failed.is_empty() || !task.saved.is_empty() {
                 let (failed, saved) = (task.failed.clone(), task.saved.clone());
-                note.tasks.push(TaskNote { index: index as u32, failed, saved, bound });
+                note.tasks.push(TaskProgress {
+                    index: index as u32,
+                    failed,
+                    checkpoint: saved,
+                    assignment: bound,
+                });
             }
         }
         note
     }
 
-    fn restore(&mut self, note: &StepNote) {
+    fn restore(&mut self, note: &StepProgress) {
         const BITS: usize = 8;
         for index in 0..self.tasks.len() {
             let byte = note.done.get(index / BITS).copied().unwrap_or(0);
@@ -408,7 +415,7 @@
         for known in &note.tasks {
             if let Some(task) = self.tasks.get_mut(known.index as usize) {
                 task.failed = known.failed.clone();
-                task.saved = known.saved.clone();
+                task.saved = known.checkpoint.clone();
             }
         }
     }
--- a/src/cell/jobs/life.rs
+++ b/src/cell/jobs/life.rs
@@ -1,7 +1,7 @@
 //! The life of jobs and of their runs: opened, started, stopped, lost, closed.
 
 use crate::cell::jobs::job::{Job, Status};
-use crate::cell::records::journal::{Fate, JobRecord, Member, Progress, Snapshot};
+use crate::cell::records::journal::{JobOutcome, JobRecord, Progress, Snapshot, WorkerRecord};
 use crate::cell::workers::roster::ENDED_KEEP;
 use crate::cell::workers::worker::{Phase, Run, Worker};
 use crate::cell::{Action, Cell};
@@ -20,13 +20,13 @@
 impl Cell {
     /// Takes in what the store holds.
     pub(in crate::cell) fn inherit(&mut self, snapshot: Snapshot, now: Millis) {
-        let births = snapshot.births;
-        self.with_workspace = snapshot.workspaces.keys().copied().collect();
-        for member in snapshot.roster {
+        let births = snapshot.worker_starts;
+        self.stored_workspaces = snapshot.workspaces.keys().copied().collect();
+        for member in snapshot.workers {
             let born = births.get(&member.id).copied();
             // One that may have started again under its id was maybe asked for a time by the clock of its life before,
             // which it cuts down to the longest lease: after the usual one its task may run still, behind a cut.
-            let lease = if born.is_some() { self.bounds.lease_max } else { self.bounds.lease };
+            let lease = if born.is_some() { self.config.max_lease } else { self.config.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
             let mut worker = Worker::new(unlisted(member, born), 0, lease_end);
             worker.present = false;
@@ -37,10 +37,10 @@
             let workspace = snapshot.workspaces.get(&key).cloned();
             match record {
                 JobRecord::Forwarded { cell } => drop(self.forwarded.insert(key, (cell, 0))),
-                JobRecord::Closed { queue, fate } => {
+                JobRecord::Closed { queue, outcome: fate } => {
                     let job = Job::ended(self.queue_named(queue), fate, now);
                     self.jobs.insert(key, Job { workspace, ..job });
-                    self.closed.push_back(key);
+                    self.closed_jobs.push_back(key);
                 }
                 JobRecord::Open { queue, work } => {
                     let queue = self.queues.get(&queue.name).cloned().unwrap_or(Arc::new(queue));
@@ -51,12 +51,12 @@
                     }
                     if let Some(crashes) = snapshot.crashes.get(&key) {
                         job.restore_crashes(crashes);
-                        self.recounted.insert(key);
+                        self.recount_jobs.insert(key);
                         for note in crashes {
-                            let (time, step) = note.place;
+                            let (time, step) = note.step_index;
                             let step = StepKey { job: key, time, step };
                             let task = TaskKey { step, index: note.index };
-                            self.unconfirmed.add(now, task, &note.crashes);
+                            self.unconfirmed_crashes.add(now, task, &note.crashes);
                         }
                     }
                     let done = job.is_done();
@@ -68,7 +68,7 @@
                         job.note_idle_before();
                     }
                     match done {
-                        true => self.close(now, key, Fate::Completed),
+                        true => self.close(now, key, JobOutcome::Completed),
                         false => self.open_job(now, key),
                     }
                 }
@@ -82,11 +82,11 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
         for note in &progress.steps {
-            let step_key = StepKey { job: key, time: note.place.0, step: note.place.1 };
+            let step_key = StepKey { job: key, time: note.step_index.0, step: note.step_index.1 };
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
             for task in &note.tasks {
-                let Some((no, name)) = &task.bound else { continue };
+                let Some((no, name)) = &task.assignment else { continue };
                 let Some(worker) = self.workers.get_mut(name) else { continue };
                 if !step.waiting.contains(&task.index) {
                     continue;
@@ -126,7 +126,7 @@
         let due: Vec<Millis> = free.iter().map(|step| job.work.due(step.time)).collect();
         for (step, due) in free.into_iter().zip(due) {
             match scheduled {
-                true => drop(self.timers.insert((due, step))),
+                true => drop(self.start_timers.insert((due, step))),
                 false => self.open_step(now, step),
             }
         }
@@ -148,14 +148,14 @@
             return;
         }
         let (priority, due) = rank(job);
-        self.ready.insert((priority, due, key));
-        self.changed = true;
+        self.ready_steps.insert((priority, due, key));
+        self.needs_placement = true;
     }
 
     /// Ranks may have changed with the policy.
     pub(in crate::cell) fn rank_again(&mut self) {
-        let keys: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
-        self.ready.clear();
+        let keys: Vec<StepKey> = self.ready_steps.iter().map(|(_, _, key)| *key).collect();
+        self.ready_steps.clear();
         for key in keys {
             self.make_ready(key);
         }
@@ -176,7 +176,7 @@
             return;
         }
         let over = step.left == 0;
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         if over {
             self.end_step(now, task.step);
         }
@@ -185,7 +185,7 @@
     fn end_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_done() {
-            return self.close(now, key.job, Fate::Completed);
+            return self.close(now, key.job, JobOutcome::Completed);
         }
         let next: Vec<StepKey> =
             job.followers(key).into_iter().filter(|f| job.is_free(*f)).collect();
@@ -195,8 +195,8 @@
     }
 
     /// A job ends: nothing of it is started any more, and what runs is stopped.
-    pub(in crate::cell) fn close(&mut self, now: Millis, key: JobKey, fate: Fate) {
-        let batch = self.batch;
+    pub(in crate::cell) fn close(&mut self, now: Millis, key: JobKey, fate: JobOutcome) {
+        let batch = self.open_batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
         log::info!(
             "event=closed job={key} fate={fate:?} queue={} age_ms={} batch={batch}",
@@ -209,12 +209,12 @@
         let placed = job.placed(key);
         job.steps = Vec::new();
         for step in steps {
-            self.ready.remove(&(priority, due, step));
-            self.advisers.cancel(step);
-            self.reserved.release(step);
+            self.ready_steps.remove(&(priority, due, step));
+            self.advice_queue.cancel(step);
+            self.reservations.release(step);
         }
-        self.dirty.insert(key);
-        self.closed.push_back(key);
+        self.dirty_jobs.insert(key);
+        self.closed_jobs.push_back(key);
         for (worker, task, run) in placed {
             self.stop(&worker, task, run);
         }
@@ -225,16 +225,16 @@
         let Some(job) = self.jobs.remove(&key) else { return };
         let (priority, due) = rank(&job);
         for step in job.keys(key) {
-            self.ready.remove(&(priority, due, step));
-            self.advisers.cancel(step);
-            self.reserved.release(step);
+            self.ready_steps.remove(&(priority, due, step));
+            self.advice_queue.cancel(step);
+            self.reservations.release(step);
         }
         for (worker, task, run) in job.placed(key) {
             if let Some(worker) = self.workers.get_mut(&worker) {
                 worker.remove(task, run);
             }
         }
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     /// Has a run end. Its room stays taken until the worker says that it is gone.
@@ -253,7 +253,7 @@
     pub(in crate::cell) fn lose(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove(task, run);
-            self.changed = true;
+            self.needs_placement = true;
         }
         self.requeue(task, run);
     }
@@ -268,7 +268,7 @@
         let is_this = matches!(status, Some(Status::Placed { run: placed, .. }) if placed == run);
         if is_this {
             step.requeue(task.index);
-            self.dirty.insert(task.step.job);
+            self.dirty_jobs.insert(task.step.job);
             self.make_ready(task.step);
             self.settle_gang(task.step);
         }
@@ -299,14 +299,14 @@
 
     /// Time passes; `wall` is the time of day.
     pub fn tick(&mut self, now: Millis, wall: Millis) {
-        while let Some((due, step)) = self.timers.first().copied()
+        while let Some((due, step)) = self.start_timers.first().copied()
             && due <= wall
         {
-            self.timers.pop_first();
+            self.start_timers.pop_first();
             self.open_step(now, step);
         }
         self.stop_again();
-        if !self.is_late {
+        if !self.is_overloaded {
             self.expire_leases(now);
         }
         self.settle_doubt(now);
@@ -314,8 +314,8 @@
         self.note_settled(now);
         self.ended_lives.retain(|_, since| now.since(*since) < ENDED_KEEP);
         self.forget_jobs(now);
-        if self.reserved.expire(now) {
-            self.changed = true;
+        if self.reservations.expire(now) {
+            self.needs_placement = true;
         }
         self.expire_questions(now);
     }
@@ -323,7 +323,7 @@
     /// Inherited tasks that nobody runs may be started once every worker that an earlier owner
     /// used is known, or its leases are over.
     fn settle_doubt(&mut self, now: Millis) {
-        let Some(doubt) = self.doubt.as_mut() else { return };
+        let Some(doubt) = self.unrecorded_starts.as_mut() else { return };
         let is_unknown = |worker: &&Worker| !worker.known && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_unknown);
         if let Some(first) = unknown.next() {
@@ -343,7 +343,7 @@
 
     /// No start was sent without a record: what the store holds is all there is. Whether that was not known before.
     pub fn trust_records(&mut self) -> bool {
-        let was_doubtful = self.doubt.is_some();
+        let was_doubtful = self.unrecorded_starts.is_some();
         if was_doubtful {
             self.end_doubt();
         }
@@ -351,8 +351,8 @@
     }
 
     fn end_doubt(&mut self) {
-        self.doubt = None;
-        self.changed = true;
+        self.unrecorded_starts = None;
+        self.needs_placement = true;
         let gangs: Vec<StepKey> = self
             .jobs
             .iter()
@@ -365,16 +365,16 @@
     }
 
     fn forget_jobs(&mut self, now: Millis) {
-        let keep = self.bounds.keep + KEEP_SPARE;
-        while let Some(key) = self.closed.front().copied() {
+        let keep = self.config.job_retention + KEEP_SPARE;
+        while let Some(key) = self.closed_jobs.front().copied() {
             let at = self.jobs.get(&key).and_then(|job| job.closed).map(|(_, _, at)| at);
             if at.is_some_and(|at| now.since(at) < keep) {
                 break;
             }
-            self.closed.pop_front();
+            self.closed_jobs.pop_front();
             let workspace = self.jobs.remove(&key).and_then(|job| job.workspace);
-            self.dirty.insert(key);
-            self.actions.push(Action::Forgotten(key, workspace));
+            self.dirty_jobs.insert(key);
+            self.actions.push(Action::JobForgotten(key, workspace));
         }
     }
 }
@@ -384,7 +384,7 @@
     (job.priority(), job.since + job.queue.objective(&job.work))
 }
 
-fn unlisted(member: Member, born: Option<Millis>) -> Listed {
+fn unlisted(member: WorkerRecord, born: Option<Millis>) -> Listed {
     Listed {
         id: member.id,
         born,
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -69,7 +69,7 @@
 
     /// The steps that wait for a worker, and for what.
     pub fn waiting(&self) -> impl Iterator<Item = (StepKey, Why)> {
-        self.ready.iter().filter_map(|(_, _, key)| {
+        self.ready_steps.iter().filter_map(|(_, _, key)| {
             let wait = self.jobs.get(&key.job)?.step(*key)?.wait?;
             Some((*key, wait.why))
         })
@@ -120,7 +120,7 @@
         let advised = &step.advised;
         let tickets = advised.tickets(now).count();
         let asking = match advised.asking {
-            true => self.advisers.asked(key).map_or("queued".to_string(), ToString::to_string),
+            true => self.advice_queue.asked(key).map_or("queued".to_string(), ToString::to_string),
             false => "none".to_string(),
         };
         log::info!(
--- a/src/cell/mechanism.rs
+++ b/src/cell/mechanism.rs
@@ -8,38 +8,38 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// Workers on which runs fail or stand still get nothing new for a while.
-    Aside,
+    SidelineWorkers,
     /// The first question about a step names busy workers too.
-    AskBusy,
+    RequestBusyWorkers,
     /// Copies of tasks start where the caller allows it.
-    Copies,
+    SpeculativeCopies,
     /// Workers and failure domains that leave something unanswered get nothing new.
-    Doubt,
+    AvoidUnresponsive,
     /// Room is gathered for gangs that find too little.
-    Gather,
+    GatherForGangs,
     /// A job's tasks keep to one failure domain.
-    Home,
+    PreferDomain,
     /// Less urgent tasks are stopped for more urgent ones.
-    Preempt,
+    Preemption,
     /// Tasks that find no room keep some.
-    Reserve,
+    ReserveRoom,
     /// What a workspace sends beyond its share comes after all else.
-    Shares,
+    WorkspaceShares,
     /// An owner hands the cell to a larger entry, or once it does not keep up.
-    Transfer,
+    OwnershipTransfer,
 }
 
 const ALL: [(Mechanism, &str); 10] = [
-    (Mechanism::Aside, "aside"),
-    (Mechanism::AskBusy, "ask-busy"),
-    (Mechanism::Copies, "copies"),
-    (Mechanism::Doubt, "doubt"),
-    (Mechanism::Gather, "gather"),
-    (Mechanism::Home, "home"),
-    (Mechanism::Preempt, "preempt"),
-    (Mechanism::Reserve, "reserve"),
-    (Mechanism::Shares, "shares"),
-    (Mechanism::Transfer, "transfer"),
+    (Mechanism::SidelineWorkers, "aside"),
+    (Mechanism::RequestBusyWorkers, "ask-busy"),
+    (Mechanism::SpeculativeCopies, "copies"),
+    (Mechanism::AvoidUnresponsive, "doubt"),
+    (Mechanism::GatherForGangs, "gather"),
+    (Mechanism::PreferDomain, "home"),
+    (Mechanism::Preemption, "preempt"),
+    (Mechanism::ReserveRoom, "reserve"),
+    (Mechanism::WorkspaceShares, "shares"),
+    (Mechanism::OwnershipTransfer, "transfer"),
 ];
 
 /// A text names no mechanism.
@@ -52,16 +52,16 @@
 
 /// The mechanisms that are switched off; none by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Off(u16);
+pub struct DisabledMechanisms(u16);
 
-impl Off {
+impl DisabledMechanisms {
     /// Whether a mechanism is switched off.
-    pub fn has(self, mechanism: Mechanism) -> bool {
+    pub fn contains(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u16) != 0
     }
 }
 
-impl FromStr for Off {
+impl FromStr for DisabledMechanisms {
     type Err = MechanismError;
 
     /// Reads names with commas between them.
@@ -76,9 +76,9 @@
     }
 }
 
-impl fmt::Display for Off {
+impl fmt::Display for DisabledMechanisms {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let off = ALL.iter().filter(|(mechanism, _)| self.has(*mechanism));
+        let off = ALL.iter().filter(|(mechanism, _)| self.contains(*mechanism));
         let names: Vec<&str> = off.map(|(_, name)| *name).collect();
         f.write_str(&names.join(","))
     }
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -15,14 +15,14 @@
 use crate::id::Name;
 use crate::order::{Life, Listed, Start};
 use crate::workload::{JobKey, Queue, StepKey, TaskKey, Work};
-use advising::advice::{Advisers, Question};
+use advising::advice::{AdviceRequest, Advisers};
 use jobs::job::Job;
 use jobs::wait::LongWait;
-use mechanism::Off;
+use mechanism::DisabledMechanisms;
 use placing::reserve::Reservations;
 use placing::share::Shares;
 use placing::usage::Usages;
-use records::journal::{Fate, Snapshot};
+use records::journal::{JobOutcome, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -36,15 +36,15 @@
 const DOUBT_LOG: Millis = Millis(400);
 /// Figures of the platform that decisions rest on.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct CellConfig {
     /// How long a run goes on without a renewal.
     pub lease: Millis,
     /// How long it may go on at most, as where a worker is asked for a time of another clock.
-    pub lease_max: Millis,
+    pub max_lease: Millis,
     /// How long the state of a closed job can be asked for.
-    pub keep: Millis,
+    pub job_retention: Millis,
     /// Mechanisms that are switched off.
-    pub off: Off,
+    pub disabled: DisabledMechanisms,
 }
 
 /// What has to be done.
@@ -61,95 +61,95 @@
     /// Stop asking this worker.
     Unwatch(Name),
     /// A job, of a workspace or none, is not known any more; if it came from another cell, that one may forget it too.
-    Forgotten(JobKey, Option<Name>),
+    JobForgotten(JobKey, Option<Name>),
     /// Ask this worker for a report at once.
-    Look(Name),
+    PollNow(Name),
     /// Have an entry ask the advice service.
-    Ask { entry: Name, question: Question },
+    RequestAdvice { entry: Name, request: AdviceRequest },
     /// A worker has seen a higher fence: another entry owns the cell.
     Deposed,
 }
 
 /// What callers see of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum JobState {
     /// Nothing of it has run.
     Queued,
     /// It runs.
     Active,
     /// It ended.
-    Closed(Fate),
+    Closed(JobOutcome),
 }
 
 /// A call for the report of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hold {
+pub struct ReportCall {
     /// The highest end that is confirmed.
-    pub seen: u64,
+    pub confirmed: u64,
     /// When its lease ends on the worker's clock; `None` until that clock is known.
-    pub until: Option<u64>,
+    pub lease_end: Option<u64>,
 }
 
 /// A cell at its owner.
 #[derive(Debug)]
 pub struct Cell {
     epoch: u64,
-    bounds: Bounds,
+    config: CellConfig,
     queues: HashMap<Name, Arc<Queue>>,
     jobs: BTreeMap<JobKey, Job>,
     workers: BTreeMap<Name, Worker>,
     /// How long runs take, by queue.
     run_times: HashMap<Name, RunTimes>,
     /// Steps with tasks that need a worker, the most urgent first.
-    ready: BTreeSet<(u32, Millis, StepKey)>,
+    ready_steps: BTreeSet<(u32, Millis, StepKey)>,
     /// Steps whose time has not come, by the wall clock.
-    timers: BTreeSet<(Millis, StepKey)>,
+    start_timers: BTreeSet<(Millis, StepKey)>,
     /// Jobs that run in another cell, with the batch that keeps that.
     forwarded: HashMap<JobKey, (u32, u64)>,
     /// Jobs that are not in the store yet, by batch.
-    fresh: VecDeque<(u64, JobKey)>,
+    unstored_jobs: VecDeque<(u64, JobKey)>,
     /// Closed jobs in the order of their ends.
-    closed: VecDeque<JobKey>,
-    advisers: Advisers,
+    closed_jobs: VecDeque<JobKey>,
+    advice_queue: Advisers,
     /// Room that is kept for steps that are about to start.
-    reserved: Reservations,
+    reservations: Reservations,
     /// What workspaces have running, and may.
     usages: Usages,
     /// What workspaces may still send within their shares.
     shares: Shares,
     /// Lives of workers that may have ended.
-    unconfirmed: jobs::crash::Unconfirmed,
+    unconfirmed_crashes: jobs::crash::Unconfirmed,
     /// Lives of workers that are over and may be listed still, with when they were found to be.
     ended_lives: BTreeMap<Life, Millis>,
     /// Jobs with something new against their tasks.
-    recounted: BTreeSet<JobKey>,
+    recount_jobs: BTreeSet<JobKey>,
     /// Crashes of workers and what became of them, since the takeover.
-    counts: jobs::crash::Counts,
+    crash_counts: jobs::crash::Counts,
     /// Waits that a deadline ended, and not the event that they were for, since the takeover.
     expired_waits: u64,
     /// Jobs whose workspace is in the store.
-    with_workspace: BTreeSet<JobKey>,
+    stored_workspaces: BTreeSet<JobKey>,
     /// Jobs with something to write.
-    dirty: BTreeSet<JobKey>,
+    dirty_jobs: BTreeSet<JobKey>,
     /// The set of workers in use has to be written.
-    roster: bool,
+    workers_dirty: bool,
     /// The batch that is being collected.
-    batch: u64,
+    open_batch: u64,
     /// All batches up to this one are in the store.
-    kept: u64,
+    stored_batch: u64,
     /// The owner's processor does not keep up: answers may lie unread here.
-    is_late: bool,
+    is_overloaded: bool,
     /// The list of workers was last read before a pause of the owner.
-    is_stale: bool,
+    list_stale: bool,
     /// When the first of the workers that steps wait for has stayed up for long enough.
     next_settled: Option<Millis>,
     /// Something changed that may let a task be placed.
-    changed: bool,
+    needs_placement: bool,
     /// Earlier owners may have started tasks that no record tells of: inherited tasks are held back
     /// until all their workers are known.
-    doubt: Option<LongWait>,
+    unrecorded_starts: Option<LongWait>,
     /// Starts that wait for the batch with their binding, in order.
-    unsent: VecDeque<(u64, Name, Start)>,
+    unsent_starts: VecDeque<(u64, Name, Start)>,
     actions: Vec<Action>,
 }
 
@@ -158,7 +158,7 @@
     /// `doubt`, an earlier owner may have started tasks while the store was away.
     pub fn new(
         epoch: u64,
-        bounds: Bounds,
+        bounds: CellConfig,
         queues: HashMap<Name, Arc<Queue>>,
         snapshot: Snapshot,
         doubt: bool,
@@ -166,36 +166,36 @@
     ) -> Self {
         let mut cell = Self {
             epoch,
-            bounds,
+            config: bounds,
             queues,
             jobs: BTreeMap::new(),
             workers: BTreeMap::new(),
             run_times: HashMap::new(),
-            ready: BTreeSet::new(),
-            timers: BTreeSet::new(),
+            ready_steps: BTreeSet::new(),
+            start_timers: BTreeSet::new(),
             forwarded: HashMap::new(),
-            fresh: VecDeque::new(),
-            closed: VecDeque::new(),
-            advisers: Advisers::default(),
-            reserved: Reservations::default(),
+            unstored_jobs: VecDeque::new(),
+            closed_jobs: VecDeque::new(),
+            advice_queue: Advisers::default(),
+            reservations: Reservations::default(),
             usages: Usages::default(),
             shares: Shares::default(),
-            unconfirmed: jobs::crash::Unconfirmed::default(),
+            unconfirmed_crashes: jobs::crash::Unconfirmed::default(),
             ended_lives: BTreeMap::new(),
-            recounted: BTreeSet::new(),
-            counts: jobs::crash::Counts::default(),
+            recount_jobs: BTreeSet::new(),
+            crash_counts: jobs::crash::Counts::default(),
             expired_waits: 0,
-            with_workspace: BTreeSet::new(),
-            dirty: BTreeSet::new(),
-            roster: false,
-            batch: 1,
-            kept: 0,
-            is_late: false,
-            is_stale: false,
+            stored_workspaces: BTreeSet::new(),
+            dirty_jobs: BTreeSet::new(),
+            workers_dirty: false,
+            open_batch: 1,
+            stored_batch: 0,
+            is_overloaded: false,
+            list_stale: false,
             next_settled: None,
-            changed: true,
-            doubt: doubt.then(|| LongWait::new(now, DOUBT_LOG)),
-            unsent: VecDeque::new(),
+            needs_placement: true,
+            unrecorded_starts: doubt.then(|| LongWait::new(now, DOUBT_LOG)),
+            unsent_starts: VecDeque::new(),
             actions: Vec::new(),
         };
         cell.inherit(snapshot, now);
@@ -208,56 +208,56 @@
     }
 
     /// The batch up to which all is in the store.
-    pub fn kept(&self) -> u64 {
-        self.kept
+    pub fn stored_batch(&self) -> u64 {
+        self.stored_batch
     }
 
     /// The life of a worker that is known here.
-    pub fn life(&self, worker: &Name) -> Option<Life> {
+    pub fn worker_life(&self, worker: &Name) -> Option<Life> {
         self.workers.get(worker).map(Worker::life)
     }
 
     /// Whether a worker is known to be another life than `life` by now. One whose start was not known is not.
     pub fn has_restarted(&self, life: &Life) -> bool {
-        self.life(&life.id).is_some_and(|now| now.differs(life))
+        self.worker_life(&life.id).is_some_and(|now| now.differs(life))
     }
 
     /// Where a worker is called.
-    pub fn addr(&self, worker: &Name) -> Option<Name> {
+    pub fn worker_addr(&self, worker: &Name) -> Option<Name> {
         self.workers.get(worker).map(|worker| worker.listed.addr.clone())
     }
 
     /// Whether something is not in the store yet.
-    pub fn is_unkept(&self) -> bool {
-        !self.dirty.is_empty() || self.roster || self.kept + 1 < self.batch
+    pub fn has_unstored(&self) -> bool {
+        !self.dirty_jobs.is_empty() || self.workers_dirty || self.stored_batch + 1 < self.open_batch
     }
 
     /// Whether the owner's processor does not keep up. Then an answer that did not come says nothing of
     /// the worker. It would take workers for lost that had answered, and start tasks again that
     /// were done there.
-    pub fn set_late(&mut self, is_late: bool) {
-        self.is_late = is_late;
+    pub fn set_overloaded(&mut self, is_late: bool) {
+        self.is_overloaded = is_late;
     }
 
     /// The owner did not run for seconds. What it believes of workers is too old: their room may have shrunk,
     /// their runs may have ended. Nothing starts before the list of them is read again, at those that have
     /// reported since; starts that wait for the store are given up.
-    pub fn wake(&mut self, now: Millis) {
+    pub fn resume_after_pause(&mut self, now: Millis) {
         log::info!("event=beliefs-too-old epoch={} workers={}", self.epoch, self.workers.len());
-        self.is_stale = true;
+        self.list_stale = true;
         for (name, worker) in &mut self.workers {
             worker.doubt(now);
-            self.actions.push(Action::Look(name.clone()));
+            self.actions.push(Action::PollNow(name.clone()));
         }
-        self.withhold_starts("pause");
-        for (_, name, start) in std::mem::take(&mut self.unsent) {
+        self.give_up_starts("pause");
+        for (_, name, start) in std::mem::take(&mut self.unsent_starts) {
             self.lose(&name, start.task, start.run);
         }
     }
 
     /// Starts that were decided and not sent are given up, for another entry may own the cell by now. A worker that has
     /// started again since knows no higher fence: it would run what runs elsewhere.
-    pub fn withhold_starts(&mut self, why: &str) {
+    pub fn give_up_starts(&mut self, why: &str) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Start { worker, start, .. } => {
@@ -284,7 +284,7 @@
         }
         self.queues = queues;
         self.rank_again();
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     /// A caller submits a job: the batch that has to be in the store before it is accepted. The
@@ -296,11 +296,11 @@
         queue: &str,
         work: Arc<Work>,
     ) -> Option<u64> {
-        self.submit_for(now, key, queue, work, None)
+        self.submit_for_workspace(now, key, queue, work, None)
     }
 
     /// As [`Self::submit`], for a workspace.
-    pub fn submit_for(
+    pub fn submit_for_workspace(
         &mut self,
         now: Millis,
         key: JobKey,
@@ -316,21 +316,21 @@
             "event=submitted job={key} queue={} workspace={} batch={}",
             queue.name,
             workspace.as_deref().unwrap_or("none"),
-            self.batch
+            self.open_batch
         );
         let is_beyond = workspace.as_ref().is_some_and(|name| self.exceeds_share(now, name));
-        let job = Job { workspace, is_beyond, ..Job::new(queue, work, now, self.batch) };
+        let job = Job { workspace, is_beyond, ..Job::new(queue, work, now, self.open_batch) };
         self.jobs.insert(key, job);
         // Its first steps ask and find workers while its record is written, and start once that is kept: with a slow
         // store a short job has no time to wait for one write more.
         self.open_job(now, key);
-        self.fresh.push_back((self.batch, key));
-        self.dirty.insert(key);
-        Some(self.batch)
+        self.unstored_jobs.push_back((self.open_batch, key));
+        self.dirty_jobs.insert(key);
+        Some(self.open_batch)
     }
 
     /// The batch that has to be in the store before a job is accepted, or sent to another cell.
-    pub fn batch_of(&self, key: JobKey) -> Option<u64> {
+    pub fn job_batch(&self, key: JobKey) -> Option<u64> {
         let forwarded = self.forwarded.get(&key).map(|(_, batch)| *batch);
         self.jobs.get(&key).map(|job| job.batch).or(forwarded)
     }
@@ -340,19 +340,19 @@
     pub fn cancel(&mut self, now: Millis, key: JobKey) -> Option<u64> {
         let job = self.jobs.get(&key)?;
         if job.is_open() {
-            self.close(now, key, Fate::Cancelled);
+            self.close(now, key, JobOutcome::Cancelled);
         }
         let (_, batch, _) = self.jobs.get(&key)?.closed?;
         Some(batch)
     }
 
     /// What callers see of a job. An end is shown once it is in the store.
-    pub fn state(&self, key: JobKey) -> Option<State> {
+    pub fn job_state(&self, key: JobKey) -> Option<JobState> {
         let job = self.jobs.get(&key)?;
         Some(match job.closed {
-            Some((fate, batch, _)) if batch <= self.kept => State::Closed(fate),
-            None if !job.bound => State::Queued,
-            _ => State::Active,
+            Some((fate, batch, _)) if batch <= self.stored_batch => JobState::Closed(fate),
+            None if !job.bound => JobState::Queued,
+            _ => JobState::Active,
         })
     }
 
@@ -364,9 +364,12 @@
     }
 
     /// Accepted jobs of a queue of which nothing is known to have run: starts may lie behind a cut.
-    pub fn pending(&self, queue: &str) -> u32 {
+    pub fn pending_jobs(&self, queue: &str) -> u32 {
         let waits = |job: &&Job| {
-            job.is_open() && !job.has_run && job.batch <= self.kept && *job.queue.name == *queue
+            job.is_open()
+                && !job.has_run
+                && job.batch <= self.stored_batch
+                && *job.queue.name == *queue
         };
         self.jobs.values().filter(waits).count() as u32
     }
@@ -375,32 +378,32 @@
     /// earlier connection was noticed as broken: without asking its question again, the step would
     /// wait for good. `is_home`: it belongs to this cell; others are asked only while there is no
     /// such entry, for the service takes one question at a time from each.
-    pub fn join(&mut self, entry: Name, is_home: bool) {
-        if let Some(step) = self.advisers.join(entry.clone(), is_home) {
+    pub fn add_entry(&mut self, entry: Name, is_home: bool) {
+        if let Some(step) = self.advice_queue.join(entry.clone(), is_home) {
             self.return_question(step, &entry, "connected-again");
         }
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     /// An entry cannot any more.
-    pub fn leave(&mut self, entry: &Name) {
-        if let Some(step) = self.advisers.leave(entry) {
+    pub fn remove_entry(&mut self, entry: &Name) {
+        if let Some(step) = self.advice_queue.leave(entry) {
             self.return_question(step, entry, "disconnected");
         }
     }
 
     /// Counts for logs and metrics.
-    pub fn load(&self) -> Load {
+    pub fn stats(&self) -> CellStats {
         let runs = self.workers.values().map(|worker| worker.runs.len()).sum();
         let open = self.jobs.values().filter(|job| job.is_open()).count();
         let heard = self.workers.values().filter(|worker| worker.heard).count();
-        Load {
-            jobs: open,
+        CellStats {
+            open_jobs: open,
             runs,
-            ready: self.ready.len(),
+            ready_steps: self.ready_steps.len(),
             workers: self.workers.len(),
-            heard,
-            counts: self.counts,
+            reachable_workers: heard,
+            crash_counts: self.crash_counts,
             expired_waits: self.expired_waits,
         }
     }
@@ -408,19 +411,19 @@
 
 /// Counts of a cell.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Load {
+pub struct CellStats {
     /// Open jobs.
-    pub jobs: usize,
+    pub open_jobs: usize,
     /// Runs whose room is taken.
     pub runs: usize,
     /// Steps with tasks that need a worker.
-    pub ready: usize,
+    pub ready_steps: usize,
     /// Workers in use.
     pub workers: usize,
     /// Workers that answered their last call.
-    pub heard: usize,
+    pub reachable_workers: usize,
     /// Crashes, since the takeover.
-    pub counts: jobs::crash::Counts,
+    pub crash_counts: jobs::crash::Counts,
     /// Waits that a deadline ended, since the takeover.
     pub expired_waits: u64,
 }
--- a/src/cell/owner/forward.rs
+++ b/src/cell/owner/forward.rs
@@ -10,16 +10,16 @@
     /// Has another cell run a job that is not known here, from when [`Self::batch_of`] it is in the
     /// store.
     pub fn forward(&mut self, key: JobKey, cell: u32) {
-        log::info!("event=forwarded job={key} to={cell} batch={}", self.batch);
-        self.forwarded.insert(key, (cell, self.batch));
-        self.fresh.push_back((self.batch, key));
-        self.dirty.insert(key);
+        log::info!("event=forwarded job={key} to={cell} batch={}", self.open_batch);
+        self.forwarded.insert(key, (cell, self.open_batch));
+        self.unstored_jobs.push_back((self.open_batch, key));
+        self.dirty_jobs.insert(key);
     }
 
     /// The cell that a job was sent to, once that is in the store.
     pub fn forwarded(&self, key: JobKey) -> Option<u32> {
         let (cell, batch) = self.forwarded.get(&key)?;
-        (*batch <= self.kept).then_some(*cell)
+        (*batch <= self.stored_batch).then_some(*cell)
     }
 
     /// Whether a job is known here, to run here or in another cell.
@@ -30,7 +30,7 @@
     /// The other cell has forgotten a job that was sent there.
     pub fn forget_forwarded(&mut self, key: JobKey) {
         if self.forwarded.remove(&key).is_some() {
-            self.dirty.insert(key);
+            self.dirty_jobs.insert(key);
         }
     }
 
@@ -44,12 +44,12 @@
     /// wait for.
     pub fn loads(&self) -> Vec<Load> {
         let mut services: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
-        for worker in self.workers.values().filter(|worker| worker.is_open(self.kept)) {
+        for worker in self.workers.values().filter(|worker| worker.is_open(self.stored_batch)) {
             let (taken, all) = services.entry(&worker.listed.service).or_default();
             *taken += worker.used.cpu.min(worker.listed.room.cpu);
             *all += worker.listed.room.cpu;
         }
-        for (_, _, key) in &self.ready {
+        for (_, _, key) in &self.ready_steps {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let (Some(spec), Some(step)) = (job.spec(key.step), job.step(*key)) else { continue };
             if let Some((taken, _)) = services.get_mut(&job.queue.service) {
--- a/src/cell/placing/gather.rs
+++ b/src/cell/placing/gather.rs
@@ -35,8 +35,8 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let mine = rank(job);
         let is_early = !job.has_waited(now, key, PATIENCE);
-        let is_off = self.bounds.off.has(Mechanism::Gather);
-        if !spec.gang || is_off || is_early || self.reserved.gathers() {
+        let is_off = self.config.disabled.contains(Mechanism::GatherForGangs);
+        if !spec.gang || is_off || is_early || self.reservations.gathers() {
             return;
         }
         let charge = spec.charge();
@@ -59,7 +59,7 @@
         log::info!("event=room-gathered step={key} tasks={rest} workers={}", chosen.len());
         for (worker, count) in chosen {
             let room = (0..count).fold(Room::default(), |sum, _| sum.plus(&charge));
-            self.reserved.gather(&worker, key, mine, room, now + KEEP);
+            self.reservations.gather(&worker, key, mine, room, now + KEEP);
         }
     }
 
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -45,8 +45,8 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let is_early = !job.has_waited(now, key, PATIENCE);
         // It may be given back to its caller, and nothing was gained by what was stopped for it.
-        let is_unkept = job.batch > self.kept;
-        if is_early || is_unkept || fits.is_empty() || self.reserved.has(key) {
+        let is_unkept = job.batch > self.stored_batch;
+        if is_early || is_unkept || fits.is_empty() || self.reservations.has(key) {
             return;
         }
         let (mine, queue) = (rank(job), job.queue.name.clone());
@@ -73,7 +73,7 @@
         }
         for Plan { worker, tasks, victims } in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&spec.charge()));
-            self.reserved.add(&worker, key, mine, room, now + KEEP);
+            self.reservations.add(&worker, key, mine, room, now + KEEP);
             for Victim { task, run, .. } in victims {
                 log::info!(
                     "event=preempted task={task} run={run} worker={worker} for={key} queue={queue}"
@@ -89,8 +89,8 @@
         let Need { step: key, spec, tasks: rest } = *need;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let mine = rank(job);
-        let is_off = self.bounds.off.has(Mechanism::Reserve);
-        if is_off || self.reserved.has(key) || self.reserved.shares(key) {
+        let is_off = self.config.disabled.contains(Mechanism::ReserveRoom);
+        if is_off || self.reservations.has(key) || self.reservations.shares(key) {
             return;
         }
         let charge = spec.charge();
@@ -98,7 +98,7 @@
         fits.retain(|fit| fit.takes(spec) && !fit.free.holds(&charge));
         fits.sort_by_key(|fit| std::cmp::Reverse((fit.free.gpu, fit.free.cpu)));
         for fit in fits.into_iter().take(rest as usize) {
-            self.reserved.share(&fit.name, key, mine, charge, now + KEEP);
+            self.reservations.share(&fit.name, key, mine, charge, now + KEEP);
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// Runs at a worker that may be stopped for a job of this priority, the least urgent first.
     fn victims(&self, worker: &Name, priority: u32) -> Vec<Victim> {
-        if self.bounds.off.has(Mechanism::Preempt) {
+        if self.config.disabled.contains(Mechanism::Preemption) {
             return Vec::new();
         }
         let Some(worker) = self.workers.get(worker) else { return Vec::new() };
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -20,10 +20,10 @@
     /// Places waiting tasks, the most urgent first, as far as there is room.
     pub fn schedule(&mut self, now: Millis) {
         self.give_up(now);
-        if self.is_stale || !std::mem::take(&mut self.changed) {
+        if self.list_stale || !std::mem::take(&mut self.needs_placement) {
             return;
         }
-        let ready: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
+        let ready: Vec<StepKey> = self.ready_steps.iter().map(|(_, _, key)| *key).collect();
         for key in ready {
             self.place_step(now, key);
         }
@@ -32,14 +32,14 @@
 
     fn place_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        if job.inherited && self.doubt.is_some() {
+        if job.inherited && self.unrecorded_starts.is_some() {
             return self.note_wait(now, key, Some(Why::Takeover));
         }
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
         if step.waiting.is_empty() {
             // All its tasks were found to run, or to be done, since it was listed.
             let (priority, due) = rank(job);
-            self.ready.remove(&(priority, due, key));
+            self.ready_steps.remove(&(priority, due, key));
             return self.note_wait(now, key, None);
         }
         let advice = job.queue.advice;
@@ -51,7 +51,7 @@
         }
         let allowed = self.allowed(job, spec, step.waiting.len());
         if allowed == 0 {
-            self.reserved.release(key);
+            self.reservations.release(key);
             return self.note_wait(now, key, Some(Why::Bound));
         }
         let spec = spec.clone();
@@ -78,10 +78,10 @@
         }
         match advice {
             _ if left == 0 => {
-                self.reserved.release(key);
+                self.reservations.release(key);
                 let ranks = self.jobs.get(&key.job).map(rank);
                 if let Some((priority, due)) = ranks {
-                    self.ready.remove(&(priority, due, key));
+                    self.ready_steps.remove(&(priority, due, key));
                 }
             }
             Some(advice) if rest > 0 => self.question(now, key, &spec, advice, rest),
@@ -143,20 +143,21 @@
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Fit> {
         let rank = rank(job);
-        let minds = !self.bounds.off.has(Mechanism::Aside);
+        let minds = !self.config.disabled.contains(Mechanism::SidelineWorkers);
         let is_quarantine =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let pressure = self.pressure(now, job, key);
         let aside = |worker: &Worker| {
             pressure == Pressure::None && ((minds && worker.is_aside(now)) || is_quarantine(worker))
         };
-        let open = workers.filter(|(_, worker)| worker.is_open(self.kept) && !aside(worker));
+        let open =
+            workers.filter(|(_, worker)| worker.is_open(self.stored_batch) && !aside(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let fit = |(name, worker)| {
             let fit = Fit::new(now, name, worker);
-            let held = self.reserved.held(name, key, rank, spec.can_stop(), pressure);
+            let held = self.reservations.held(name, key, rank, spec.can_stop(), pressure);
             let runs = if spec.apart == 0 { 0 } else { count_at(worker, key) };
-            let is_kept = self.reserved.gathers_at(name, key);
+            let is_kept = self.reservations.gathers_at(name, key);
             Fit { free: fit.free.less(&held), runs, is_kept, ..fit }
         };
         suitable.map(fit).collect()
@@ -165,7 +166,7 @@
     /// Gives a job a failure domain, the one with the most idle processors: its tasks go there as
     /// far as there is room, so that a cut between failure domains holds up few jobs.
     fn choose_home(&mut self, key: StepKey, fits: &[Fit]) {
-        if self.bounds.off.has(Mechanism::Home) {
+        if self.config.disabled.contains(Mechanism::PreferDomain) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.home.is_none()) else {
@@ -276,11 +277,11 @@
         log::info!("event=start task={task} run={no} worker={name} age_ms={age}");
         let ticket = ticket.unwrap_or_else(|| "".into());
         let start = Start { task, run: no, spec: text, saved, ticket };
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         if self.is_quarantined(task) {
             self.quarantine(name, task);
         }
-        self.unsent.push_back((self.batch, name.clone(), start));
+        self.unsent_starts.push_back((self.open_batch, name.clone(), start));
     }
 
     /// Sends the starts whose bindings are in the store: the next owner has to know of them.
@@ -290,13 +291,13 @@
 
     /// Sends the starts of accepted jobs that may go now; the others stay, in order.
     fn send_if(&mut self, now: Millis, may_go: impl Fn(&Self, u64, TaskKey) -> bool) {
-        let lease = self.bounds.lease;
-        let unsent = std::mem::take(&mut self.unsent);
+        let lease = self.config.lease;
+        let unsent = std::mem::take(&mut self.unsent_starts);
         let goes = |(batch, _, start): &(u64, Name, Start)| {
             self.is_accepted(start.task.step.job) && may_go(self, *batch, start.task)
         };
         let (ready, rest): (VecDeque<_>, VecDeque<_>) = unsent.into_iter().partition(goes);
-        self.unsent = rest;
+        self.unsent_starts = rest;
         for (_, name, start) in ready {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let run = worker.runs.get(&(start.task, start.run));
@@ -327,7 +328,7 @@
 
     /// Whether a job is in the store; one that is not known any more holds nothing up.
     fn is_accepted(&self, key: JobKey) -> bool {
-        self.jobs.get(&key).is_none_or(|job| job.batch <= self.kept)
+        self.jobs.get(&key).is_none_or(|job| job.batch <= self.stored_batch)
     }
 
     /// Sends all starts while the store is away for everybody. The next owner will know that it was. Jobs that are
@@ -335,6 +336,8 @@
     pub fn send_unkept(&mut self, now: Millis) {
         // Crashes have to be counted in the store before the task starts again: through
         // outages that each end with a takeover it would start more often than is allowed.
-        self.send_if(now, |cell, batch, task| batch <= cell.kept || cell.crashes(task).is_empty());
+        self.send_if(now, |cell, batch, task| {
+            batch <= cell.stored_batch || cell.crashes(task).is_empty()
+        });
     }
 }
--- a/src/cell/placing/settled.rs
+++ b/src/cell/placing/settled.rs
@@ -36,7 +36,7 @@
     /// A worker that steps wait for has stayed up by now.
     pub(in crate::cell) fn note_settled(&mut self, now: Millis) {
         if self.next_settled.take_if(|at| now >= *at).is_some() {
-            self.changed = true;
+            self.needs_placement = true;
         }
     }
 }
--- a/src/cell/placing/share.rs
+++ b/src/cell/placing/share.rs
@@ -45,7 +45,7 @@
     /// A job of a workspace came; whether that is beyond its share. A workspace without a weight has no share.
     pub(in crate::cell) fn exceeds_share(&mut self, now: Millis, name: &Name) -> bool {
         let weight = self.usages.workspace(name).map_or(0, |workspace| workspace.weight);
-        let is_off = self.bounds.off.has(Mechanism::Shares);
+        let is_off = self.config.disabled.contains(Mechanism::WorkspaceShares);
         weight > 0 && !is_off && self.shares.exceeds(now, name, f64::from(weight))
     }
 }
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -91,7 +91,7 @@
     /// The workspaces of another version of the policy.
     pub fn set_workspaces(&mut self, workspaces: Workspaces) {
         self.usages.workspaces = workspaces;
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     /// How many tasks of a step the job's workspace may start now, of `most`. A gang starts whole or not at all.
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
-use crate::cell::records::journal::{self, Batch, JobRecord, Member};
+use crate::cell::records::journal::{self, Batch, JobRecord, WorkerRecord};
 use crate::cell::workers::worker::Worker;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -11,22 +11,22 @@
 
 /// A batch stops growing at this size, so that an append takes no more than some tens of
 /// milliseconds at the platform's 20 MB/s a partition.
-const BATCH_BYTES: usize = 512 * 1024;
+const MAX_BATCH_BYTES: usize = 512 * 1024;
 
 impl Cell {
     /// The next batch for the store, if there is something to write. A batch is never empty: the
     /// store does not count an append without records.
     pub fn take_batch(&mut self, now: Millis) -> Option<Batch> {
-        if self.dirty.is_empty() && !self.roster {
+        if self.dirty_jobs.is_empty() && !self.workers_dirty {
             return None;
         }
         let mut records = Vec::new();
-        if std::mem::take(&mut self.roster) {
-            records.push(journal::roster(&self.members()));
-            records.push(journal::births(&self.births()));
+        if std::mem::take(&mut self.workers_dirty) {
+            records.push(journal::put_workers(&self.worker_records()));
+            records.push(journal::put_worker_starts(&self.worker_starts()));
         }
-        let is_new = |job: &Job| job.batch == self.batch && job.is_open();
-        let (new, known): (Vec<JobKey>, Vec<JobKey>) = std::mem::take(&mut self.dirty)
+        let is_new = |job: &Job| job.batch == self.open_batch && job.is_open();
+        let (new, known): (Vec<JobKey>, Vec<JobKey>) = std::mem::take(&mut self.dirty_jobs)
             .into_iter()
             .partition(|key| self.jobs.get(key).is_some_and(is_new));
         // What workers reported goes first and whole: the ends in it are confirmed with the batch.
@@ -39,29 +39,29 @@
             let from = records.len();
             self.write_job(key, &mut records);
             size += records.iter().skip(from).map(|(_, value)| value.len()).sum::<usize>();
-            if size >= BATCH_BYTES {
+            if size >= MAX_BATCH_BYTES {
                 break;
             }
         }
-        let no = self.batch;
-        self.batch += 1;
+        let no = self.open_batch;
+        self.open_batch += 1;
         for key in new {
-            self.postpone(key);
+            self.defer_job(key);
         }
         if records.is_empty() {
-            self.keep(now, no);
+            self.mark_stored(now, no);
             return None;
         }
-        Some(Batch { no, records })
+        Some(Batch { number: no, records })
     }
 
     /// A new job that did not fit into the last batch goes into the next one.
-    fn postpone(&mut self, key: JobKey) {
+    fn defer_job(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get_mut(&key) {
-            job.batch = self.batch;
-            self.fresh.retain(|(_, other)| *other != key);
-            self.fresh.push_back((self.batch, key));
-            self.dirty.insert(key);
+            job.batch = self.open_batch;
+            self.unstored_jobs.retain(|(_, other)| *other != key);
+            self.unstored_jobs.push_back((self.open_batch, key));
+            self.dirty_jobs.insert(key);
         }
     }
 
@@ -70,32 +70,32 @@
             let forwarded = self.forwarded.get(&key);
             match forwarded {
                 Some((cell, _)) => {
-                    records.push(journal::job(key, &JobRecord::Forwarded { cell: *cell }));
+                    records.push(journal::put_job(key, &JobRecord::Forwarded { cell: *cell }));
                 }
                 None => {
-                    records.push(journal::drop_job(key));
-                    if self.with_workspace.remove(&key) {
-                        records.push(journal::drop_workspace(key));
+                    records.push(journal::delete_job(key));
+                    if self.stored_workspaces.remove(&key) {
+                        records.push(journal::delete_workspace(key));
                     }
                 }
             }
             return;
         };
         let closed = job.closed.is_some();
-        if let Some(workspace) = job.workspace.as_ref().filter(|_| job.batch == self.batch) {
+        if let Some(workspace) = job.workspace.as_ref().filter(|_| job.batch == self.open_batch) {
             // Before the job itself: a job that is known without its workspace would run without a bound.
-            records.push(journal::workspace(key, workspace));
-            self.with_workspace.insert(key);
+            records.push(journal::put_workspace(key, workspace));
+            self.stored_workspaces.insert(key);
         }
-        if closed || job.batch == self.batch {
-            records.push(journal::job(key, &job.record()));
+        if closed || job.batch == self.open_batch {
+            records.push(journal::put_job(key, &job.record()));
         }
         match closed {
             true if job.noted => {
                 job.noted = false;
-                records.push(journal::drop_progress(key));
+                records.push(journal::delete_progress(key));
                 if std::mem::take(&mut job.noted_crashes) {
-                    records.push(journal::drop_crashes(key));
+                    records.push(journal::delete_crashes(key));
                 }
             }
             false if job.bound => {
@@ -104,12 +104,12 @@
                 // with each life of the worker that ended.
                 if !progress.steps.is_empty() || job.noted {
                     job.noted = true;
-                    records.push(journal::progress(key, &progress));
+                    records.push(journal::put_progress(key, &progress));
                 }
                 let crashes = job.crashes();
                 if !crashes.is_empty() || job.noted_crashes {
                     job.noted_crashes = true;
-                    records.push(journal::crashes(key, &crashes));
+                    records.push(journal::put_crashes(key, &crashes));
                 }
             }
             _ => {}
@@ -118,7 +118,7 @@
 
     /// The store surely did not take a batch: its new jobs are given back to their callers. Returns
     /// their keys.
-    pub fn withdraw(&mut self, batch: u64) -> Vec<JobKey> {
+    pub fn withdraw_batch(&mut self, batch: u64) -> Vec<JobKey> {
         self.withdraw_where(|of| of == batch)
     }
 
@@ -133,10 +133,11 @@
             let is_new = self.jobs.get(key).is_some_and(Job::is_open);
             is_unsent(*of) && (is_new || self.forwarded.contains_key(key))
         };
-        let gone: Vec<JobKey> = self.fresh.iter().filter(of_batch).map(|(_, key)| *key).collect();
-        self.fresh.retain(|(_, key)| !gone.contains(key));
+        let gone: Vec<JobKey> =
+            self.unstored_jobs.iter().filter(of_batch).map(|(_, key)| *key).collect();
+        self.unstored_jobs.retain(|(_, key)| !gone.contains(key));
         for key in &gone {
-            match self.batch_of(*key) {
+            match self.job_batch(*key) {
                 Some(batch) => log::info!("event=withdrawn job={key} batch={batch}"),
                 // It was found by its batch above: without one it was forgotten meanwhile, and is gone.
                 None => log::error!("event=withdrawn-unknown job={key}"),
@@ -148,23 +149,23 @@
     }
 
     /// All batches up to `batch` are in the store.
-    pub fn keep(&mut self, now: Millis, batch: u64) {
-        self.kept = self.kept.max(batch);
+    pub fn mark_stored(&mut self, now: Millis, batch: u64) {
+        self.stored_batch = self.stored_batch.max(batch);
         for worker in self.workers.values_mut() {
             worker.keep(batch);
         }
-        self.fresh.retain(|(of, _)| *of > batch);
+        self.unstored_jobs.retain(|(of, _)| *of > batch);
         self.send_starts(now, batch);
-        self.changed = true;
+        self.needs_placement = true;
     }
 
-    fn births(&self) -> BTreeMap<Name, Millis> {
+    fn worker_starts(&self) -> BTreeMap<Name, Millis> {
         let lives = self.workers.values().map(Worker::life);
         lives.filter_map(|life| Some((life.id, life.born?))).collect()
     }
 
-    fn members(&self) -> Vec<Member> {
-        let member = |worker: &Worker| Member {
+    fn worker_records(&self) -> Vec<WorkerRecord> {
+        let member = |worker: &Worker| WorkerRecord {
             id: worker.listed.id.clone(),
             service: worker.listed.service.clone(),
             addr: worker.listed.addr.clone(),
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -10,19 +10,19 @@
 use std::sync::Arc;
 
 /// The key of the record that names all workers in use.
-const ROSTER: &str = "roster";
-/// The key of the record that tells when the workers in use started. It stands apart from [`ROSTER`], whose
+const WORKERS_KEY: &str = "roster";
+/// The key of the record that tells when the workers in use started. It stands apart from [`WORKERS_KEY`], whose
 /// form is that of versions that know workers by their ids alone.
-const BIRTHS: &str = "roster.born";
+const WORKER_STARTS_KEY: &str = "roster.born";
 /// What follows a job's key in the key of its progress.
-const PROGRESS: &str = ".p";
+const PROGRESS_SUFFIX: &str = ".p";
 /// What follows a job's key in the key of the crashes under its tasks. They stand apart from its progress,
 /// whose form is that of versions that count none: those pass over keys that they do not know.
-const CRASHES: &str = ".c";
+const CRASHES_SUFFIX: &str = ".c";
 
 /// What became of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum JobOutcome {
     /// All tasks are done.
     Completed,
     /// A task failed as often as it may.
@@ -46,7 +46,7 @@
         /// Its queue's name.
         queue: Name,
         /// How it ended.
-        fate: Fate,
+        outcome: JobOutcome,
     },
     /// It runs in another cell.
     Forwarded {
@@ -57,44 +57,44 @@
 
 /// What follows a job's key in the key of its workspace. It stands apart from the job's own record for the same
 /// reason.
-const WORKSPACE: &str = ".w";
+const WORKSPACE_SUFFIX: &str = ".w";
 
 /// What is known of one task that is not done.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskNote {
+pub struct TaskProgress {
     /// Its place in its step.
     pub index: u32,
     /// The runs of it that failed.
     pub failed: Vec<u64>,
     /// Its saved progress; empty: none.
-    pub saved: Name,
+    pub checkpoint: Name,
     /// The run that it was given to a worker as, and the worker.
-    pub bound: Option<(u64, Name)>,
+    pub assignment: Option<(u64, Name)>,
 }
 
 /// What is known of one step of one repetition.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct StepNote {
+pub struct StepProgress {
     /// The repetition and the step.
-    pub place: (u32, u16),
+    pub step_index: (u32, u16),
     /// One bit a task, in bytes from the lowest bit: whether it is done.
     pub done: Vec<u8>,
     /// Tasks that are bound to a worker, failed or saved progress.
-    pub tasks: Vec<TaskNote>,
+    pub tasks: Vec<TaskProgress>,
 }
 
 /// What changes while a job is open.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     /// The steps of which something is known.
-    pub steps: Vec<StepNote>,
+    pub steps: Vec<StepProgress>,
 }
 
 /// The crashes under one task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CrashNote {
+pub struct TaskCrashes {
     /// The repetition and the step.
-    pub place: (u32, u16),
+    pub step_index: (u32, u16),
     /// The task's place in its step.
     pub index: u32,
     /// The crashes, in order.
@@ -103,7 +103,7 @@
 
 /// A worker that may run something.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct WorkerRecord {
     /// Its id.
     pub id: Name,
     /// Its service.
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// Rises by one with each batch of an epoch.
-    pub no: u64,
+    pub number: u64,
     /// Keys and values; an empty value drops the key.
     pub records: Vec<(String, Vec<u8>)>,
 }
@@ -129,18 +129,18 @@
     /// What is known of open jobs.
     pub progress: BTreeMap<JobKey, Progress>,
     /// The crashes under tasks of open jobs.
-    pub crashes: BTreeMap<JobKey, Vec<CrashNote>>,
+    pub crashes: BTreeMap<JobKey, Vec<TaskCrashes>>,
     /// The workspaces of jobs that have one.
     pub workspaces: BTreeMap<JobKey, Name>,
     /// The workers that may run something.
-    pub roster: Vec<Member>,
+    pub workers: Vec<WorkerRecord>,
     /// When these started, as far as they told.
-    pub births: BTreeMap<Name, Millis>,
+    pub worker_starts: BTreeMap<Name, Millis>,
 }
 
 /// The job that a record is of, and what of it; `None`: it is of the cell, or not one of ours.
-pub fn job_of(key: &str) -> Option<(JobKey, &str)> {
-    if matches!(key, ROSTER | BIRTHS) {
+pub fn parse_key(key: &str) -> Option<(JobKey, &str)> {
+    if matches!(key, WORKERS_KEY | WORKER_STARTS_KEY) {
         return None;
     }
     let (text, kind) = key.split_at(key.find('.').unwrap_or(key.len()));
@@ -155,53 +155,53 @@
 }
 
 /// The record of a job.
-pub fn job(key: JobKey, record: &JobRecord) -> (String, Vec<u8>) {
+pub fn put_job(key: JobKey, record: &JobRecord) -> (String, Vec<u8>) {
     (key.to_string(), encode(record))
 }
 
 /// The record of a job's progress.
-pub fn progress(key: JobKey, progress: &Progress) -> (String, Vec<u8>) {
-    (format!("{key}{PROGRESS}"), encode(progress))
+pub fn put_progress(key: JobKey, progress: &Progress) -> (String, Vec<u8>) {
+    (format!("{key}{PROGRESS_SUFFIX}"), encode(progress))
 }
 
 /// The record of the crashes under a job's tasks.
-pub fn crashes(key: JobKey, notes: &[CrashNote]) -> (String, Vec<u8>) {
-    (format!("{key}{CRASHES}"), encode(notes))
+pub fn put_crashes(key: JobKey, notes: &[TaskCrashes]) -> (String, Vec<u8>) {
+    (format!("{key}{CRASHES_SUFFIX}"), encode(notes))
 }
 
 /// The record of a job's workspace.
-pub fn workspace(key: JobKey, workspace: &Name) -> (String, Vec<u8>) {
-    (format!("{key}{WORKSPACE}"), encode(workspace))
+pub fn put_workspace(key: JobKey, workspace: &Name) -> (String, Vec<u8>) {
+    (format!("{key}{WORKSPACE_SUFFIX}"), encode(workspace))
 }
 
 /// Drops the record of a job's workspace.
-pub fn drop_workspace(key: JobKey) -> (String, Vec<u8>) {
-    (format!("{key}{WORKSPACE}"), Vec::new())
+pub fn delete_workspace(key: JobKey) -> (String, Vec<u8>) {
+    (format!("{key}{WORKSPACE_SUFFIX}"), Vec::new())
 }
 
 /// Drops a job.
-pub fn drop_job(key: JobKey) -> (String, Vec<u8>) {
+pub fn delete_job(key: JobKey) -> (String, Vec<u8>) {
     (key.to_string(), Vec::new())
 }
 
 /// Drops a job's progress.
-pub fn drop_progress(key: JobKey) -> (String, Vec<u8>) {
-    (format!("{key}{PROGRESS}"), Vec::new())
+pub fn delete_progress(key: JobKey) -> (String, Vec<u8>) {
+    (format!("{key}{PROGRESS_SUFFIX}"), Vec::new())
 }
 
 /// Drops the crashes under a job's tasks.
-pub fn drop_crashes(key: JobKey) -> (String, Vec<u8>) {
-    (format!("{key}{CRASHES}"), Vec::new())
+pub fn delete_crashes(key: JobKey) -> (String, Vec<u8>) {
+    (format!("{key}{CRASHES_SUFFIX}"), Vec::new())
 }
 
 /// The record of the workers in use.
-pub fn roster(members: &[Member]) -> (String, Vec<u8>) {
-    (ROSTER.to_string(), encode(&members))
+pub fn put_workers(workers: &[WorkerRecord]) -> (String, Vec<u8>) {
+    (WORKERS_KEY.to_string(), encode(&workers))
 }
 
 /// The record of when the workers in use started.
-pub fn births(births: &BTreeMap<Name, Millis>) -> (String, Vec<u8>) {
-    (BIRTHS.to_string(), encode(births))
+pub fn put_worker_starts(births: &BTreeMap<Name, Millis>) -> (String, Vec<u8>) {
+    (WORKER_STARTS_KEY.to_string(), encode(births))
 }
 
 fn encode<T: Serialize + ?Sized>(value: &T) -> Vec<u8> {
@@ -217,22 +217,22 @@
     ///
     /// # Errors
     /// The value cannot be read.
-    pub fn add(&mut self, key: &str, value: &[u8]) -> Result<(), postcard::Error> {
-        if key == ROSTER {
-            self.roster = if value.is_empty() { Vec::new() } else { postcard::from_bytes(value)? };
+    pub fn apply(&mut self, key: &str, value: &[u8]) -> Result<(), postcard::Error> {
+        if key == WORKERS_KEY {
+            self.workers = if value.is_empty() { Vec::new() } else { postcard::from_bytes(value)? };
             return Ok(());
         }
-        if key == BIRTHS {
-            self.births =
+        if key == WORKER_STARTS_KEY {
+            self.worker_starts =
                 if value.is_empty() { BTreeMap::new() } else { postcard::from_bytes(value)? };
             return Ok(());
         }
-        let Some((job, kind)) = job_of(key) else { return Ok(()) };
+        let Some((job, kind)) = parse_key(key) else { return Ok(()) };
         match kind {
-            "" => take(&mut self.jobs, job, value),
-            PROGRESS => take(&mut self.progress, job, value),
-            CRASHES => take(&mut self.crashes, job, value),
-            WORKSPACE => take(&mut self.workspaces, job, value),
+            "" => apply_to(&mut self.jobs, job, value),
+            PROGRESS_SUFFIX => apply_to(&mut self.progress, job, value),
+            CRASHES_SUFFIX => apply_to(&mut self.crashes, job, value),
+            WORKSPACE_SUFFIX => apply_to(&mut self.workspaces, job, value),
             _ => {
                 log::warn!("event=record-unknown key={key}");
                 Ok(())
@@ -242,7 +242,7 @@
 }
 
 /// Takes in a record of a job, or drops what is known of it.
-fn take<T: DeserializeOwned>(
+fn apply_to<T: DeserializeOwned>(
     known: &mut BTreeMap<JobKey, T>,
     job: JobKey,
     value: &[u8],
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -87,7 +87,7 @@
                 if !known.seen {
                     // It may never have begun: then no end will be listed, and only the next
                     // report shows that the room is free.
-                    self.actions.push(Action::Look(name.clone()));
+                    self.actions.push(Action::PollNow(name.clone()));
                 }
             }
             other => log::debug!(
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -1,10 +1,10 @@
 //! What workers report: runs that go on, runs that ended, and how they bear each other.
 
 use crate::cell::jobs::job::Status;
-use crate::cell::records::journal::Fate;
+use crate::cell::records::journal::JobOutcome;
 use crate::cell::workers::roster::Over;
 use crate::cell::workers::worker::{Phase, Run, Worker};
-use crate::cell::{Action, Cell, Hold};
+use crate::cell::{Action, Cell, ReportCall};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::{End, EndedRow, HoldError, Refusal, Report, RunningRow};
@@ -26,19 +26,19 @@
     /// What to ask a worker now, and whether to renew its lease; `None` if it is not watched any
     /// more. The lease of a silent worker is not renewed: what runs there starts elsewhere when it
     /// is over.
-    pub fn hold(&mut self, now: Millis, name: &Name, renew: bool) -> Option<Hold> {
-        let lease = self.bounds.lease;
+    pub fn hold(&mut self, now: Millis, name: &Name, renew: bool) -> Option<ReportCall> {
+        let lease = self.config.lease;
         let worker = self.workers.get_mut(name)?;
         let until = if renew && worker.heard { worker.lease(now, lease) } else { None };
         // It may be another life: one that was told the last end of the life before forgot ends that nobody
         // had read. A time of the other clock does no harm: it is cut down to the longest lease.
         let seen = if worker.is_unsure() { 0 } else { worker.confirmed() };
-        Some(Hold { seen, until })
+        Some(ReportCall { confirmed: seen, lease_end: until })
     }
 
     /// The batch that must be in the store before a worker's ends can be confirmed.
     pub fn awaited(&self, name: &Name) -> Option<u64> {
-        self.workers.get(name).and_then(Worker::awaited).filter(|batch| *batch > self.kept)
+        self.workers.get(name).and_then(Worker::awaited).filter(|batch| *batch > self.stored_batch)
     }
 
     /// A worker did not report; whether to pause before it is asked again. One report may be lost
@@ -53,7 +53,7 @@
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.suspect();
                 }
-                if self.is_late {
+                if self.is_overloaded {
                     return true;
                 }
                 let Some(worker) = self.workers.get_mut(name) else { return false };
@@ -83,11 +83,11 @@
                 report.clock,
                 worker.confirmed()
             );
-            self.changed = true;
+            self.needs_placement = true;
         }
-        self.changed = self.changed || worker.is_doubted();
+        self.needs_placement = self.needs_placement || worker.is_doubted();
         // An earlier owner may not have known when it started: the next one has to.
-        self.roster |= worker.hear(now, sent, report);
+        self.workers_dirty |= worker.hear(now, sent, report);
         self.settle_by(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.known = true;
@@ -97,14 +97,15 @@
                 continue;
             }
             let run = worker.remove(row.task, row.run);
-            self.changed = true;
+            self.needs_placement = true;
             if let Some(run) = run.filter(|run| row.end == End::Done && run.began.0 > 0) {
                 self.learn(row.task, now.since(run.began));
             }
             self.end(now, name, row);
             // An end that changes nothing needs no record before it is confirmed.
-            let batch = if self.dirty.is_empty() { self.batch - 1 } else { self.batch };
-            let kept = self.kept;
+            let batch =
+                if self.dirty_jobs.is_empty() { self.open_batch - 1 } else { self.open_batch };
+            let kept = self.stored_batch;
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.see(row.no, batch);
                 worker.keep(kept);
@@ -152,7 +153,7 @@
         if !row.saved.is_empty() {
             state.saved = row.saved.clone();
         }
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         match row.end {
             End::Done if !lasting => {
                 let other = placed(&state.status, row.run);
@@ -181,7 +182,7 @@
                 );
                 self.blame(now, name, task);
                 match !lasting && failed >= attempts as usize {
-                    true => self.close(now, task.step.job, Fate::Failed),
+                    true => self.close(now, task.step.job, JobOutcome::Failed),
                     false => self.requeue(task, row.run),
                 }
             }
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -48,8 +48,8 @@
         // What is left there crashed with the worker.
         self.count_crash(now, name, true);
         self.settle_crash(&over, Found::Over);
-        let lease_end = now + Millis(self.bounds.lease_max.0 * 1_050 / 1_000);
-        let batch = self.batch;
+        let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
+        let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut before = worker.restart(now, report.born, batch, lease_end);
         log::info!(
@@ -61,9 +61,9 @@
         for (task, run) in kept {
             worker.add(task, run);
         }
-        self.counts.restarted += 1;
+        self.crash_counts.restarted += 1;
         self.ended_lives.insert(over, now);
-        (self.roster, self.changed) = (true, true);
+        (self.workers_dirty, self.needs_placement) = (true, true);
         for ((task, run), left) in all {
             match left {
                 Left::Kept => {}
@@ -107,7 +107,7 @@
         let is_news = worker.is_other(listed.born) && worker.listed.born != listed.born;
         if is_news {
             worker.doubt(now);
-            self.actions.push(Action::Look(listed.id.clone()));
+            self.actions.push(Action::PollNow(listed.id.clone()));
         }
     }
 }
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -58,12 +58,12 @@
     /// for at once. Where two of a failure domain did so, the others of it are taken to be behind the
     /// same cut. Starts would go behind the cut, and their tasks be held up until it heals.
     pub(in crate::cell) fn doubt(&mut self, now: Millis, name: &Name) {
-        if self.is_late || self.bounds.off.has(Mechanism::Doubt) {
+        if self.is_overloaded || self.config.disabled.contains(Mechanism::AvoidUnresponsive) {
             return;
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.doubt(now);
-        self.actions.push(Action::Look(name.clone()));
+        self.actions.push(Action::PollNow(name.clone()));
         let domain = worker.listed.domain.clone();
         let of_domain = |worker: &&mut Worker| worker.listed.domain == domain && worker.present;
         let missed = |worker: &&mut Worker| worker.is_doubted() || !worker.heard;
@@ -75,7 +75,7 @@
         for worker in self.workers.values_mut().filter(of_domain) {
             if !worker.is_doubted() {
                 worker.doubt(now);
-                self.actions.push(Action::Look(worker.listed.id.clone()));
+                self.actions.push(Action::PollNow(worker.listed.id.clone()));
             }
         }
     }
@@ -83,7 +83,7 @@
     /// Lets a task run elsewhere too, if its copies may run side by side. The first one that is
     /// done counts.
     pub(in crate::cell) fn copy(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64) {
-        if self.bounds.off.has(Mechanism::Copies) {
+        if self.config.disabled.contains(Mechanism::SpeculativeCopies) {
             return;
         }
         let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
@@ -126,8 +126,8 @@
             log::info!("event=run-lost task={task} run={run} worker={name} why={why}");
             self.requeue(task, run);
         }
-        self.roster = true;
-        self.changed = true;
+        self.workers_dirty = true;
+        self.needs_placement = true;
         self.actions.push(Action::Unwatch(name.clone()));
     }
 
@@ -142,8 +142,8 @@
         for one in listed {
             self.set_worker(now, one);
         }
-        self.is_stale = false;
-        self.changed = true;
+        self.list_stale = false;
+        self.needs_placement = true;
     }
 
     fn set_worker(&mut self, now: Millis, listed: Listed) {
@@ -170,8 +170,8 @@
                     listed.labels.join(",")
                 );
                 self.actions.push(Action::Watch(listed.clone()));
-                self.workers.insert(name, Worker::new(listed, self.batch, Millis(0)));
-                self.roster = true;
+                self.workers.insert(name, Worker::new(listed, self.open_batch, Millis(0)));
+                self.workers_dirty = true;
             }
         }
     }
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -1,6 +1,6 @@
 //! `node`: runs an entry on the platform.
 
-use crate::cell::mechanism::Off;
+use crate::cell::mechanism::DisabledMechanisms;
 use crate::cell::owner::map::CELL_WORKERS;
 use crate::cmd::{Refusal, Run};
 use crate::logs;
@@ -31,8 +31,8 @@
     #[bpaf(argument("COUNT"), fallback(CELL_WORKERS), display_fallback)]
     cell_workers: NonZeroUsize,
     /// Mechanisms to switch off, to measure what they are worth
-    #[bpaf(argument("NAME,..."), fallback(Off::default()), hide)]
-    without: Off,
+    #[bpaf(argument("NAME,..."), fallback(DisabledMechanisms::default()), hide)]
+    without: DisabledMechanisms,
     /// Least level of log lines: error, warn, info, debug
     #[bpaf(argument("LEVEL"), fallback(LevelFilter::Info), display_fallback)]
     log: LevelFilter,
--- a/src/node/call.rs
+++ b/src/node/call.rs
@@ -1,8 +1,8 @@
 //! What callers ask about jobs, and how it is answered.
 
-use crate::cell::State;
+use crate::cell::JobState;
 use crate::cell::owner::admission::{self, retry_after};
-use crate::cell::records::journal::Fate;
+use crate::cell::records::journal::JobOutcome;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::cells::Cells;
@@ -110,11 +110,15 @@
     async fn state(&self) -> Reply {
         match self.ask(Ask::State { job: self.job, workspace: self.workspace.clone() }).await {
             Ok(Tell::State(None)) => Reply::NoJob,
-            Ok(Tell::State(Some(State::Queued))) => Reply::State("queued"),
-            Ok(Tell::State(Some(State::Active))) => Reply::State("active"),
-            Ok(Tell::State(Some(State::Closed(Fate::Completed)))) => Reply::State("completed"),
-            Ok(Tell::State(Some(State::Closed(Fate::Failed)))) => Reply::State("failed"),
-            Ok(Tell::State(Some(State::Closed(Fate::Cancelled)))) => Reply::State("cancelled"),
+            Ok(Tell::State(Some(JobState::Queued))) => Reply::State("queued"),
+            Ok(Tell::State(Some(JobState::Active))) => Reply::State("active"),
+            Ok(Tell::State(Some(JobState::Closed(JobOutcome::Completed)))) => {
+                Reply::State("completed")
+            }
+            Ok(Tell::State(Some(JobState::Closed(JobOutcome::Failed)))) => Reply::State("failed"),
+            Ok(Tell::State(Some(JobState::Closed(JobOutcome::Cancelled)))) => {
+                Reply::State("cancelled")
+            }
             _ => Reply::Busy { after: admission::LEAST },
         }
     }
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of an entry on the platform, in the format of Prometheus.
 
-use crate::cell::Load;
+use crate::cell::CellStats;
 use crate::clock::Millis;
 use crate::order::Outcome;
 use crate::registry;
@@ -113,15 +113,15 @@
     }
 
     /// What the owner holds.
-    pub fn loaded(&self, load: &Load) {
-        self.jobs.set(load.jobs as i64);
+    pub fn loaded(&self, load: &CellStats) {
+        self.jobs.set(load.open_jobs as i64);
         self.runs.set(load.runs as i64);
-        self.ready.set(load.ready as i64);
+        self.ready.set(load.ready_steps as i64);
         self.workers.set(load.workers as i64);
-        self.heard.set(load.heard as i64);
-        self.crashed.set(load.counts.crashed as i64);
-        self.given_up.set(load.counts.given_up as i64);
-        self.restarted.set(load.counts.restarted as i64);
+        self.heard.set(load.reachable_workers as i64);
+        self.crashed.set(load.crash_counts.crashed as i64);
+        self.given_up.set(load.crash_counts.given_up as i64);
+        self.restarted.set(load.crash_counts.restarted as i64);
         self.expired.set(load.expired_waits as i64);
     }
 
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -1,6 +1,6 @@
 //! Messages between an entry and the owner of the cell: length-delimited frames of `postcard`.
 
-use crate::cell::State;
+use crate::cell::JobState;
 use crate::cell::owner::balance::Load;
 use crate::cell::owner::witness::Word;
 use crate::clock::Millis;
@@ -67,7 +67,7 @@
     /// It may be done later.
     InDoubt,
     /// The state of a job; `None`: there is no such job.
-    State(Option<State>),
+    State(Option<JobState>),
     /// Whether there was such a job; if so, it ended, and that is in the store.
     Cancelled(bool),
     /// The number of jobs that wait.
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -6,14 +6,14 @@
 mod transfer;
 mod workers;
 
-use crate::cell::advising::advice::Question;
+use crate::cell::advising::advice::AdviceRequest;
 use crate::cell::jobs::life::TICK;
 use crate::cell::owner::authority::Authority;
 use crate::cell::owner::balance::Load;
 use crate::cell::owner::election::SILENCE;
 use crate::cell::owner::lag::Lag;
 use crate::cell::owner::witness::Witnesses;
-use crate::cell::{Action, Bounds, Cell};
+use crate::cell::{Action, Cell, CellConfig};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::frame::{Out, encode};
@@ -79,19 +79,24 @@
             "event=takeover cell={} epoch={epoch} jobs={} roster={} listed={} doubt={doubt} took_ms={}",
             self.cell,
             snapshot.jobs.len(),
-            snapshot.roster.len(),
+            snapshot.workers.len(),
             listed.len(),
             self.now().since(begun)
         );
         let node = &self.node;
         let (lease, keep, off) = (node.lease(), node.settings.keep, node.settings.off);
-        let bounds = Bounds { lease, lease_max: node.settings.lease_max, keep, off };
+        let bounds = CellConfig {
+            lease,
+            max_lease: node.settings.lease_max,
+            job_retention: keep,
+            disabled: off,
+        };
         let policy = node.policy();
         let mut cell = Cell::new(epoch, bounds, policy.queues.clone(), snapshot, doubt, self.now());
         cell.set_workspaces(policy.workspaces.clone());
         cell.set_workers(self.now(), listed);
         if node.adviser.is_some() {
-            cell.join(self.me().clone(), self.is_home);
+            cell.add_entry(self.me().clone(), self.is_home);
         }
         let mut authority = Authority::new(self.now());
         authority.expect(self.now(), self.entries.load(Ordering::Relaxed));
@@ -186,7 +191,7 @@
         let pauses = self.node.clock.pauses();
         if self.pauses.swap(pauses, Ordering::Relaxed) != pauses {
             self.woke.store(true, Ordering::Relaxed);
-            lock(&self.cell).wake(now);
+            lock(&self.cell).resume_after_pause(now);
         }
     }
 
@@ -205,7 +210,7 @@
                 let now = self.node.now();
                 match may_order {
                     true => cell.schedule(now),
-                    false => cell.withhold_starts("no-authority"),
+                    false => cell.give_up_starts("no-authority"),
                 }
                 if lock(&self.authority).rests_on_peers(now) {
                     cell.send_unkept(now);
@@ -234,20 +239,20 @@
                 }
                 lock(&self.gates).remove(&worker);
             }
-            Action::Look(worker) => {
+            Action::PollNow(worker) => {
                 if let Some(look) = lock(&self.looks).get(&worker) {
                     look.notify_one();
                 }
             }
-            Action::Ask { entry, question } => self.ask(entry, question),
-            Action::Forgotten(job, workspace) => self.forget_at_home(job, workspace.as_ref()),
+            Action::RequestAdvice { entry, request: question } => self.ask(entry, question),
+            Action::JobForgotten(job, workspace) => self.forget_at_home(job, workspace.as_ref()),
             order => drop(tokio::spawn(self.clone().order(order))),
         }
     }
 
     /// Has an entry, maybe this one, ask the advice service.
-    fn ask(self: &Arc<Self>, entry: Name, question: Question) {
-        let Question { step, workers, cost, .. } = question;
+    fn ask(self: &Arc<Self>, entry: Name, question: AdviceRequest) {
+        let AdviceRequest { step, workers, cost, .. } = question;
         if entry == self.node.me.name {
             let owner = self.clone();
             tokio::spawn(async move {
@@ -266,7 +271,7 @@
         };
         if !sent {
             log::info!("event=question-lost entry={entry} step={step}");
-            lock(&self.cell).leave(&entry);
+            lock(&self.cell).remove_entry(&entry);
             self.wake.notify_one();
         }
     }
@@ -280,10 +285,10 @@
             let is_late = self.note_lag(now);
             let load = {
                 let mut cell = lock(&self.cell);
-                cell.set_late(is_late);
+                cell.set_overloaded(is_late);
                 cell.tick(now, Millis::now());
                 *lock(&self.loads) = cell.loads();
-                cell.load()
+                cell.stats()
             };
             self.node.metrics.loaded(&load);
             self.wake.notify_one();
@@ -326,7 +331,7 @@
         let cpu = if is_home { cpu } else { 0 };
         lock(&self.authority).join(self.node.now(), &entry, cpu);
         if self.node.adviser.is_some() {
-            lock(&self.cell).join(entry, is_home);
+            lock(&self.cell).add_entry(entry, is_home);
         }
         self.wake.notify_one();
     }
@@ -339,7 +344,7 @@
             log::info!("event=entry-left cell={cell} entry={entry} epoch={epoch}");
             peers.remove(entry);
             drop(peers);
-            lock(&self.cell).leave(entry);
+            lock(&self.cell).remove_entry(entry);
             self.wake.notify_one();
         }
     }
@@ -380,9 +385,9 @@
             Ask::State { job, workspace } => {
                 let cell = lock(&self.cell);
                 let is_visible = cell.is_visible(job, workspace.as_ref());
-                Tell::State(cell.state(job).filter(|_| is_visible))
+                Tell::State(cell.job_state(job).filter(|_| is_visible))
             }
-            Ask::Pending { queue } => Tell::Pending(lock(&self.cell).pending(&queue)),
+            Ask::Pending { queue } => Tell::Pending(lock(&self.cell).pending_jobs(&queue)),
             Ask::Cancel { job, workspace } => {
                 let batch = {
                     let mut cell = lock(&self.cell);
@@ -429,9 +434,9 @@
                 log::info!("event=refused job={job} why=overload epoch={}", self.epoch);
                 return Tell::Refused(Refused::Overload);
             }
-            match cell.batch_of(job) {
+            match cell.job_batch(job) {
                 Some(batch) => Some(batch),
-                None => cell.submit_for(self.node.now(), job, queue, work, workspace),
+                None => cell.submit_for_workspace(self.node.now(), job, queue, work, workspace),
             }
         };
         if batch.is_none() {
@@ -441,7 +446,7 @@
         let mut kept = self.kept.subscribe();
         let mut over = self.over.subscribe();
         loop {
-            let known = lock(&self.cell).batch_of(job);
+            let known = lock(&self.cell).job_batch(job);
             match known {
                 None => return Tell::Refused(Refused::NoStore),
                 Some(batch) if batch <= *kept.borrow_and_update() => {
@@ -476,7 +481,7 @@
     /// Writes what is left, as well as the store allows within `limit`.
     pub async fn settle(&self, limit: Millis) {
         let until = self.node.now() + limit;
-        while self.node.now() < until && lock(&self.cell).is_unkept() {
+        while self.node.now() < until && lock(&self.cell).has_unstored() {
             tokio::time::sleep(SETTLE_LOOK.duration()).await;
         }
     }
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -1,6 +1,6 @@
 //! What an owner keeps in the store, and how it reads it again after a takeover.
 
-use crate::cell::records::journal::{Batch, Snapshot, job_of};
+use crate::cell::records::journal::{Batch, Snapshot, parse_key};
 use crate::clock::Millis;
 use crate::node::owner::Owner;
 use crate::node::view::View;
@@ -81,7 +81,7 @@
         let (items, _) = store.newest_all(part, READ_LIMIT).await?;
         let mut snapshot = Snapshot::default();
         for item in items {
-            if let Err(err) = snapshot.add(&item.key, &item.value) {
+            if let Err(err) = snapshot.apply(&item.key, &item.value) {
                 log::error!("event=record-unreadable key={} error={err:?}", item.key);
             }
         }
@@ -97,7 +97,7 @@
         loop {
             let (batch, kept) = {
                 let mut cell = lock(&self.cell);
-                (cell.take_batch(self.node.now()), cell.kept())
+                (cell.take_batch(self.node.now()), cell.stored_batch())
             };
             let Some(batch) = batch else {
                 self.kept.send_replace(kept);
@@ -110,8 +110,8 @@
                 Written::Withdrawn => {}
                 Written::Deposed => return,
             }
-            lock(&self.cell).keep(self.node.now(), batch.no);
-            self.kept.send_replace(batch.no);
+            lock(&self.cell).mark_stored(self.node.now(), batch.number);
+            self.kept.send_replace(batch.number);
             self.wake.notify_one();
             // A store that is slow makes the pause by itself.
             tokio::time::sleep_until(begun + APPEND_GAP.duration()).await;
@@ -148,10 +148,10 @@
             let mut topic = TOPIC.to_string();
             let part = self.view.part(&mut topic);
             let append = self.node.store.append(part, guard, body, APPEND_LIMIT);
-            let err = match self.watch_append(batch.no, append).await {
+            let err = match self.watch_append(batch.number, append).await {
                 Ok(_) => {
                     if !self.store.swap(true, Ordering::Relaxed) {
-                        log::info!("event=store-back batch={}", batch.no);
+                        log::info!("event=store-back batch={}", batch.number);
                     }
                     lock(&self.authority).recover();
                     self.node.metrics.appended(self.node.now().since(begun));
@@ -164,14 +164,15 @@
                 Err(err) => err,
             };
             if self.store.swap(false, Ordering::Relaxed) {
-                log::info!("event=store-lost batch={} error={err:?}", batch.no);
+                log::info!("event=store-lost batch={} error={err:?}", batch.number);
             }
             self.store_failed();
             may_be_there = may_be_there || !matches!(err, StoreError::Refused(_));
             if !may_be_there && self.node.now().since(begun) >= GIVE_BACK {
-                let gone = lock(&self.cell).withdraw(batch.no);
+                let gone = lock(&self.cell).withdraw_batch(batch.number);
                 // All that is of them: a binding that stayed would be taken for one of the same job, submitted again.
-                records.retain(|(key, _)| !job_of(key).is_some_and(|(job, _)| gone.contains(&job)));
+                records
+                    .retain(|(key, _)| !parse_key(key).is_some_and(|(job, _)| gone.contains(&job)));
                 // Callers that wait look again.
                 self.kept.send_modify(|_| {});
                 if records.is_empty() {
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -86,7 +86,7 @@
         };
         let Some(client) = self.client(&name) else { return };
         let decided = self.node.now();
-        let Some(life) = lock(&self.cell).life(&name) else { return };
+        let Some(life) = lock(&self.cell).worker_life(&name) else { return };
         let gate = lock(&self.gates).entry(name.clone()).or_insert_with(new_gate).clone();
         // A closed gate would only mean that the worker is gone, and orders to it fail by themselves.
         let _passed = gate.acquire().await;
@@ -134,7 +134,7 @@
     }
 
     fn client(&self, name: &Name) -> Option<Worker> {
-        let addr = lock(&self.cell).addr(name)?;
+        let addr = lock(&self.cell).worker_addr(name)?;
         Some(Worker::new(self.node.http.clone(), addr, name.clone(), self.epoch))
     }
 
@@ -153,7 +153,7 @@
             let Some(client) = self.client(&name) else { return };
             let timeouts = lock(&self.lag).timeouts();
             let held = tokio::select! {
-                held = client.hold(hold.seen, hold.until, wait, wait + timeouts.report) => held,
+                held = client.hold(hold.confirmed, hold.lease_end, wait, wait + timeouts.report) => held,
                 () = look.notified() => {
                     wait = Millis(0);
                     continue;
@@ -163,8 +163,8 @@
             let pause = match &held {
                 Ok(report) => {
                     lock(&self.cell).held(now, sent, &name, report);
-                    wait = if hold.until.is_some() { HOLD_WAIT } else { Millis(0) };
-                    hold.until.is_none() && !renew
+                    wait = if hold.lease_end.is_some() { HOLD_WAIT } else { Millis(0) };
+                    hold.lease_end.is_none() && !renew
                 }
                 Err(err) => {
                     wait = Millis(0);
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,6 +1,6 @@
 //! The settings that the platform gives to a process, turned into the project's own.
 
-use crate::cell::mechanism::Off;
+use crate::cell::mechanism::DisabledMechanisms;
 use crate::cell::owner::map::CELL_WORKERS;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -117,7 +117,7 @@
     /// The time between a request to stop and being killed.
     pub grace: Millis,
     /// Mechanisms that are switched off; not from the file.
-    pub off: Off,
+    pub off: DisabledMechanisms,
 }
 
 /// Why an entry cannot start.
@@ -150,7 +150,7 @@
         let seconds = |s: f64| Millis((s.max(0.0) * 1_000.0) as u64);
         let (first, second) = raw.internal_ports;
         Ok(Self {
-            off: Off::default(),
+            off: DisabledMechanisms::default(),
             peer: format!("{}:{first}", raw.ip).into(),
             advertise: format!("{}:{first}", raw.ip).into(),
             metrics: format!("{}:{second}", raw.ip).into(),
--- a/tests/accepting.rs
+++ b/tests/accepting.rs
@@ -33,7 +33,7 @@
     let now = Millis(site.now);
     let batch = site.cell.take_batch(now).expect("its record");
     assert!(site.cell.take_batch(now).is_none(), "its binding is in the same batch");
-    site.cell.keep(now, batch.no);
+    site.cell.mark_stored(now, batch.number);
     assert_eq!(starts(&mut site), 1);
 }
 
@@ -45,8 +45,8 @@
     assert_eq!(starts(&mut site), 0);
     let now = Millis(site.now);
     let batch = site.cell.take_batch(now).expect("its record");
-    assert_eq!(site.cell.withdraw(batch.no), [job(1)]);
-    site.cell.keep(now, batch.no);
+    assert_eq!(site.cell.withdraw_batch(batch.number), [job(1)]);
+    site.cell.mark_stored(now, batch.number);
     assert_eq!(starts(&mut site), 0);
     site.submit_step(job(2), whole);
     site.play(100);
@@ -61,7 +61,7 @@
     site.submit_for(job(1), step(), "workspace");
     assert_eq!(starts(&mut site), 0);
     let batch = site.cell.take_batch(Millis(site.now)).expect("its records");
-    let of = |key: &str| journal::job_of(key).map(|(job, _)| job);
+    let of = |key: &str| journal::parse_key(key).map(|(job, _)| job);
     let records = batch.records.iter().filter(|(key, _)| of(key) == Some(job(1)));
     assert_eq!(records.count(), 3, "{:?}", batch.records);
     assert_eq!(of("roster.born"), None);
@@ -88,7 +88,7 @@
     let now = Millis(site.now);
     site.cell.send_unkept(now);
     let batch = site.cell.take_batch(now).expect("its record");
-    site.cell.keep(now, batch.no);
+    site.cell.mark_stored(now, batch.number);
     assert_eq!(starts(&mut site), 1);
 }
 
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -4,12 +4,12 @@
 
 use rows::running as running_row;
 use sprucerudder::cell::jobs::stage::{Crash, Evidence};
-use sprucerudder::cell::mechanism::Off;
+use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::{
-    self, CrashNote, JobRecord, Member, Progress, Snapshot, StepNote, TaskNote,
+    self, JobRecord, Progress, Snapshot, StepProgress, TaskCrashes, TaskProgress, WorkerRecord,
 };
 use sprucerudder::cell::workers::roster::Over;
-use sprucerudder::cell::{Action, Bounds, Cell, State};
+use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{
@@ -57,8 +57,12 @@
 
 /// An owner whose workers have answered once.
 fn cell(workers: &[Listed]) -> Cell {
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let queues = HashMap::from([("q".into(), queue("q", 0)), ("low".into(), queue("low", 2))]);
     let mut cell = Cell::new(1, bounds, queues, Snapshot::default(), false, Millis(0));
     cell.set_workers(Millis(0), workers.to_vec());
@@ -75,7 +79,7 @@
 /// The store takes what there is to write.
 fn write(cell: &mut Cell, now: u64) {
     while let Some(batch) = cell.take_batch(Millis(now)) {
-        cell.keep(Millis(now), batch.no);
+        cell.mark_stored(Millis(now), batch.number);
     }
 }
 
@@ -123,9 +127,9 @@
     cell.tick(Millis(110), Millis(110));
     cell.schedule(Millis(110));
     assert!(!ordered(&mut cell), "while it is written");
-    assert!(batch.is_some_and(|batch| batch > cell.kept()));
-    cell.keep(Millis(111), written.no);
-    assert!(batch.is_some_and(|batch| batch <= cell.kept()));
+    assert!(batch.is_some_and(|batch| batch > cell.stored_batch()));
+    cell.mark_stored(Millis(111), written.number);
+    assert!(batch.is_some_and(|batch| batch <= cell.stored_batch()));
     assert_eq!(starts(&mut cell, 112).len(), 1);
 }
 
@@ -157,9 +161,9 @@
     confirm(&mut cell, 32, &then);
     let last = ended(3, then[0].1.task, then[0].1.run, End::Done);
     cell.held(Millis(40), Millis(35), &"w1".into(), &last);
-    assert_eq!(cell.state(key), Some(State::Active), "the end is not in the store yet");
+    assert_eq!(cell.job_state(key), Some(JobState::Active), "the end is not in the store yet");
     write(&mut cell, 41);
-    assert!(matches!(cell.state(key), Some(State::Closed(_))));
+    assert!(matches!(cell.job_state(key), Some(JobState::Closed(_))));
 }
 
 #[test]
@@ -170,9 +174,9 @@
     confirm(&mut cell, 12, &first);
     let one = ended(7, first[0].1.task, first[0].1.run, End::Done);
     cell.held(Millis(20), Millis(15), &"w1".into(), &one);
-    assert_eq!(cell.hold(Millis(21), &"w1".into(), true).map(|hold| hold.seen), Some(0));
+    assert_eq!(cell.hold(Millis(21), &"w1".into(), true).map(|hold| hold.confirmed), Some(0));
     write(&mut cell, 22);
-    assert_eq!(cell.hold(Millis(23), &"w1".into(), true).map(|hold| hold.seen), Some(7));
+    assert_eq!(cell.hold(Millis(23), &"w1".into(), true).map(|hold| hold.confirmed), Some(7));
 }
 
 #[test]
@@ -186,7 +190,7 @@
     let mut again = Vec::new();
     for now in (100..9_000).step_by(100) {
         let hold = cell.hold(Millis(now), &name, true);
-        let renewed = hold.is_some_and(|hold| hold.until.is_some());
+        let renewed = hold.is_some_and(|hold| hold.lease_end.is_some());
         assert!(!renewed || now < 300, "renewed at {now}");
         cell.unheld(Millis(0), &name, &silent);
         cell.tick(Millis(now), Millis(now));
@@ -217,7 +221,7 @@
     let done = ended(1, first[0].1.task, first[0].1.run, End::Done);
     cell.held(Millis(400), Millis(399), &name, &done);
     write(&mut cell, 401);
-    assert!(matches!(cell.state(key), Some(State::Closed(_))));
+    assert!(matches!(cell.job_state(key), Some(JobState::Closed(_))));
     let stops = cell.take_actions();
     assert!(
         stops
@@ -262,8 +266,8 @@
     write(&mut cell, 300);
     assert_eq!(starts(&mut cell, 301), Vec::new());
     assert!(matches!(
-        cell.state(key),
-        Some(State::Closed(sprucerudder::cell::records::journal::Fate::Failed))
+        cell.job_state(key),
+        Some(JobState::Closed(sprucerudder::cell::records::journal::JobOutcome::Failed))
     ));
 }
 
@@ -310,18 +314,22 @@
 #[test]
 fn a_new_owner_holds_back_inherited_tasks_until_all_workers_are_known() {
     let mut old = cell(&[listed("w1", "a"), listed("w2", "b")]);
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let mut snapshot = Snapshot::default();
     let mut records = Vec::new();
     old.submit(Millis(10), JobKey(1), "q", work(vec![step(1)]));
     old.set_workers(Millis(0), vec![listed("w1", "a"), listed("w2", "b"), listed("w3", "b")]);
     while let Some(batch) = old.take_batch(Millis(11)) {
         records.extend(batch.records);
-        old.keep(Millis(11), batch.no);
+        old.mark_stored(Millis(11), batch.number);
     }
     for (key, value) in &records {
-        snapshot.add(key, value).unwrap();
+        snapshot.apply(key, value).unwrap();
     }
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     let mut new = Cell::new(2, bounds, queues, snapshot, true, Millis(100));
@@ -351,7 +359,7 @@
     let start = &started[0].1;
     cell.held(Millis(20), Millis(15), &"w1".into(), &ended(1, start.task, start.run, End::Stopped));
     assert_eq!(cell.take_batch(Millis(21)), None);
-    assert_eq!(cell.hold(Millis(22), &"w1".into(), true).map(|hold| hold.seen), Some(1));
+    assert_eq!(cell.hold(Millis(22), &"w1".into(), true).map(|hold| hold.confirmed), Some(1));
 }
 
 #[test]
@@ -362,10 +370,14 @@
     let batch = old.take_batch(Millis(11)).expect("the job's record");
     let mut snapshot = Snapshot::default();
     for (key, value) in batch.records.iter().filter(|(key, _)| !key.contains('.')) {
-        snapshot.add(key, value).unwrap();
+        snapshot.apply(key, value).unwrap();
     }
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     // The earlier owner started it while the store was away: there is no record of that.
     let mut new = Cell::new(2, bounds, queues, snapshot, true, Millis(12));
@@ -374,7 +386,7 @@
     let task = TaskKey { step: StepKey { job: key, time: 0, step: 0 }, index: 0 };
     new.held(Millis(20), Millis(15), &"w1".into(), &ended(1, task, 1_025, End::Stopped));
     assert_eq!(new.take_batch(Millis(21)), None);
-    assert!(!new.is_unkept());
+    assert!(!new.has_unstored());
 }
 
 #[test]
@@ -388,7 +400,7 @@
     let batch = cell.take_batch(Millis(21)).expect("the job's progress");
     let mut snapshot = Snapshot::default();
     for (key, value) in &batch.records {
-        snapshot.add(key, value).expect("a record of its own");
+        snapshot.apply(key, value).expect("a record of its own");
     }
     let notes: Vec<_> = snapshot.progress.values().flat_map(|progress| &progress.steps).collect();
     assert_eq!(snapshot.progress.len(), 1);
@@ -421,7 +433,7 @@
     cell.unheld(Millis(0), &"w1".into(), &silent);
     cell.tick(Millis(600), Millis(600));
     assert!(cell.take_actions().contains(&Action::Unwatch("w1".into())));
-    assert!(cell.is_unkept(), "the next owner must not wait for it");
+    assert!(cell.has_unstored(), "the next owner must not wait for it");
 }
 
 #[test]
@@ -446,15 +458,19 @@
     for _ in 0..4 {
         while let Some(batch) = old.take_batch(Millis(11)) {
             records.extend(batch.records);
-            old.keep(Millis(11), batch.no);
+            old.mark_stored(Millis(11), batch.number);
         }
         old.schedule(Millis(11));
     }
     for (key, value) in &records {
-        snapshot.add(key, value).unwrap();
+        snapshot.apply(key, value).unwrap();
     }
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     let mut new = Cell::new(2, bounds, queues, snapshot, false, Millis(100));
     new.set_workers(Millis(0), vec![listed("w1", "a"), listed("w2", "b"), listed("w3", "b")]);
@@ -567,7 +583,7 @@
     let done = ended(200, again.task, again.run, End::Done);
     cell.held(Millis(late + 900), Millis(late + 895), &other, &done);
     write(&mut cell, late + 900);
-    assert!(matches!(cell.state(key), Some(State::Closed(_))));
+    assert!(matches!(cell.job_state(key), Some(JobState::Closed(_))));
     let stops = |action: &Action| matches!(action, Action::Stop { run, .. } if *run == start.run);
     assert!(cell.take_actions().iter().any(stops), "the one that stands still is stopped");
 }
@@ -578,17 +594,17 @@
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("q", 0)).clone() });
     let mut cell = cell(&[listed("w1", "a")]);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
-    cell.join("e".into(), true);
+    cell.add_entry("e".into(), true);
     submit(&mut cell, 10, 1, "q", vec![step(1)]);
     let asks = |cell: &mut Cell, now: u64| {
         cell.schedule(Millis(now));
         let actions = cell.take_actions().into_iter();
-        actions.filter(|action| matches!(action, Action::Ask { .. })).count()
+        actions.filter(|action| matches!(action, Action::RequestAdvice { .. })).count()
     };
     assert_eq!(asks(&mut cell, 11), 1);
     assert_eq!(asks(&mut cell, 12), 0, "it is under way");
     // The old connection may be noticed as broken later, or never.
-    cell.join("e".into(), true);
+    cell.add_entry("e".into(), true);
     assert_eq!(asks(&mut cell, 13), 1);
 }
 
@@ -598,7 +614,7 @@
     write(cell, now);
     let actions = cell.take_actions().into_iter();
     let named = |action| match action {
-        Action::Ask { question, .. } => Some(question.workers),
+        Action::RequestAdvice { request: question, .. } => Some(question.workers),
         _ => None,
     };
     actions.filter_map(named).flatten().collect()
@@ -611,8 +627,8 @@
     let mut cell = cell(&[listed("w1", "a"), listed("w2", "a"), listed("w3", "a")]);
     let queues = [("q".into(), queue("q", 0)), ("adv".into(), advised)];
     cell.set_queues(HashMap::from(queues));
-    cell.join("e".into(), true);
-    cell.join("f".into(), true);
+    cell.add_entry("e".into(), true);
+    cell.add_entry("f".into(), true);
     // w1 and w2 are full, w3 has room.
     submit(&mut cell, 10, 1, "q", vec![step(8)]);
     let first = starts(&mut cell, 11);
@@ -706,7 +722,7 @@
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("q", 0)).clone() });
     let mut cell = cell(&[listed("w1", "a"), listed("w2", "a"), listed("w3", "a")]);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
-    cell.join("e".into(), true);
+    cell.add_entry("e".into(), true);
     let apart = Step { apart: 1, lasting: true, ..step(2) };
     let key = submit(&mut cell, 10, 1, "q", vec![apart]);
     let step_key = sprucerudder::workload::StepKey { job: key, time: 0, step: 0 };
@@ -733,7 +749,7 @@
     let workers: Vec<Listed> = (0..12).map(|no| listed(&format!("w{no}"), "a")).collect();
     let mut cell = cell(&workers);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
-    cell.join("e".into(), true);
+    cell.add_entry("e".into(), true);
     // Each worker holds one task of the gang.
     let room = Room { cpu: 4_000, mem: 4_000, gpu: 0 };
     let gang = Step { gang: true, room, ..step(4) };
@@ -764,7 +780,7 @@
     let workers: Vec<Listed> = (0..150).map(|no| listed(&format!("w{no:03}"), "a")).collect();
     let mut cell = cell(&workers);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
-    cell.join("e".into(), true);
+    cell.add_entry("e".into(), true);
     // One worker in ten is good, and each holds one task of the gang.
     let is_good = |name: &Name| name.ends_with('7');
     let room = Room { cpu: 4_000, mem: 4_000, gpu: 0 };
@@ -792,9 +808,9 @@
 fn stored(cell: &mut Cell, now: u64) -> Snapshot {
     let mut snapshot = Snapshot::default();
     while let Some(batch) = cell.take_batch(Millis(now)) {
-        cell.keep(Millis(now), batch.no);
+        cell.mark_stored(Millis(now), batch.number);
         for (key, value) in batch.records {
-            snapshot.add(&key, &value).unwrap();
+            snapshot.apply(&key, &value).unwrap();
         }
     }
     snapshot
@@ -807,13 +823,17 @@
     assert_eq!(first.forwarded(JobKey(7)), None, "not before the store has it");
     let snapshot = stored(&mut first, 10);
     assert_eq!(first.forwarded(JobKey(7)), Some(2));
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     let mut next = Cell::new(2, bounds, queues, snapshot, false, Millis(0));
     assert_eq!(next.forwarded(JobKey(7)), Some(2));
     assert!(next.knows(JobKey(7)));
-    assert_eq!(next.state(JobKey(7)), None, "it does not run here");
+    assert_eq!(next.job_state(JobKey(7)), None, "it does not run here");
     // Once the other cell has forgotten it, it is a new job.
     next.forget_forwarded(JobKey(7));
     let left = stored(&mut next, 20);
@@ -826,8 +846,8 @@
     let mut cell = cell(&[listed("w1", "a")]);
     cell.forward(JobKey(7), 2);
     let batch = cell.take_batch(Millis(10)).unwrap();
-    assert_eq!(cell.withdraw(batch.no), vec![JobKey(7)]);
-    cell.keep(Millis(20), batch.no);
+    assert_eq!(cell.withdraw_batch(batch.number), vec![JobKey(7)]);
+    cell.mark_stored(Millis(20), batch.number);
     assert_eq!(cell.forwarded(JobKey(7)), None);
     assert!(!cell.knows(JobKey(7)));
     assert!(stored(&mut cell, 30).jobs.is_empty());
@@ -841,7 +861,7 @@
     confirm(&mut cell, 12, &first);
     let name = first[0].0.clone();
     let silent = HoldError::Silent("no answer".into());
-    cell.set_late(true);
+    cell.set_overloaded(true);
     for now in (1_000..20_000).step_by(500) {
         cell.unheld(Millis(now), &name, &silent);
         cell.tick(Millis(now), Millis(now));
@@ -851,12 +871,12 @@
     let (task, run) = (first[0].1.task, first[0].1.run);
     cell.held(Millis(20_000), Millis(19_900), &name, &ended(1, task, run, End::Done));
     write(&mut cell, 20_001);
-    cell.set_late(false);
+    cell.set_overloaded(false);
     cell.tick(Millis(20_100), Millis(20_100));
     assert_eq!(starts(&mut cell, 20_101), vec![]);
     assert_eq!(
-        cell.state(JobKey(1)),
-        Some(State::Closed(sprucerudder::cell::records::journal::Fate::Completed))
+        cell.job_state(JobKey(1)),
+        Some(JobState::Closed(sprucerudder::cell::records::journal::JobOutcome::Completed))
     );
 }
 
@@ -868,8 +888,8 @@
     let key = submit(&mut cell, 10, 1, "q", vec![step(1)]);
     cell.schedule(Millis(11));
     let batch = cell.take_batch(Millis(11)).expect("the binding");
-    cell.wake(Millis(20_000));
-    cell.keep(Millis(20_000), batch.no);
+    cell.resume_after_pause(Millis(20_000));
+    cell.mark_stored(Millis(20_000), batch.number);
     assert_eq!(starts(&mut cell, 20_001), Vec::new(), "it was decided before");
     let answer = Report { clock: 21_000, ..Report::default() };
     cell.held(Millis(20_002), Millis(19_000), &"w1".into(), &answer);
@@ -890,13 +910,13 @@
     let mut cell = cell(&[listed("w1", "a")]);
     submit(&mut cell, 10, 1, "q", vec![step(1)]);
     let started = starts(&mut cell, 11);
-    assert_eq!(cell.pending("q"), 1, "nothing is known to have begun");
+    assert_eq!(cell.pending_jobs("q"), 1, "nothing is known to have begun");
     let (worker, start) = &started[0];
     cell.started(Millis(400), worker, start.task, start.run, Outcome::Unknown);
-    assert_eq!(cell.pending("q"), 1);
+    assert_eq!(cell.pending_jobs("q"), 1);
     let report = Report { running: vec![running_row(start.task, start.run)], ..Report::default() };
     cell.held(Millis(500), Millis(450), worker, &report);
-    assert_eq!(cell.pending("q"), 0, "the worker runs it");
+    assert_eq!(cell.pending_jobs("q"), 0, "the worker runs it");
 }
 
 /// While the store was away a task failed and started again at another worker; neither was written down. The
@@ -909,10 +929,11 @@
     let (at, other) = (&workers[0].id, &workers[1].id);
     let task = TaskKey { step: StepKey { job: JobKey(1), time: 0, step: 0 }, index: 0 };
     let bound = Some((1_025, at.clone()));
-    let note = TaskNote { index: 0, failed: Vec::new(), saved: "".into(), bound };
-    let step_note = StepNote { place: (0, 0), done: Vec::new(), tasks: vec![note] };
+    let note =
+        TaskProgress { index: 0, failed: Vec::new(), checkpoint: "".into(), assignment: bound };
+    let step_note = StepProgress { step_index: (0, 0), done: Vec::new(), tasks: vec![note] };
     let record = JobRecord::Open { queue: (*queue("q", 0)).clone(), work: work(vec![step(1)]) };
-    let member = |one: &Listed| Member {
+    let member = |one: &Listed| WorkerRecord {
         id: one.id.clone(),
         service: one.service.clone(),
         addr: one.addr.clone(),
@@ -920,9 +941,13 @@
     let mut snapshot = Snapshot::default();
     snapshot.jobs.insert(task.step.job, record);
     snapshot.progress.insert(task.step.job, Progress { steps: vec![step_note] });
-    snapshot.roster = workers.iter().map(member).collect();
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    snapshot.workers = workers.iter().map(member).collect();
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     let mut next = Cell::new(2, bounds, queues, snapshot, true, Millis(1_000));
     next.set_workers(Millis(0), workers.to_vec());
@@ -956,8 +981,8 @@
     submit(&mut cell, 10, 1, "q", vec![step(1)]);
     cell.schedule(Millis(11));
     let batch = cell.take_batch(Millis(11)).expect("the binding");
-    cell.keep(Millis(20_000), batch.no);
-    cell.wake(Millis(20_000));
+    cell.mark_stored(Millis(20_000), batch.number);
+    cell.resume_after_pause(Millis(20_000));
     let is_start = |action: &Action| matches!(action, Action::Start { .. });
     assert!(!cell.take_actions().iter().any(is_start));
 }
@@ -968,7 +993,7 @@
     submit(&mut cell, 10, 1, "q", vec![step(1)]);
     cell.schedule(Millis(11));
     write(&mut cell, 12);
-    cell.withhold_starts("no-authority");
+    cell.give_up_starts("no-authority");
     let is_start = |action: &Action| matches!(action, Action::Start { .. });
     assert!(!cell.take_actions().iter().any(is_start));
     let again = starts(&mut cell, 13);
@@ -986,14 +1011,20 @@
         evidence: Evidence::Doubtful,
         is_confirmed: true,
     };
-    let note = CrashNote { place: (0, 0), index: 0, crashes: vec![crash(1), crash(2)] };
+    let note = TaskCrashes { step_index: (0, 0), index: 0, crashes: vec![crash(1), crash(2)] };
     let record = JobRecord::Open { queue: (*queue("q", 0)).clone(), work: work(vec![step(2)]) };
     let mut snapshot = Snapshot::default();
-    for (key, value) in [journal::job(JobKey(1), &record), journal::crashes(JobKey(1), &[note])] {
-        snapshot.add(&key, &value).unwrap();
+    for (key, value) in
+        [journal::put_job(JobKey(1), &record), journal::put_crashes(JobKey(1), &[note])]
+    {
+        snapshot.apply(&key, &value).unwrap();
     }
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(100_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(100_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     let mut cell = Cell::new(2, bounds, queues, snapshot, false, Millis(0));
     cell.set_workers(Millis(0), vec![listed("w1", "a")]);
--- a/tests/cellworld/bounds.rs
+++ b/tests/cellworld/bounds.rs
@@ -2,7 +2,7 @@
 //! jobs, which are given back.
 
 use super::*;
-use sprucerudder::cell::records::journal::job_of;
+use sprucerudder::cell::records::journal::parse_key;
 use sprucerudder::workspace::{Workspace, Workspaces};
 
 /// The workspaces with bounds; jobs of a third kind belong to none.
@@ -98,11 +98,11 @@
 
     /// The store refuses a batch for good: its new jobs are given back, and the rest is written without them.
     pub(super) fn give_back(&mut self, owner: usize, batch: &Batch) -> Batch {
-        let gone = self.owners[owner].cell.withdraw(batch.no);
+        let gone = self.owners[owner].cell.withdraw_batch(batch.number);
         self.given_back += gone.len();
-        let stays = |key: &str| !job_of(key).is_some_and(|(job, _)| gone.contains(&job));
+        let stays = |key: &str| !parse_key(key).is_some_and(|(job, _)| gone.contains(&job));
         let records = batch.records.iter().filter(|(key, _)| stays(key)).cloned().collect();
-        Batch { no: batch.no, records }
+        Batch { number: batch.number, records }
     }
 
     /// Nothing of a job that is given back starts, and nothing of it is in the store.
--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -6,7 +6,8 @@
     /// Once all jobs came to an end, the rest of the time is short: it shows what starts though nothing should.
     pub(super) fn note_calm(&mut self) {
         let Some(owner) = self.owners.last() else { return };
-        let is_over = |job: &JobKey| matches!(owner.cell.state(*job), Some(State::Closed(_)));
+        let is_over =
+            |job: &JobKey| matches!(owner.cell.job_state(*job), Some(JobState::Closed(_)));
         let mut ending = self.accepted.iter().filter(|job| !self.is_lasting(**job));
         let all = self.accepted.len() == self.works.len() && ending.all(is_over);
         if self.now > CALM && all {
@@ -15,14 +16,14 @@
     }
 
     pub(super) fn check_ends(&mut self) {
-        let states: Vec<(JobKey, Option<State>)> = {
+        let states: Vec<(JobKey, Option<JobState>)> = {
             let Some(owner) = self.owners.last() else { return };
             let ending = self.accepted.iter().filter(|job| !self.is_lasting(**job));
-            ending.map(|job| (*job, owner.cell.state(*job))).collect()
+            ending.map(|job| (*job, owner.cell.job_state(*job))).collect()
         };
         for (job, state) in states {
             match state {
-                Some(State::Closed(_)) => {}
+                Some(JobState::Closed(_)) => {}
                 other => self.fault(format!("job {job} did not end: {other:?}")),
             }
         }
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -170,12 +170,12 @@
             return;
         }
         for no in 0..ENTRIES {
-            self.owners[owner].cell.join(entry(no), true);
+            self.owners[owner].cell.add_entry(entry(no), true);
         }
     }
 
     /// An entry asks the advice service for an owner.
-    pub(super) fn ask(&mut self, owner: usize, entry: Name, question: Question) {
+    pub(super) fn ask(&mut self, owner: usize, entry: Name, question: AdviceRequest) {
         let length = question.cost.0 * (90 + self.pick(20)) / 100;
         let lost = self.chance(12);
         if lost && self.pick(2) == 0 {
@@ -189,7 +189,7 @@
         &mut self,
         owner: usize,
         entry: &Name,
-        question: &Question,
+        question: &AdviceRequest,
         lost: bool,
     ) {
         if lost {
@@ -205,8 +205,8 @@
 
     pub(super) fn reconnect(&mut self, owner: usize, entry: Name) {
         self.say(format!("{entry} connects to owner {owner} again"));
-        self.owners[owner].cell.leave(&entry);
-        self.owners[owner].cell.join(entry, true);
+        self.owners[owner].cell.remove_entry(&entry);
+        self.owners[owner].cell.add_entry(entry, true);
         self.drive(owner);
     }
 
@@ -252,13 +252,13 @@
         let mut snapshot = Snapshot::default();
         let of_job = task.step.job.to_string();
         for (key, value) in self.store.iter().filter(|(key, _)| key.starts_with(&of_job)) {
-            snapshot.add(key, value).unwrap();
+            snapshot.apply(key, value).unwrap();
         }
         let progress = snapshot.progress.remove(&task.step.job).unwrap_or_default();
         let steps = progress.steps.into_iter();
-        let here = steps.filter(|step| step.place == (task.step.time, task.step.step));
+        let here = steps.filter(|step| step.step_index == (task.step.time, task.step.step));
         let tasks = here.flat_map(|step| step.tasks).filter(|note| note.index == task.index);
-        let mut bound = tasks.filter_map(|note| note.bound);
+        let mut bound = tasks.filter_map(|note| note.assignment);
         bound.any(|(_, worker)| self.workers.get(&worker).is_none_or(|worker| !worker.alive))
     }
 
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -18,11 +18,11 @@
 pub use search::*;
 
 use fastrand::Rng;
-use sprucerudder::cell::advising::advice::Question;
+use sprucerudder::cell::advising::advice::AdviceRequest;
 use sprucerudder::cell::jobs::why::Why;
-use sprucerudder::cell::mechanism::Off;
+use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::{Batch, Snapshot};
-use sprucerudder::cell::{Action, Bounds, Cell, State};
+use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{
@@ -256,7 +256,7 @@
     Advice {
         owner: usize,
         entry: Name,
-        question: Question,
+        question: AdviceRequest,
         lost: bool,
     },
     /// The connection of an entry to an owner ends, and begins anew.
@@ -576,7 +576,7 @@
         let Some(length) = self.asleep.remove(&owner) else { return };
         if self.resizing && length >= PAUSE {
             self.say(format!("owner {owner} wakes"));
-            self.owners[owner].cell.wake(Millis(self.now));
+            self.owners[owner].cell.resume_after_pause(Millis(self.now));
             let delay = self.pick(LIST_EVERY);
             self.after(delay, Event::Relist { owner });
         }
@@ -654,7 +654,7 @@
             Event::Outage { length } => self.lose_store(length),
             Event::Kept { owner, batch } => {
                 self.owners[owner].writing = false;
-                self.owners[owner].cell.keep(Millis(self.now), batch);
+                self.owners[owner].cell.mark_stored(Millis(self.now), batch);
                 self.drive(owner);
             }
             Event::Refused { owner } => self.depose(owner),
@@ -711,13 +711,13 @@
         let mut snapshot = Snapshot::default();
         let is_lost = |key: &str| self.without == Without::Workspaces && key.ends_with(".w");
         for (key, value) in self.store.iter().filter(|(key, _)| !is_lost(key)) {
-            snapshot.add(key, value).unwrap();
+            snapshot.apply(key, value).unwrap();
         }
-        let bounds = Bounds {
+        let bounds = CellConfig {
             lease: Millis(self.lease()),
-            lease_max: Millis(LEASE_MAX),
-            keep: Millis(1_000_000),
-            off: Off::default(),
+            max_lease: Millis(LEASE_MAX),
+            job_retention: Millis(1_000_000),
+            disabled: DisabledMechanisms::default(),
         };
         let low = Queue { name: "low".into(), priority: 1, ..(*self.queue_row).clone() };
         let mut queues =
@@ -800,7 +800,7 @@
         }
         match self.may_order(owner) {
             true => self.owners[owner].cell.schedule(Millis(self.now)),
-            false => self.owners[owner].cell.withhold_starts("no-authority"),
+            false => self.owners[owner].cell.give_up_starts("no-authority"),
         }
         if self.rests_on_peers(owner) {
             self.owners[owner].cell.send_unkept(Millis(self.now));
@@ -809,7 +809,7 @@
             self.count_stop(owner, &action);
             match action {
                 // A job of another cell: this world has one.
-                Action::Forgotten(..) => {}
+                Action::JobForgotten(..) => {}
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
                     let worker = worker.clone();
                     let answer = self.answer();
@@ -821,7 +821,7 @@
                         self.withhold(owner, &action, at);
                         continue;
                     }
-                    let life = self.owners[owner].cell.life(&worker);
+                    let life = self.owners[owner].cell.worker_life(&worker);
                     self.at(at, Event::Order { owner, worker, life, action, answer });
                 }
                 Action::Watch(listed) => {
@@ -830,8 +830,10 @@
                     }
                 }
                 Action::Deposed => self.depose(owner),
-                Action::Ask { entry, question } => self.ask(owner, entry, question),
-                Action::Pace { .. } | Action::Look(_) | Action::Unwatch(_) => {}
+                Action::RequestAdvice { entry, request: question } => {
+                    self.ask(owner, entry, question)
+                }
+                Action::Pace { .. } | Action::PollNow(_) | Action::Unwatch(_) => {}
             }
         }
         if !self.owners[owner].writing
@@ -856,7 +858,7 @@
                 false => drop(self.store.insert(key.clone(), value.clone())),
             }
         }
-        let batch = batch.no;
+        let batch = batch.number;
         self.after(2, Event::Kept { owner, batch });
     }
 
@@ -866,7 +868,7 @@
         let known = self.workers.get(worker).and_then(|worker| worker.running.get(task));
         let runs = known.is_some_and(|running| running.run == *run && !running.stopping);
         let job = task.step.job;
-        let goes_on = self.owners[owner].cell.state(job) == Some(State::Active);
+        let goes_on = self.owners[owner].cell.job_state(job) == Some(JobState::Active);
         let gang = self.works[&job].steps[usize::from(task.step.step)].gang;
         if runs && goes_on && !gang && job.0 % 2 == 1 {
             self.preempted += 1;
@@ -882,7 +884,7 @@
             let queue = if self.is_lasting(job) { "lasts" } else { queue };
             let workspace = self.workspace(job);
             let cell = &mut self.owners[owner].cell;
-            cell.submit_for(Millis(self.now), job, queue, work, workspace);
+            cell.submit_for_workspace(Millis(self.now), job, queue, work, workspace);
             self.drive(owner);
         }
         // The caller asks again until the store has the job.
--- a/tests/cellworld/wire.rs
+++ b/tests/cellworld/wire.rs
@@ -15,7 +15,8 @@
         };
         let lost = self.chance(5);
         let delay = 1 + self.pick(3);
-        let event = Event::Hold { owner, worker, seen: hold.seen, until: hold.until, sent, lost };
+        let event =
+            Event::Hold { owner, worker, seen: hold.confirmed, until: hold.lease_end, sent, lost };
         self.after(delay, event);
     }
 
@@ -160,7 +161,7 @@
     pub(super) fn withhold(&mut self, owner: usize, action: &Action, at: u64) {
         let Action::Start { worker, start, .. } = action else { return };
         let (worker, task, run) = (worker.clone(), start.task, start.run);
-        let (life, outcome) = (self.owners[owner].cell.life(&worker), Outcome::Withheld);
+        let (life, outcome) = (self.owners[owner].cell.worker_life(&worker), Outcome::Withheld);
         self.at(at, Event::Answered { owner, worker, start: true, task, run, life, outcome });
     }
 
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -14,8 +14,8 @@
 mod crashworld;
 
 use crashworld::{Site, job, step};
-use sprucerudder::cell::State;
-use sprucerudder::cell::records::journal::Fate;
+use sprucerudder::cell::JobState;
+use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::workload::{JobKey, Step};
 
 /// Starts that are allowed after three workers crashed under a task.
@@ -40,7 +40,7 @@
 /// The job was given up, and no task of it started more often than allowed.
 fn assert_given_up(site: &Site, bad: JobKey, when: &str) {
     assert!(site.most_starts(bad) <= 3 + MORE, "{} starts, {when}", site.most_starts(bad));
-    assert_eq!(site.state(bad), Some(State::Closed(Fate::Failed)), "{when}");
+    assert_eq!(site.state(bad), Some(JobState::Closed(JobOutcome::Failed)), "{when}");
 }
 
 /// Jobs of one task each, keys from `from` on.
@@ -69,7 +69,7 @@
         assert_given_up(&site, bad, "at the end");
     }
     for key in others {
-        assert_eq!(site.state(key), Some(State::Closed(Fate::Completed)), "{key}");
+        assert_eq!(site.state(key), Some(JobState::Closed(JobOutcome::Completed)), "{key}");
     }
 }
 
@@ -113,7 +113,7 @@
         site.play(8_000);
     }
     site.play(30_000);
-    assert_eq!(site.state(key), Some(State::Closed(Fate::Completed)));
+    assert_eq!(site.state(key), Some(JobState::Closed(JobOutcome::Completed)));
     assert!(site.starts_of(key) > 4, "{} starts", site.starts_of(key));
 }
 
@@ -130,7 +130,7 @@
     }
     site.play(60_000);
     for key in jobs {
-        assert_eq!(site.state(key), Some(State::Closed(Fate::Completed)), "{key}");
+        assert_eq!(site.state(key), Some(JobState::Closed(JobOutcome::Completed)), "{key}");
     }
 }
 
@@ -148,7 +148,7 @@
     site.keep_records(|key| !key.ends_with(".c"));
     site.take_over();
     site.play(60_000);
-    assert_eq!(site.state(bad), Some(State::Closed(Fate::Failed)));
+    assert_eq!(site.state(bad), Some(JobState::Closed(JobOutcome::Failed)));
 }
 
 #[test]
@@ -193,7 +193,7 @@
     assert_eq!(site.starts_of(job(1)), 1, "it runs on until its lease is over");
     site.play(20_000);
     assert_eq!(site.starts_of(job(1)), 1);
-    assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Completed)));
+    assert_eq!(site.state(job(1)), Some(JobState::Closed(JobOutcome::Completed)));
 }
 
 /// What one such task costs: its workers, and starts of others that were lost with them.
@@ -218,7 +218,7 @@
         assert!(site.crashes <= most, "{bad} a minute: {} workers crashed", site.crashes);
         assert!(again <= 4 * most, "{bad} a minute: {again} other starts lost");
         for key in others {
-            assert_eq!(site.state(key), Some(State::Closed(Fate::Completed)), "{key}");
+            assert_eq!(site.state(key), Some(JobState::Closed(JobOutcome::Completed)), "{key}");
         }
     }
 }
@@ -243,9 +243,9 @@
         assert_given_up(&site, job(0xbad0 + no), "at the end");
     }
     for key in [wide, gang, copies] {
-        assert_eq!(site.state(key), Some(State::Closed(Fate::Completed)), "{key}");
+        assert_eq!(site.state(key), Some(JobState::Closed(JobOutcome::Completed)), "{key}");
     }
     assert_eq!(site.running_of(lasting), 6);
-    assert_eq!(site.state(lasting), Some(State::Active));
+    assert_eq!(site.state(lasting), Some(JobState::Active));
     assert!(site.crashes <= 5 * 4, "{} workers crashed", site.crashes);
 }
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -6,9 +6,9 @@
 #[path = "../rows/mod.rs"]
 mod rows;
 
-use sprucerudder::cell::mechanism::Off;
+use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::Snapshot;
-use sprucerudder::cell::{Action, Bounds, Cell, State};
+use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{End, EndedRow, HoldError, Listed, Outcome, Refusal, Report};
@@ -152,8 +152,8 @@
         assert!(self.cell.submit(Millis(self.now), job, queue, Arc::new(work)).is_some());
     }
 
-    pub fn state(&self, job: JobKey) -> Option<State> {
-        self.cell.state(job)
+    pub fn state(&self, job: JobKey) -> Option<JobState> {
+        self.cell.job_state(job)
     }
 
     /// Starts of a job's tasks that workers carried out.
@@ -236,7 +236,7 @@
             self.now += TICK;
             self.run_workers();
         }
-        self.cell.wake(Millis(self.now));
+        self.cell.resume_after_pause(Millis(self.now));
     }
 
     /// Another entry owns the cell, and knows what the store holds.
@@ -244,7 +244,7 @@
         self.epoch += 1;
         let mut snapshot = Snapshot::default();
         for (key, value) in &self.store {
-            snapshot.add(key, value).expect("a record of ours");
+            snapshot.apply(key, value).expect("a record of ours");
         }
         self.cell = owner(self.epoch, snapshot, true, self.now);
         self.watched.clear();
@@ -355,9 +355,9 @@
             match result {
                 Err(err) => drop(self.cell.unheld(now, &name, &err)),
                 Ok(no) => {
-                    self.renew(no, hold.until);
+                    self.renew(no, hold.lease_end);
                     let host = &mut self.hosts[no];
-                    host.ended.retain(|row| row.no > hold.seen);
+                    host.ended.retain(|row| row.no > hold.confirmed);
                     let row =
                         |(task, running): (&TaskKey, &Running)| rows::running(*task, running.run);
                     let running = host.running.iter().map(row).collect();
@@ -391,7 +391,7 @@
                     false => drop(self.store.insert(key, value)),
                 }
             }
-            self.cell.keep(Millis(self.now), batch.no);
+            self.cell.mark_stored(Millis(self.now), batch.number);
         }
     }
 
@@ -444,8 +444,12 @@
 }
 
 fn owner(epoch: u64, snapshot: Snapshot, doubt: bool, now: u64) -> Cell {
-    let bounds =
-        Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(600_000), off: Off::default() };
+    let bounds = CellConfig {
+        lease: LEASE,
+        max_lease: LEASE,
+        job_retention: Millis(600_000),
+        disabled: DisabledMechanisms::default(),
+    };
     let low = Queue { name: "low".into(), priority: 2, ..(*queue()).clone() };
     let queues = HashMap::from([("q".into(), queue()), ("low".into(), Arc::new(low))]);
     Cell::new(epoch, bounds, queues, snapshot, doubt, Millis(now))
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -6,7 +6,8 @@
 use sprucerudder::cell::jobs::stage::Evidence;
 use sprucerudder::cell::owner::election::Record;
 use sprucerudder::cell::records::journal::{
-    Fate, JobRecord, Member, Progress, Snapshot, StepNote, TaskNote, job, progress, roster,
+    JobOutcome, JobRecord, Progress, Snapshot, StepProgress, TaskProgress, WorkerRecord, put_job,
+    put_progress, put_workers,
 };
 use sprucerudder::clock::Millis;
 use sprucerudder::id::EntryId;
@@ -42,12 +43,19 @@
 
 fn known() -> Progress {
     let bound = Some((1_030, "i-1".into()));
-    let task = TaskNote { index: 2, failed: vec![1_025], saved: "0bb8".into(), bound };
-    Progress { steps: vec![StepNote { place: (0, 1), done: vec![0b101], tasks: vec![task] }] }
+    let task = TaskProgress {
+        index: 2,
+        failed: vec![1_025],
+        checkpoint: "0bb8".into(),
+        assignment: bound,
+    };
+    Progress {
+        steps: vec![StepProgress { step_index: (0, 1), done: vec![0b101], tasks: vec![task] }],
+    }
 }
 
-fn members() -> Vec<Member> {
-    vec![Member { id: "i-1".into(), service: "s".into(), addr: "10.1.64.25:8623".into() }]
+fn members() -> Vec<WorkerRecord> {
+    vec![WorkerRecord { id: "i-1".into(), service: "s".into(), addr: "10.1.64.25:8623".into() }]
 }
 
 fn claims() -> Vec<Record> {
@@ -63,13 +71,13 @@
 
 /// Every record, a line each: its key and its bytes.
 fn lines() -> String {
-    let closed = JobRecord::Closed { queue: "q".into(), fate: Fate::Failed };
+    let closed = JobRecord::Closed { queue: "q".into(), outcome: JobOutcome::Failed };
     let mut records = vec![
-        job(JOB, &open()),
-        job(JobKey(2), &closed),
-        job(JobKey(3), &JobRecord::Forwarded { cell: 5 }),
-        progress(JOB, &known()),
-        roster(&members()),
+        put_job(JOB, &open()),
+        put_job(JobKey(2), &closed),
+        put_job(JobKey(3), &JobRecord::Forwarded { cell: 5 }),
+        put_progress(JOB, &known()),
+        put_workers(&members()),
     ];
     for (no, claim) in claims().iter().enumerate() {
         records.push((format!("claim-{no}"), postcard::to_stdvec(claim).unwrap()));
@@ -100,13 +108,13 @@
         let (key, hex) = line.split_once(' ').unwrap();
         match key.starts_with("claim-") {
             true => claimed.push(postcard::from_bytes::<Record>(&bytes(hex)).unwrap()),
-            false => snapshot.add(key, &bytes(hex)).unwrap(),
+            false => snapshot.apply(key, &bytes(hex)).unwrap(),
         }
     }
     assert_eq!(claimed, claims());
     assert_eq!(snapshot.jobs[&JOB], open());
     assert_eq!(snapshot.progress[&JOB], known());
-    assert_eq!(snapshot.roster, members());
+    assert_eq!(snapshot.workers, members());
     assert_eq!(snapshot.jobs.len(), 3);
 }
 
@@ -116,7 +124,7 @@
 #[test]
 fn crashes_with_a_flag_are_read_as_seen() {
     let mut snapshot = Snapshot::default();
-    snapshot.add(&format!("{JOB}.c"), &bytes(&CRASHES.replace(' ', ""))).unwrap();
+    snapshot.apply(&format!("{JOB}.c"), &bytes(&CRASHES.replace(' ', ""))).unwrap();
     let crashes = &snapshot.crashes[&JOB][0].crashes;
     let read: Vec<_> = crashes.iter().map(|one| (one.evidence, one.is_confirmed)).collect();
     assert_eq!(read, [(Evidence::Shared, true), (Evidence::Alone, false)]);
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -5,9 +5,9 @@
 #[path = "../rows/mod.rs"]
 mod rows;
 
-use sprucerudder::cell::mechanism::Off;
+use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::Snapshot;
-use sprucerudder::cell::{Action, Bounds, Cell, State};
+use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{End, EndedRow, HoldError, Listed, Outcome, Refusal, Report, Start};
@@ -109,12 +109,12 @@
     is_confirmed: bool,
 }
 
-fn bounds() -> Bounds {
-    Bounds {
+fn bounds() -> CellConfig {
+    CellConfig {
         lease: Millis(LEASE),
-        lease_max: Millis(10_000),
-        keep: Millis(1_000_000),
-        off: Off::default(),
+        max_lease: Millis(10_000),
+        job_retention: Millis(1_000_000),
+        disabled: DisabledMechanisms::default(),
     }
 }
 
@@ -170,7 +170,7 @@
             workspaces: Workspaces::default(),
         };
         if advice.is_some() {
-            site.cell.join("entry".into(), true);
+            site.cell.add_entry("entry".into(), true);
         }
         site.list();
         site.play(1_000);
@@ -193,7 +193,7 @@
         let (first, every) = (Millis(0), Millis(0));
         let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
         let (now, workspace) = (Millis(self.now), Some(workspace.into()));
-        assert!(self.cell.submit_for(now, key, "q", Arc::new(work), workspace).is_some());
+        assert!(self.cell.submit_for_workspace(now, key, "q", Arc::new(work), workspace).is_some());
     }
 
     /// How many tasks run.
@@ -201,8 +201,8 @@
         self.hosts.iter().map(|host| host.life.running.len()).sum()
     }
 
-    pub fn state(&self, key: JobKey) -> Option<State> {
-        self.cell.state(key)
+    pub fn state(&self, key: JobKey) -> Option<JobState> {
+        self.cell.job_state(key)
     }
 
     /// How often the tasks of a job were started.
@@ -231,7 +231,7 @@
         host.life = Life { born, began: self.now + away, ..Life::default() };
         host.away_until = self.now + away;
         let (listed, at) = (born, self.now + away);
-        self.on_their_way.push((at, Action::Look(host.id.clone()), listed));
+        self.on_their_way.push((at, Action::PollNow(host.id.clone()), listed));
     }
 
     /// The worker where a job's task runs.
@@ -298,7 +298,7 @@
     /// A job that was accepted is completed.
     pub fn is_known_or_unkept(&self, key: JobKey) -> bool {
         let is_completed = self.state(key)
-            == Some(State::Closed(sprucerudder::cell::records::journal::Fate::Completed));
+            == Some(JobState::Closed(sprucerudder::cell::records::journal::JobOutcome::Completed));
         is_completed || !self.accepted.contains(&key)
     }
 
@@ -323,13 +323,13 @@
         self.epoch += 1;
         let mut snapshot = Snapshot::default();
         for (key, value) in &self.store {
-            snapshot.add(key, value).expect("a record of its own");
+            snapshot.apply(key, value).expect("a record of its own");
         }
         let now = Millis(self.now);
         self.cell = Cell::new(self.epoch, bounds(), queues(self.advice), snapshot, false, now);
         self.cell.set_workspaces(self.workspaces.clone());
         if self.advice.is_some() {
-            self.cell.join("entry".into(), true);
+            self.cell.add_entry("entry".into(), true);
         }
         self.watched.clear();
         self.list();
@@ -421,13 +421,14 @@
             }
             let life = &mut host.life;
             life.fence = life.fence.max(self.epoch);
-            life.lease = life.lease.max(hold.until.unwrap_or(0).min(life.clock(now.0) + 10_000));
-            for row in life.ended.iter().filter(|row| row.no <= hold.seen) {
+            life.lease =
+                life.lease.max(hold.lease_end.unwrap_or(0).min(life.clock(now.0) + 10_000));
+            for row in life.ended.iter().filter(|row| row.no <= hold.confirmed) {
                 let of_row = |span: &&mut Span| span.task == row.task && span.run == row.run;
                 self.spans.iter_mut().filter(of_row).for_each(|span| span.is_confirmed = true);
             }
-            life.ended.retain(|row| row.no > hold.seen);
-            self.confirmed.push((id.clone(), hold.seen));
+            life.ended.retain(|row| row.no > hold.confirmed);
+            self.confirmed.push((id.clone(), hold.confirmed));
             let running = life.running.iter().map(|(task, (run, _))| rows::running(*task, *run));
             let report = Report {
                 born: self.tells_births.then_some(Millis(life.born)),
@@ -450,7 +451,7 @@
                     false => drop(self.store.insert(key, value)),
                 }
             }
-            self.cell.keep(Millis(self.now), batch.no);
+            self.cell.mark_stored(Millis(self.now), batch.number);
         }
     }
 
@@ -460,7 +461,7 @@
             match action {
                 Action::Watch(listed) => drop(self.watched.insert(listed.id)),
                 Action::Unwatch(id) => drop(self.watched.remove(&id)),
-                Action::Ask { entry, question } => {
+                Action::RequestAdvice { entry, request: question } => {
                     self.asked.push(question.workers.clone());
                     if self.unanswered > 0 {
                         self.unanswered -= 1;
@@ -520,7 +521,7 @@
         let due: Vec<(u64, Action, u64)> = due;
         for (_, action, extra) in due {
             match &action {
-                Action::Look(id) => {
+                Action::PollNow(id) => {
                     let no = self.host(id);
                     self.hosts[no].listed = extra;
                 }
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -15,13 +15,13 @@
 mod lifeworld;
 
 use lifeworld::{LEASE, LENGTH, Site, job, step};
-use sprucerudder::cell::State;
+use sprucerudder::cell::JobState;
 use sprucerudder::cell::jobs::why::Why;
-use sprucerudder::cell::records::journal::Fate;
+use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::clock::Millis;
 use sprucerudder::workload::Step;
 
-const COMPLETED: Option<State> = Some(State::Closed(Fate::Completed));
+const COMPLETED: Option<JobState> = Some(JobState::Closed(JobOutcome::Completed));
 
 #[test]
 fn ends_of_a_worker_that_started_again_under_its_id_are_read() {
@@ -114,7 +114,7 @@
     }
     site.play(5_000);
     assert!(site.starts(job(1)) <= 5, "{} starts", site.starts(job(1)));
-    assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Failed)));
+    assert_eq!(site.state(job(1)), Some(JobState::Closed(JobOutcome::Failed)));
 }
 
 #[test]
@@ -375,12 +375,12 @@
     }
     site.play(30_000);
     assert_eq!(site.starts(job(1)), 5, "by the contract, two after the third crash");
-    assert_eq!(site.state(job(1)), Some(State::Active));
+    assert_eq!(site.state(job(1)), Some(JobState::Active));
     let waits: Vec<Why> = site.cell.waiting().map(|(_, why)| why).collect();
     assert_eq!(waits, [Why::Crashes]);
     site.cell.cancel(Millis(site.now), job(1));
     site.play(200);
-    assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Cancelled)));
+    assert_eq!(site.state(job(1)), Some(JobState::Closed(JobOutcome::Cancelled)));
 }
 
 /// How long after a takeover a task that ran behind a cut starts elsewhere.
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -1,8 +1,8 @@
 //! Large urgent tasks beside small ones of a less urgent queue that keep all workers partly taken.
 
-use sprucerudder::cell::mechanism::Off;
+use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::Snapshot;
-use sprucerudder::cell::{Action, Bounds, Cell};
+use sprucerudder::cell::{Action, Cell, CellConfig};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{End, EndedRow, Listed, Outcome, Report, RunningRow, Start};
@@ -51,11 +51,11 @@
 
 impl World {
     fn new() -> Self {
-        let bounds = Bounds {
+        let bounds = CellConfig {
             lease: Millis(6_000),
-            lease_max: Millis(10_000),
-            keep: Millis(100_000),
-            off: Off::default(),
+            max_lease: Millis(10_000),
+            job_retention: Millis(100_000),
+            disabled: DisabledMechanisms::default(),
         };
         let queues = HashMap::from([queue("large", 1), queue("small", 2)]);
         let mut cell = Cell::new(1, bounds, queues, Snapshot::default(), false, Millis(0));
@@ -106,7 +106,7 @@
         self.cell.tick(now, now);
         self.cell.schedule(now);
         while let Some(batch) = self.cell.take_batch(now) {
-            self.cell.keep(now, batch.no);
+            self.cell.mark_stored(now, batch.number);
         }
         for action in self.cell.take_actions() {
             match action {
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -156,7 +156,7 @@
             let _ = postcard::from_bytes::<CellMap>(input);
             let mut snapshot = Snapshot::default();
             for key in ["roster", "00000000000000aa", "00000000000000aa.p", &text] {
-                let _ = snapshot.add(key, input);
+                let _ = snapshot.apply(key, input);
             }
         }
     }
@@ -196,11 +196,11 @@
 #[test]
 fn records_of_lives_stand_apart_from_those_that_older_versions_read() {
     let births = BTreeMap::from([("i-1".into(), Millis(7))]);
-    let (key, value) = journal::births(&births);
+    let (key, value) = journal::put_worker_starts(&births);
     let mut snapshot = Snapshot::default();
-    snapshot.add(&key, &value).unwrap();
-    assert_eq!(snapshot.births, births);
-    assert!(snapshot.roster.is_empty());
-    snapshot.add(&key, b"").unwrap();
-    assert!(snapshot.births.is_empty());
+    snapshot.apply(&key, &value).unwrap();
+    assert_eq!(snapshot.worker_starts, births);
+    assert!(snapshot.workers.is_empty());
+    snapshot.apply(&key, b"").unwrap();
+    assert!(snapshot.worker_starts.is_empty());
 }
--- a/tests/rooms.rs
+++ b/tests/rooms.rs
@@ -6,8 +6,8 @@
 mod crashworld;
 
 use crashworld::{Site, job, step};
-use sprucerudder::cell::State;
-use sprucerudder::cell::records::journal::Fate;
+use sprucerudder::cell::JobState;
+use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::workload::{Room, Step};
 
 /// Processors of a worker, of which a task takes a quarter.
@@ -24,8 +24,12 @@
     site.play(2_500);
     assert_eq!(site.starts_of(job(2)), 0, "16 of 8 processors are taken");
     site.play(2_000);
-    assert_eq!(site.state(job(2)), Some(State::Closed(Fate::Completed)));
-    assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Completed)), "nothing was stopped");
+    assert_eq!(site.state(job(2)), Some(JobState::Closed(JobOutcome::Completed)));
+    assert_eq!(
+        site.state(job(1)),
+        Some(JobState::Closed(JobOutcome::Completed)),
+        "nothing was stopped"
+    );
 }
 
 #[test]
@@ -54,7 +58,7 @@
     site.play(1_500);
     assert_eq!(site.most_at_once(), 1, "tasks where one has room");
     site.play(20_000);
-    assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Completed)));
+    assert_eq!(site.state(job(1)), Some(JobState::Closed(JobOutcome::Completed)));
 }
 
 /// A room that is smaller than what runs there counted as none that is free, and each run that would end
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -7,11 +7,11 @@
 mod lifeworld;
 
 use lifeworld::{LENGTH, Site, job, step};
-use sprucerudder::cell::State;
-use sprucerudder::cell::records::journal::Fate;
+use sprucerudder::cell::JobState;
+use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::workload::{Room, Step};
 
-const COMPLETED: Option<State> = Some(State::Closed(Fate::Completed));
+const COMPLETED: Option<JobState> = Some(JobState::Closed(JobOutcome::Completed));
 /// How long a task may wait for which there is room, by the platform's contract.
 const LIMIT: u64 = 3_000;
 
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -3,11 +3,11 @@
 mod lifeworld;
 
 use lifeworld::{LENGTH, Site, job, step};
-use sprucerudder::cell::State;
+use sprucerudder::cell::JobState;
 use sprucerudder::cell::jobs::why::Why;
 use sprucerudder::cell::owner::access::{Access, access};
 use sprucerudder::cell::owner::map::CellMap;
-use sprucerudder::cell::records::journal::Fate;
+use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::clock::Millis;
 use sprucerudder::order::Listed;
 use sprucerudder::platform::config::Policy;
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 use std::num::NonZeroUsize;
 
-const COMPLETED: Option<State> = Some(State::Closed(Fate::Completed));
+const COMPLETED: Option<JobState> = Some(JobState::Closed(JobOutcome::Completed));
 const NOW: Millis = Millis(0);
 const LONG_AGO: Millis = Millis(10_000);
 
