--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::advising::advice::Question;
 use crate::cell::jobs::job::{Job, Ticket};
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::place::Fit;
 use crate::cell::{Action, Cell};
@@ -37,8 +37,8 @@
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
-        let advised = &step.advised;
-        if advised.asking || now < advised.again {
+        let advised = &step.clearances;
+        if advised.is_asking || now < advised.retry_at {
             return;
         }
         let workers = self.to_name(now, key, job, spec, rest);
@@ -46,10 +46,10 @@
             return;
         }
         let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
-        let question = Question { step: key, workers, cost, rank: rank(job) };
+        let question = Question { step: key, workers, cost, rank: queue_rank(job) };
         self.advisers.push(question);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
-            (step.advised.asking, step.advised.since) = (true, now);
+            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
         }
     }
 
@@ -62,11 +62,12 @@
             return Vec::new();
         };
         let charge = spec.charge();
-        let advised = &step.advised;
+        let advised = &step.clearances;
         let names_busy = !self.bounds.off.has(Mechanism::AskBusy);
         let open = self.open(now, key, job, spec).into_iter();
         let asked = |fit: &Fit| {
-            advised.denied.contains(&fit.name) || advised.holds(&fit.name, now + TICKET_SPARE)
+            advised.denied.contains(&fit.name)
+                || advised.has_ticket_for(&fit.name, now + TICKET_SPARE)
         };
         let (known, unknown): (Vec<Fit>, Vec<Fit>) = open
             .filter(|fit| !asked(fit) && (names_busy || fit.holds(spec, &charge)))
@@ -84,14 +85,14 @@
         let suffices = |known: &[Fit]| !spec.gang && known.iter().any(has_room);
         let (mut named, most) = match () {
             () if suffices(&known) => (known, again),
-            () if unknown.iter().any(has_room) || advised.is_new() => (unknown, anew),
+            () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, anew),
             // Asking again would be of no use: their room does not hold the gang.
             () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made at some of them.
             () => (known, again),
         };
         named.sort_by_cached_key(|fit| {
-            let away = job.home.as_ref().is_some_and(|home| fit.domain != *home);
+            let away = job.home_domain.as_ref().is_some_and(|home| fit.domain != *home);
             (!fit.holds(spec, &charge), away, std::cmp::Reverse(fit.free.cpu))
         });
         named.into_iter().take(most.min(MAX_NAMED)).map(|fit| fit.name).collect()
@@ -128,7 +129,8 @@
     pub(in crate::cell) fn ask_next(&mut self, now: Millis) {
         while let Some((entry, question)) = self.advisers.assign(now) {
             let job = self.jobs.get(&question.step.job);
-            let since = job.and_then(|job| job.step(question.step)).map(|step| step.advised.since);
+            let since =
+                job.and_then(|job| job.step(question.step)).map(|step| step.clearances.asked_at);
             log::info!(
                 "event=question step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 question.step,
@@ -164,13 +166,13 @@
         let Some(step) = job.step_mut(key) else { return };
         // The answer may be about the life before.
         let workers = &self.workers;
-        let since = step.advised.since;
+        let since = step.clearances.asked_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted <= since);
         log::info!("event=advised step={key} named={} cleared={}", named.len(), cleared.rows.len());
-        let advised = &mut step.advised;
-        advised.asking = false;
-        advised.again = now + ASK_AGAIN;
+        let advised = &mut step.clearances;
+        advised.is_asking = false;
+        advised.retry_at = now + ASK_AGAIN;
         let good: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !good.contains(*name) && is_same(name));
         advised.denied.extend(denied.cloned());
@@ -179,7 +181,7 @@
         }
         if good.is_empty() {
             // All were denied: others are asked about at once.
-            advised.again = now;
+            advised.retry_at = now;
         }
     }
 
@@ -193,7 +195,7 @@
     pub(in crate::cell) fn forget_question(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
-            step.advised.asking = false;
+            step.clearances.is_asking = false;
             self.changed = true;
         }
     }
@@ -201,7 +203,7 @@
     /// A worker did not take a ticket.
     pub(in crate::cell) fn drop_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
-        if let Some(ticket) = step.and_then(|step| step.advised.cleared.get_mut(name)) {
+        if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
             ticket.until = Millis(0);
         }
     }
@@ -211,7 +213,7 @@
         // A step whose answer was lost on its way was never asked about again.
         for step in self.advisers.expire(now) {
             let job = self.jobs.get(&step.job);
-            let since = job.and_then(|job| job.step(step)).map(|state| state.advised.since);
+            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
             log::info!(
                 "event=wait-expired step={step} queue={} for=lost-answer ms={}",
                 job.map(|job| &*job.queue.name).unwrap_or_default(),
--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -11,7 +11,9 @@
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
-use crate::cell::jobs::stage::{Crash, Evidence, QUARANTINE, Stage, stage_of};
+use crate::cell::jobs::restart_policy::{
+    Crash, Evidence, QUARANTINE_CRASHES, RestartPolicy, restart_policy,
+};
 use crate::cell::records::journal::Fate;
 use crate::cell::workers::worker::{Run, Worker};
 use crate::clock::Millis;
@@ -22,16 +24,16 @@
 
 /// An unconfirmed crash is settled after this time: the worker is lost for good, or came back elsewhere. It is longer
 /// than workers of the platform are away, and than a lease and a takeover together.
-const CONFIRM_LIMIT: Millis = Millis(20_000);
+const CONFIRM_TIMEOUT: Millis = Millis(20_000);
 /// One worker of a service in so many is left to quarantined tasks at once: where many workers crash
 /// together, there are more of these than workers.
-const QUARANTINE_SHARE: usize = 8;
+const WORKERS_PER_QUARANTINE: usize = 8;
 /// A lasting task that ran this long did not crash its worker: it is ten times the lease.
-const STABLE: Millis = Millis(60_000);
+const CRASH_FREE_RUN: Millis = Millis(60_000);
 
 /// Counts for the metrics, since the takeover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct CrashCounts {
     /// Lives of workers that ended, not by plan, with something running.
     pub crashed: u64,
     /// Jobs that were given up for a task's crashes.
@@ -42,18 +44,18 @@
 
 /// What became of a life that may have ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::cell) enum Found {
+pub(in crate::cell) enum CrashResolution {
     /// Another life is at its address.
-    Over,
+    Ended,
     /// It answers.
     Alive,
-    /// Nothing was heard of it for [`CONFIRM_LIMIT`].
+    /// Nothing was heard of it for [`CONFIRM_TIMEOUT`].
     Unknown,
 }
 
 /// A life that may have ended.
 #[derive(Debug)]
-struct Candidate {
+struct PossibleCrash {
     addr: Name,
     since: Millis,
     /// What ran there.
@@ -62,20 +64,20 @@
 
 /// Lives that may have ended, with unconfirmed crashes under tasks.
 #[derive(Debug, Default)]
-pub(in crate::cell) struct Unconfirmed(BTreeMap<Life, Candidate>);
+pub(in crate::cell) struct UnconfirmedCrashes(BTreeMap<Life, PossibleCrash>);
 
-impl Unconfirmed {
+impl UnconfirmedCrashes {
     /// Takes in the unconfirmed crashes under a task.
     pub fn add(&mut self, now: Millis, task: TaskKey, crashes: &[Crash]) {
         for crash in crashes.iter().filter(|crash| !crash.is_confirmed) {
             let addr = crash.addr.clone();
-            let candidate = || Candidate { addr, since: now, tasks: BTreeSet::new() };
+            let candidate = || PossibleCrash { addr, since: now, tasks: BTreeSet::new() };
             let entry = self.0.entry(crash.worker.clone()).or_insert_with(candidate);
             entry.tasks.insert(task);
         }
     }
 
-    fn find(&self, wanted: impl Fn(&Life, &Candidate) -> bool) -> Vec<Life> {
+    fn find(&self, wanted: impl Fn(&Life, &PossibleCrash) -> bool) -> Vec<Life> {
         let found = self.0.iter().filter(|(life, candidate)| wanted(life, candidate));
         found.map(|(life, _)| life.clone()).collect()
     }
@@ -84,9 +86,14 @@
 impl Cell {
     /// A life of a worker ended while it was not leaving, or may have: that counts against each task that
     /// ran there.
-    pub(in crate::cell) fn count_crash(&mut self, now: Millis, name: &Name, is_confirmed: bool) {
+    pub(in crate::cell) fn record_worker_crash(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        is_confirmed: bool,
+    ) {
         let Some(worker) = self.workers.get(name) else { return };
-        let sent: Vec<Sent> = sent_runs(worker);
+        let sent: Vec<SentRun> = sent_runs(worker);
         if worker.listed.leaving.is_some() || sent.is_empty() {
             return;
         }
@@ -95,21 +102,26 @@
             |other: &Worker| other.heard && other.listed.addr == addr && other.listed.id != *name;
         let is_confirmed = is_confirmed || self.workers.values().any(is_next);
         self.counts.crashed += u64::from(is_confirmed);
-        for Sent { task, since, evidence, is_seen } in sent {
+        for SentRun { task, since, evidence, has_started } in sent {
             let (worker, addr) = (life.clone(), addr.clone());
-            let evidence = match is_seen || !self.has_crashed_at(task, &addr) {
+            let evidence = match has_started || !self.has_crashed_at(task, &addr) {
                 true => evidence,
                 // Its start may have reached nobody, and the worker crashes again and again by itself.
                 false => Evidence::Doubtful,
             };
             let crash = Crash { worker, addr, evidence, is_confirmed };
-            self.add_crash(now, task, &crash, now.since(since));
+            self.add_task_crash(now, task, &crash, now.since(since));
         }
     }
 
     /// A worker that is silent may have crashed under a task. The next owner could not tell that from a run whose end
     /// was not kept, nor would it know of a run that was copied meanwhile: only the last one is kept.
-    pub(in crate::cell) fn note_silent_run(&mut self, now: Millis, name: &Name, task: TaskKey) {
+    pub(in crate::cell) fn record_possible_crash(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        task: TaskKey,
+    ) {
         let Some(worker) = self.workers.get(name).filter(|worker| !worker.heard) else { return };
         let Some(run) = sent_runs(worker).into_iter().find(|run| run.task == task) else { return };
         if worker.listed.leaving.is_some() {
@@ -117,19 +129,19 @@
         }
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
         let crash = Crash { worker: life, addr, evidence: run.evidence, is_confirmed: false };
-        self.add_crash(now, task, &crash, now.since(run.since));
+        self.add_task_crash(now, task, &crash, now.since(run.since));
     }
 
     /// Whether a worker at an address crashed under a task before.
     fn has_crashed_at(&self, task: TaskKey, addr: &Name) -> bool {
-        self.crashes(task).iter().any(|crash| crash.addr == *addr)
+        self.task_crashes(task).iter().any(|crash| crash.addr == *addr)
     }
 
-    fn add_crash(&mut self, now: Millis, task: TaskKey, crash: &Crash, length: Millis) {
+    fn add_task_crash(&mut self, now: Millis, task: TaskKey, crash: &Crash, length: Millis) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
-        let has_lasted = length >= STABLE && is_lasting(job, task);
+        let has_lasted = length >= CRASH_FREE_RUN && is_long_running(job, task);
         let step = job.step_mut(task.step);
         let Some(state) = step.and_then(|step| step.tasks.get_mut(task.index as usize)) else {
             return;
@@ -152,25 +164,26 @@
     }
 
     /// Another life is at the address of one that may have crashed: so it did.
-    pub(in crate::cell) fn confirm_crashes(&mut self, life: &Life, addr: &Name) {
-        let is_before =
-            |other: &Life, candidate: &Candidate| candidate.addr == *addr && other.differs(life);
+    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, life: &Life, addr: &Name) {
+        let is_before = |other: &Life, candidate: &PossibleCrash| {
+            candidate.addr == *addr && other.differs(life)
+        };
         for over in self.unconfirmed.find(is_before) {
-            self.settle_crash(&over, Found::Over);
+            self.resolve_crash(&over, CrashResolution::Ended);
         }
     }
 
     /// Settles crashes that nothing confirmed or denied.
     pub(in crate::cell) fn expire_unconfirmed(&mut self, now: Millis) {
         for life in
-            self.unconfirmed.find(|_, candidate| now.since(candidate.since) >= CONFIRM_LIMIT)
+            self.unconfirmed.find(|_, candidate| now.since(candidate.since) >= CONFIRM_TIMEOUT)
         {
-            self.settle_crash(&life, Found::Unknown);
+            self.resolve_crash(&life, CrashResolution::Unknown);
         }
     }
 
     /// A life answers: it did not crash, and those before it at its address did.
-    pub(in crate::cell) fn settle_by(&mut self, name: &Name) {
+    pub(in crate::cell) fn resolve_by_report(&mut self, name: &Name) {
         if self.unconfirmed.0.is_empty() {
             return;
         }
@@ -178,17 +191,17 @@
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
         // What was written of it before it told its start names the id alone.
         for same in self.unconfirmed.find(|other, _| !other.differs(&life)) {
-            self.settle_crash(&same, Found::Alive);
+            self.resolve_crash(&same, CrashResolution::Alive);
         }
-        self.confirm_crashes(&life, &addr);
+        self.confirm_earlier_crashes(&life, &addr);
     }
 
     /// It is settled whether a life ended. Where nothing was heard of it, it counts against
     /// tasks with two confirmed crashes.
-    pub(in crate::cell) fn settle_crash(&mut self, life: &Life, found: Found) {
-        let Some(Candidate { tasks, .. }) = self.unconfirmed.0.remove(life) else { return };
+    pub(in crate::cell) fn resolve_crash(&mut self, life: &Life, found: CrashResolution) {
+        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed.0.remove(life) else { return };
         log::info!("event=crash-settled worker={life} found={found:?} tasks={}", tasks.len());
-        self.counts.crashed += u64::from(found == Found::Over);
+        self.counts.crashed += u64::from(found == CrashResolution::Ended);
         for task in tasks {
             let job = self.jobs.get_mut(&task.step.job);
             let step = job.and_then(|job| job.step_mut(task.step));
@@ -197,11 +210,11 @@
             };
             let confirmed = state.crashes.iter().filter(|crash| crash.is_confirmed).count();
             match found {
-                Found::Unknown if confirmed < QUARANTINE => {
+                CrashResolution::Unknown if confirmed < QUARANTINE_CRASHES => {
                     state.crashes.retain(|crash| crash.worker != *life);
                 }
-                Found::Alive => state.crashes.retain(|crash| crash.worker != *life),
-                Found::Over | Found::Unknown => {
+                CrashResolution::Alive => state.crashes.retain(|crash| crash.worker != *life),
+                CrashResolution::Ended | CrashResolution::Unknown => {
                     let of_life = state.crashes.iter_mut().filter(|crash| crash.worker == *life);
                     of_life.for_each(|crash| crash.is_confirmed = true);
                 }
@@ -213,29 +226,29 @@
     }
 
     /// Ends jobs with a task that has used up its crashes.
-    pub(in crate::cell) fn give_up(&mut self, now: Millis) {
+    pub(in crate::cell) fn fail_exhausted_jobs(&mut self, now: Millis) {
         for key in std::mem::take(&mut self.recounted) {
             let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { continue };
-            let Some((task, count)) = find_exhausted(key, job) else { continue };
+            let Some((task, count)) = find_exhausted_task(key, job) else { continue };
             log::warn!("event=given-up task={task} crashes={count}");
             self.counts.given_up += 1;
-            self.close(now, key, Fate::Failed);
+            self.close_job(now, key, Fate::Failed);
         }
     }
 
     /// Whether workers may be silent since they crashed under a task: one did, or one that has another run
     /// of it is silent too. With a copy for each silence a task would go through the workers one by one.
-    pub(in crate::cell) fn may_crash(&self, task: TaskKey, run: u64) -> bool {
+    pub(in crate::cell) fn may_have_crashed_workers(&self, task: TaskKey, run: u64) -> bool {
         let is_other = |worker: &Worker| {
             let mut runs = worker.runs.range((task, 0)..=(task, u64::MAX));
             runs.any(|((_, other), _)| *other != run)
         };
         let mut silent = self.workers.values().filter(|worker| !worker.heard);
-        !self.crashes(task).is_empty() || silent.any(is_other)
+        !self.task_crashes(task).is_empty() || silent.any(is_other)
     }
 
     /// The crashes under a task; none for one that is not known, as of a job that is over.
-    pub(in crate::cell) fn crashes(&self, task: TaskKey) -> &[Crash] {
+    pub(in crate::cell) fn task_crashes(&self, task: TaskKey) -> &[Crash] {
         let step = self.jobs.get(&task.step.job).and_then(|job| job.step(task.step));
         let state = step.and_then(|step| step.tasks.get(task.index as usize));
         state.map(|state| state.crashes.as_slice()).unwrap_or_default()
@@ -243,11 +256,11 @@
 
     /// Whether a task has to run alone.
     pub(in crate::cell) fn is_quarantined(&self, task: TaskKey) -> bool {
-        stage_of(self.crashes(task)) != Stage::Normal
+        restart_policy(self.task_crashes(task)) != RestartPolicy::Normal
     }
 
     /// Leaves a worker to a task alone, unless as many as may be are left to others.
-    pub(in crate::cell) fn quarantine(&mut self, name: &Name, task: TaskKey) {
+    pub(in crate::cell) fn quarantine_worker(&mut self, name: &Name, task: TaskKey) {
         let Some(worker) = self.workers.get(name) else { return };
         let service = &worker.listed.service;
         let of_service = self.workers.values().filter(|worker| worker.listed.service == *service);
@@ -256,7 +269,7 @@
             all += 1;
             left += usize::from(worker.quarantined_job().is_some());
         }
-        if left >= (all / QUARANTINE_SHARE).max(1) {
+        if left >= (all / WORKERS_PER_QUARANTINE).max(1) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(name) {
@@ -267,18 +280,18 @@
 }
 
 /// A run that was sent to a worker.
-struct Sent {
+struct SentRun {
     task: TaskKey,
     since: Millis,
     /// What it tells of the task if the worker crashes.
     evidence: Evidence,
     /// The worker surely began it.
-    is_seen: bool,
+    has_started: bool,
 }
 
 /// What was sent to this life of a worker. What was sent to the life before counted then: given on from life to life it
 /// would count each time.
-fn sent_runs(worker: &Worker) -> Vec<Sent> {
+fn sent_runs(worker: &Worker) -> Vec<SentRun> {
     let counts = |(_, run): &(&(TaskKey, u64), &Run)| run.is_sent && !run.is_barred;
     let sent = || worker.runs.iter().filter(counts);
     let jobs: BTreeSet<JobKey> = sent().map(|((task, _), _)| task.step.job).collect();
@@ -287,24 +300,25 @@
         () if jobs.len() == 1 => Evidence::Alone,
         () => Evidence::Shared,
     };
-    let row = |((task, _), run): (&(TaskKey, u64), &Run)| Sent {
+    let row = |((task, _), run): (&(TaskKey, u64), &Run)| SentRun {
         task: *task,
         since: run.since,
         evidence: evidence(run),
-        is_seen: run.seen,
+        has_started: run.seen,
     };
     sent().map(row).collect()
 }
 
-fn is_lasting(job: &Job, task: TaskKey) -> bool {
+fn is_long_running(job: &Job, task: TaskKey) -> bool {
     job.spec(task.step.step).is_some_and(|spec| spec.lasting)
 }
 
 /// The first task of a job that has used up its crashes, and how many there were.
-fn find_exhausted(key: JobKey, job: &Job) -> Option<(TaskKey, usize)> {
-    job.keys(key).into_iter().find_map(|step_key| {
+fn find_exhausted_task(key: JobKey, job: &Job) -> Option<(TaskKey, usize)> {
+    job.step_keys(key).into_iter().find_map(|step_key| {
         let tasks = job.step(step_key)?.tasks.iter().enumerate();
-        let mut exhausted = tasks.filter(|(_, task)| stage_of(&task.crashes) == Stage::Exhausted);
+        let mut exhausted =
+            tasks.filter(|(_, task)| restart_policy(&task.crashes) == RestartPolicy::Exhausted);
         let (index, task) = exhausted.next()?;
         Some((TaskKey { step: step_key, index: index as u32 }, task.crashes.len()))
     })
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -1,6 +1,6 @@
 //! A job at its owner: its steps, its tasks, and what is known of them.
 
-use crate::cell::jobs::stage::Crash;
+use crate::cell::jobs::restart_policy::Crash;
 use crate::cell::jobs::wait::Wait;
 use crate::cell::records::journal::{CrashNote, Fate, JobRecord, Progress, StepNote, TaskNote};
 use crate::clock::Millis;
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 
 /// What is beyond a workspace's share is less urgent by this: more than any queue is.
-const BEYOND: u32 = 1 << 16;
+const OVER_SHARE_PENALTY: u32 = 1 << 16;
 
 /// Where a task stands.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub enum Status {
+pub enum TaskStatus {
     /// It needs a worker, now or once its step's turn has come.
     #[default]
     Waiting,
@@ -33,15 +33,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Task {
     /// Where it stands.
-    pub status: Status,
+    pub status: TaskStatus,
     /// The runs of it that failed: a worker may list an end again after a takeover.
-    pub failed: Vec<u64>,
+    pub failed_runs: Vec<u64>,
     /// The number of its last start in this epoch.
-    pub runs: u64,
+    pub last_run: u64,
     /// Its saved progress; empty: none.
-    pub saved: Name,
+    pub checkpoint: Name,
     /// Workers on which it failed.
-    pub avoid: Vec<Name>,
+    pub failed_workers: Vec<Name>,
     /// Lives of workers that ended, not by plan, while it ran there.
     pub crashes: Vec<Crash>,
     /// Since when it lasts and waits for a worker.
@@ -50,17 +50,27 @@
 
 impl Default for Task {
     fn default() -> Self {
-        let (status, saved) = (Status::Waiting, "".into());
-        let (avoid, crashes) = (Vec::new(), Vec::new());
-        Self { status, failed: Vec::new(), runs: 0, saved, avoid, crashes, idle_since: None }
+        let (status, checkpoint) = (TaskStatus::Waiting, "".into());
+        let (failed_workers, crashes) = (Vec::new(), Vec::new());
+        Self {
+            status,
+            failed_runs: Vec::new(),
+            last_run: 0,
+            checkpoint,
+            failed_workers,
+            crashes,
+            idle_since: None,
+        }
     }
 }
 
 impl Task {
     /// Where the task is known to run as a lower run than `run`.
-    pub fn older(&self, run: u64) -> Option<(Name, u64)> {
+    pub fn older_run(&self, run: u64) -> Option<(Name, u64)> {
         match &self.status {
-            Status::Placed { worker, run: older } if *older < run => Some((worker.clone(), *older)),
+            TaskStatus::Placed { worker, run: older } if *older < run => {
+                Some((worker.clone(), *older))
+            }
             _ => None,
         }
     }
@@ -77,38 +87,38 @@
 
 /// What the advice service said about a step.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Advised {
+pub struct Clearances {
     /// A question is under way.
-    pub asking: bool,
+    pub is_asking: bool,
     /// When it was put.
-    pub since: Millis,
+    pub asked_at: Millis,
     /// It is not asked again before this time.
-    pub again: Millis,
+    pub retry_at: Millis,
     /// Workers that may run the step; the clearance never changes, only the ticket runs out.
     pub cleared: BTreeMap<Name, Ticket>,
     /// Workers that may not.
     pub denied: BTreeSet<Name>,
 }
 
-impl Advised {
+impl Clearances {
     /// Workers whose tickets hold until `until` at least.
-    pub fn tickets(&self, until: Millis) -> impl Iterator<Item = &Name> {
+    pub fn ticket_holders(&self, until: Millis) -> impl Iterator<Item = &Name> {
         let holds = move |(_, ticket): &(&Name, &Ticket)| ticket.until > until;
         self.cleared.iter().filter(holds).map(|(name, _)| name)
     }
 
     /// Whether nothing was asked yet.
-    pub fn is_new(&self) -> bool {
+    pub fn has_no_answer(&self) -> bool {
         self.cleared.is_empty() && self.denied.is_empty()
     }
 
     /// Whether any ticket holds until `until`.
-    pub fn has_ticket(&self, until: Millis) -> bool {
-        self.tickets(until).next().is_some()
+    pub fn has_any_ticket(&self, until: Millis) -> bool {
+        self.ticket_holders(until).next().is_some()
     }
 
     /// Whether a worker's ticket holds until `until`.
-    pub fn holds(&self, name: &Name, until: Millis) -> bool {
+    pub fn has_ticket_for(&self, name: &Name, until: Millis) -> bool {
         self.cleared.get(name).is_some_and(|ticket| ticket.until > until)
     }
 }
@@ -119,13 +129,13 @@
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// Tasks that are not done.
-    pub left: u32,
+    pub unfinished: u32,
     /// Tasks that need a worker.
     pub waiting: BTreeSet<u32>,
     /// What the advice service said.
-    pub advised: Advised,
+    pub clearances: Clearances,
     /// When its turn came: its dependencies are done and its time is due.
-    pub turn: Option<Millis>,
+    pub ready_since: Option<Millis>,
     /// Why it waits.
     pub wait: Option<Wait>,
     /// Since when tasks wait and none of it was given to a worker.
@@ -142,25 +152,25 @@
     /// The workspace of its caller; `None`: anybody's.
     pub workspace: Option<Name>,
     /// Its workspace sent more than its share when it came.
-    pub is_beyond: bool,
+    pub is_over_share: bool,
     /// When this owner learned of it.
-    pub since: Millis,
+    pub known_since: Millis,
     /// The batch with its record.
     pub batch: u64,
     /// It was accepted by an earlier owner, so a task may run where this owner cannot see it.
-    pub inherited: bool,
+    pub is_inherited: bool,
     /// A task has been given to a worker.
-    pub bound: bool,
+    pub was_placed: bool,
     /// A worker surely began a task.
     pub has_run: bool,
     /// The failure domain that its tasks go to as far as there is room.
-    pub home: Option<Name>,
+    pub home_domain: Option<Name>,
     /// How it ended, with the batch that says so and the time.
     pub closed: Option<(Fate, u64, Millis)>,
     /// Progress has been written.
-    pub noted: bool,
+    pub has_progress: bool,
     /// Crashes under its tasks have been written.
-    pub noted_crashes: bool,
+    pub has_crashes: bool,
     /// The steps: all of the first repetition, then all of the second.
     pub steps: Vec<StepState>,
 }
@@ -170,7 +180,7 @@
     pub fn new(queue: Arc<Queue>, work: Arc<Work>, now: Millis, batch: u64) -> Self {
         let fresh = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
-            left: step.count,
+            unfinished: step.count,
             waiting: (0..step.count).collect(),
             ..StepState::default()
         };
@@ -179,16 +189,16 @@
             queue,
             work,
             workspace: None,
-            is_beyond: false,
-            since: now,
+            is_over_share: false,
+            known_since: now,
             batch,
-            inherited: false,
-            bound: false,
+            is_inherited: false,
+            was_placed: false,
             has_run: false,
-            home: None,
+            home_domain: None,
             closed: None,
-            noted: false,
-            noted_crashes: false,
+            has_progress: false,
+            has_crashes: false,
             steps,
         }
     }
@@ -203,10 +213,16 @@
             every: Millis(0),
         };
         let job = Self::new(queue, Arc::new(work), now, 0);
-        Self { closed: Some((fate, 0, now)), bound: true, has_run: true, inherited: true, ..job }
+        Self {
+            closed: Some((fate, 0, now)),
+            was_placed: true,
+            has_run: true,
+            is_inherited: true,
+            ..job
+        }
     }
 
-    fn at(&self, time: u32, step: u16) -> usize {
+    fn step_index(&self, time: u32, step: u16) -> usize {
         time as usize * self.work.steps.len() + usize::from(step)
     }
 
@@ -217,23 +233,23 @@
 
     /// The state of a step.
     pub fn step(&self, key: StepKey) -> Option<&StepState> {
-        self.steps.get(self.at(key.time, key.step))
+        self.steps.get(self.step_index(key.time, key.step))
     }
 
     /// The state of a step, to change it.
     pub fn step_mut(&mut self, key: StepKey) -> Option<&mut StepState> {
-        let at = self.at(key.time, key.step);
+        let at = self.step_index(key.time, key.step);
         self.steps.get_mut(at)
     }
 
     /// How urgent it is: 0 comes first. What is beyond its workspace's share comes after all that is not.
     pub fn priority(&self) -> u32 {
-        self.queue.priority.saturating_add(if self.is_beyond { BEYOND } else { 0 })
+        self.queue.priority.saturating_add(if self.is_over_share { OVER_SHARE_PENALTY } else { 0 })
     }
 
     /// Whether a step's turn came so long ago.
     pub fn has_waited(&self, now: Millis, key: StepKey, length: Millis) -> bool {
-        let turn = self.step(key).and_then(|step| step.turn);
+        let turn = self.step(key).and_then(|step| step.ready_since);
         turn.is_some_and(|turn| now.since(turn) >= length)
     }
 
@@ -243,50 +259,52 @@
     }
 
     /// Whether all steps that a step depends on are done.
-    pub fn is_free(&self, key: StepKey) -> bool {
+    pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(spec) = self.spec(key.step) else { return false };
         spec.after.iter().all(|after| {
-            self.steps.get(self.at(key.time, *after)).is_some_and(|step| step.left == 0)
+            self.steps
+                .get(self.step_index(key.time, *after))
+                .is_some_and(|step| step.unfinished == 0)
         })
     }
 
     /// The steps of repetition `time` that depend on `step`.
-    pub fn followers(&self, key: StepKey) -> Vec<StepKey> {
+    pub fn dependents(&self, key: StepKey) -> Vec<StepKey> {
         let steps = self.work.steps.iter().enumerate();
         let follows = steps.filter(|(_, spec)| spec.after.contains(&key.step));
         follows.map(|(no, _)| StepKey { step: no as u16, ..key }).collect()
     }
 
     /// Tasks that last and are bound to no worker may have waited for long under an earlier owner.
-    pub fn note_idle_before(&mut self) {
+    pub fn mark_idle_at_takeover(&mut self) {
         let steps = self.steps.iter_mut().zip(self.work.steps.iter().cycle());
         for (step, _) in steps.filter(|(_, spec)| spec.lasting) {
-            step.note_idle(Millis(0));
+            step.mark_idle(Millis(0));
         }
     }
 
     /// Whether every task is done.
     pub fn is_done(&self) -> bool {
-        self.steps.iter().all(|step| step.left == 0)
+        self.steps.iter().all(|step| step.unfinished == 0)
     }
 
     /// Every step of every repetition.
-    pub fn keys(&self, job: JobKey) -> Vec<StepKey> {
+    pub fn step_keys(&self, job: JobKey) -> Vec<StepKey> {
         let steps = self.work.steps.len() as u16;
         let times = 0..self.work.times;
         times.flat_map(|time| (0..steps).map(move |step| StepKey { job, time, step })).collect()
     }
 
     /// The runs that its tasks were given to workers as.
-    pub fn placed(&self, job: JobKey) -> Vec<(Name, TaskKey, u64)> {
-        let steps = self.keys(job).into_iter().filter_map(|key| Some((key, self.step(key)?)));
+    pub fn placed_runs(&self, job: JobKey) -> Vec<(Name, TaskKey, u64)> {
+        let steps = self.step_keys(job).into_iter().filter_map(|key| Some((key, self.step(key)?)));
         let tasks = steps.flat_map(|(step, state)| {
             let tasks = state.tasks.iter().enumerate();
             tasks.map(move |(index, task)| (TaskKey { step, index: index as u32 }, &task.status))
         });
         let placed = tasks.filter_map(|(task, status)| match status {
-            Status::Placed { worker, run } => Some((worker.clone(), task, *run)),
-            Status::Waiting | Status::Done => None,
+            TaskStatus::Placed { worker, run } => Some((worker.clone(), task, *run)),
+            TaskStatus::Waiting | TaskStatus::Done => None,
         });
         placed.collect()
     }
@@ -310,7 +328,7 @@
     }
 
     /// The crashes under the job's tasks.
-    pub fn crashes(&self) -> Vec<CrashNote> {
+    pub fn crash_notes(&self) -> Vec<CrashNote> {
         let width = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
         let notes = steps.flat_map(|(no, step)| {
@@ -329,36 +347,36 @@
     /// Takes in the crashes that an earlier owner counted.
     pub fn restore_crashes(&mut self, notes: &[CrashNote]) {
         for note in notes {
-            let at = self.at(note.place.0, note.place.1);
+            let at = self.step_index(note.place.0, note.place.1);
             let step = self.steps.get_mut(at);
             let task = step.and_then(|step| step.tasks.get_mut(note.index as usize));
             if let Some(task) = task {
                 task.crashes.clone_from(&note.crashes);
             }
         }
-        self.noted_crashes = true;
+        self.has_crashes = true;
     }
 
     /// Takes in what an earlier owner knew.
-    pub fn restore(&mut self, progress: &Progress) {
+    pub fn restore_progress(&mut self, progress: &Progress) {
         for note in &progress.steps {
-            let at = self.at(note.place.0, note.place.1);
+            let at = self.step_index(note.place.0, note.place.1);
             if let Some(step) = self.steps.get_mut(at) {
                 step.restore(note);
             }
         }
         // Progress is noted of jobs that were given to a worker, and stays when nothing is left to note.
-        self.bound = true;
+        self.was_placed = true;
         let has_run = |note: &TaskNote| !note.failed.is_empty() || !note.saved.is_empty();
         let known = |note: &StepNote| !note.done.is_empty() || note.tasks.iter().any(has_run);
         self.has_run = self.has_run || progress.steps.iter().any(known);
-        self.noted = true;
+        self.has_progress = true;
     }
 }
 
 impl StepState {
     /// Takes note that its waiting tasks have no run; those that were known to wait have waited longer.
-    pub fn note_idle(&mut self, since: Millis) {
+    pub fn mark_idle(&mut self, since: Millis) {
         for index in &self.waiting {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
                 task.idle_since.get_or_insert(since);
@@ -375,22 +393,22 @@
     fn note(&self, place: (u32, u16)) -> StepNote {
         const BITS: usize = 8;
         let mut note = StepNote { place, ..StepNote::default() };
-        if self.left < self.tasks.len() as u32 {
+        if self.unfinished < self.tasks.len() as u32 {
             note.done = vec![0; self.tasks.len().div_ceil(BITS)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
             let bound = match &task.status {
-                Status::Done => {
+                TaskStatus::Done => {
                     if let Some(byte) = note.done.get_mut(index / BITS) {
                         *byte |= 1 << (index % BITS);
                     }
                     continue;
                 }
-                Status::Placed { worker, run } => Some((*run, worker.clone())),
-                Status::Waiting => None,
+                TaskStatus::Placed { worker, run } => Some((*run, worker.clone())),
+                TaskStatus::Waiting => None,
             };
-            if bound.is_some() || !task.failed.is_empty() || !task.saved.is_empty() {
-                let (failed, saved) = (task.failed.clone(), task.saved.clone());
+            if bound.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
+                let (failed, saved) = (task.failed_runs.clone(), task.checkpoint.clone());
                 note.tasks.push(TaskNote { index: index as u32, failed, saved, bound });
             }
         }
@@ -407,8 +425,8 @@
         }
         for known in &note.tasks {
             if let Some(task) = self.tasks.get_mut(known.index as usize) {
-                task.failed = known.failed.clone();
-                task.saved = known.saved.clone();
+                task.failed_runs = known.failed.clone();
+                task.checkpoint = known.saved.clone();
             }
         }
     }
@@ -416,19 +434,19 @@
     /// A task is done; `false` if that was known.
     pub fn finish(&mut self, index: u32) -> bool {
         let Some(task) = self.tasks.get_mut(index as usize) else { return false };
-        if task.status == Status::Done {
+        if task.status == TaskStatus::Done {
             return false;
         }
-        task.status = Status::Done;
+        task.status = TaskStatus::Done;
         self.waiting.remove(&index);
-        self.left -= 1;
+        self.unfinished -= 1;
         true
     }
 
     /// A task needs a worker again.
     pub fn requeue(&mut self, index: u32) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
-            task.status = Status::Waiting;
+            task.status = TaskStatus::Waiting;
             self.waiting.insert(index);
         }
     }
@@ -436,7 +454,7 @@
     /// A task is given to a worker.
     pub fn place(&mut self, index: u32, worker: Name, run: u64) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
-            task.status = Status::Placed { worker, run };
+            task.status = TaskStatus::Placed { worker, run };
             task.idle_since = None;
             self.waiting.remove(&index);
         }
--- a/src/cell/jobs/life.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The life of jobs and of their runs: opened, started, stopped, lost, closed.
 
-use crate::cell::jobs::job::{Job, Status};
+use crate::cell::jobs::job::{Job, TaskStatus};
 use crate::cell::records::journal::{Fate, JobRecord, Member, Progress, Snapshot};
 use crate::cell::workers::roster::ENDED_KEEP;
 use crate::cell::workers::worker::{Phase, Run, Worker};
@@ -13,13 +13,13 @@
 
 /// How often time passes for a cell: stops that were not answered are sent again, leases run out.
 /// A tenth of what a caller waits at the most.
-pub const TICK: Millis = Millis(100);
+pub const TICK_INTERVAL: Millis = Millis(100);
 /// The closed state of a job is kept this much longer than promised.
-const KEEP_SPARE: Millis = Millis(10_000);
+const RETENTION_MARGIN: Millis = Millis(10_000);
 
 impl Cell {
     /// Takes in what the store holds.
-    pub(in crate::cell) fn inherit(&mut self, snapshot: Snapshot, now: Millis) {
+    pub(in crate::cell) fn restore_snapshot(&mut self, snapshot: Snapshot, now: Millis) {
         let births = snapshot.births;
         self.with_workspace = snapshot.workspaces.keys().copied().collect();
         for member in snapshot.roster {
@@ -28,7 +28,7 @@
             // which it cuts down to the longest lease: after the usual one its task may run still, behind a cut.
             let lease = if born.is_some() { self.bounds.lease_max } else { self.bounds.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
-            let mut worker = Worker::new(unlisted(member, born), 0, lease_end);
+            let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
             worker.present = false;
             self.actions.push(Action::Watch(worker.listed.clone()));
             self.workers.insert(worker.listed.id.clone(), worker);
@@ -38,16 +38,16 @@
             match record {
                 JobRecord::Forwarded { cell } => drop(self.forwarded.insert(key, (cell, 0))),
                 JobRecord::Closed { queue, fate } => {
-                    let job = Job::ended(self.queue_named(queue), fate, now);
+                    let job = Job::ended(self.queue_or_placeholder(queue), fate, now);
                     self.jobs.insert(key, Job { workspace, ..job });
                     self.closed.push_back(key);
                 }
                 JobRecord::Open { queue, work } => {
                     let queue = self.queues.get(&queue.name).cloned().unwrap_or(Arc::new(queue));
                     let mut job = Job::new(queue, work, now, 0);
-                    (job.inherited, job.workspace) = (true, workspace);
+                    (job.is_inherited, job.workspace) = (true, workspace);
                     if let Some(progress) = snapshot.progress.get(&key) {
-                        job.restore(progress);
+                        job.restore_progress(progress);
                     }
                     if let Some(crashes) = snapshot.crashes.get(&key) {
                         job.restore_crashes(crashes);
@@ -62,13 +62,13 @@
                     let done = job.is_done();
                     self.jobs.insert(key, job);
                     if let Some(progress) = snapshot.progress.get(&key) {
-                        self.rebind(now, key, progress);
+                        self.restore_runs(now, key, progress);
                     }
                     if let Some(job) = self.jobs.get_mut(&key) {
-                        job.note_idle_before();
+                        job.mark_idle_at_takeover();
                     }
                     match done {
-                        true => self.close(now, key, Fate::Completed),
+                        true => self.close_job(now, key, Fate::Completed),
                         false => self.open_job(now, key),
                     }
                 }
@@ -78,7 +78,7 @@
 
     /// Tasks that an earlier owner bound to a worker stay there until the worker tells of them, is
     /// gone, or its leases are over.
-    fn rebind(&mut self, now: Millis, key: JobKey, progress: &Progress) {
+    fn restore_runs(&mut self, now: Millis, key: JobKey, progress: &Progress) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
         for note in &progress.steps {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn queue_named(&self, name: Name) -> Arc<Queue> {
+    fn queue_or_placeholder(&self, name: Name) -> Arc<Queue> {
         let unknown = || {
             Arc::new(Queue {
                 name: name.clone(),
@@ -121,8 +121,9 @@
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
         let scheduled = job.work.first.0 > 0;
-        let keys = job.keys(key);
-        let free: Vec<StepKey> = keys.into_iter().filter(|step| job.is_free(*step)).collect();
+        let keys = job.step_keys(key);
+        let free: Vec<StepKey> =
+            keys.into_iter().filter(|step| job.dependencies_done(*step)).collect();
         let due: Vec<Millis> = free.iter().map(|step| job.work.due(step.time)).collect();
         for (step, due) in free.into_iter().zip(due) {
             match scheduled {
@@ -136,7 +137,7 @@
     pub(in crate::cell) fn open_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
         let Some(step) = job.step_mut(key) else { return };
-        step.turn.get_or_insert(now);
+        step.ready_since.get_or_insert(now);
         self.make_ready(key);
     }
 
@@ -144,16 +145,16 @@
     pub(in crate::cell) fn make_ready(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let Some(step) = job.step(key) else { return };
-        if step.turn.is_none() || step.waiting.is_empty() {
+        if step.ready_since.is_none() || step.waiting.is_empty() {
             return;
         }
-        let (priority, due) = rank(job);
+        let (priority, due) = queue_rank(job);
         self.ready.insert((priority, due, key));
         self.changed = true;
     }
 
     /// Ranks may have changed with the policy.
-    pub(in crate::cell) fn rank_again(&mut self) {
+    pub(in crate::cell) fn rebuild_ready(&mut self) {
         let keys: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
         self.ready.clear();
         for key in keys {
@@ -162,7 +163,7 @@
     }
 
     /// A task is done.
-    pub(in crate::cell) fn finish(&mut self, now: Millis, task: TaskKey) {
+    pub(in crate::cell) fn finish_task(&mut self, now: Millis, task: TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
@@ -175,38 +176,38 @@
         if !new {
             return;
         }
-        let over = step.left == 0;
+        let over = step.unfinished == 0;
         self.dirty.insert(task.step.job);
         if over {
-            self.end_step(now, task.step);
+            self.finish_step(now, task.step);
         }
     }
 
-    fn end_step(&mut self, now: Millis, key: StepKey) {
+    fn finish_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_done() {
-            return self.close(now, key.job, Fate::Completed);
+            return self.close_job(now, key.job, Fate::Completed);
         }
         let next: Vec<StepKey> =
-            job.followers(key).into_iter().filter(|f| job.is_free(*f)).collect();
+            job.dependents(key).into_iter().filter(|f| job.dependencies_done(*f)).collect();
         for step in next {
             self.open_step(now, step);
         }
     }
 
     /// A job ends: nothing of it is started any more, and what runs is stopped.
-    pub(in crate::cell) fn close(&mut self, now: Millis, key: JobKey, fate: Fate) {
+    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, fate: Fate) {
         let batch = self.batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
         log::info!(
             "event=closed job={key} fate={fate:?} queue={} age_ms={} batch={batch}",
             job.queue.name,
-            now.since(job.since)
+            now.since(job.known_since)
         );
         job.closed = Some((fate, batch, now));
-        let (priority, due) = rank(job);
-        let steps = job.keys(key);
-        let placed = job.placed(key);
+        let (priority, due) = queue_rank(job);
+        let steps = job.step_keys(key);
+        let placed = job.placed_runs(key);
         job.steps = Vec::new();
         for step in steps {
             self.ready.remove(&(priority, due, step));
@@ -216,20 +217,20 @@
         self.dirty.insert(key);
         self.closed.push_back(key);
         for (worker, task, run) in placed {
-            self.stop(&worker, task, run);
+            self.stop_run(&worker, task, run);
         }
     }
 
     /// A job is given back to its caller: nothing of it was sent.
-    pub(in crate::cell) fn undo(&mut self, key: JobKey) {
+    pub(in crate::cell) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(&key) else { return };
-        let (priority, due) = rank(&job);
-        for step in job.keys(key) {
+        let (priority, due) = queue_rank(&job);
+        for step in job.step_keys(key) {
             self.ready.remove(&(priority, due, step));
             self.advisers.cancel(step);
             self.reserved.release(step);
         }
-        for (worker, task, run) in job.placed(key) {
+        for (worker, task, run) in job.placed_runs(key) {
             if let Some(worker) = self.workers.get_mut(&worker) {
                 worker.remove(task, run);
             }
@@ -238,7 +239,7 @@
     }
 
     /// Has a run end. Its room stays taken until the worker says that it is gone.
-    pub(in crate::cell) fn stop(&mut self, name: &Name, task: TaskKey, run: u64) {
+    pub(in crate::cell) fn stop_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(known) = worker.runs.get_mut(&(task, run)) else { return };
         if matches!(known.phase, Phase::Stopping(_)) {
@@ -250,35 +251,36 @@
     }
 
     /// A run is over, or never was, and it is not done: its task needs a worker again.
-    pub(in crate::cell) fn lose(&mut self, name: &Name, task: TaskKey, run: u64) {
+    pub(in crate::cell) fn abandon_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove(task, run);
             self.changed = true;
         }
-        self.requeue(task, run);
+        self.requeue_task(task, run);
     }
 
     /// The task of a run that is over needs a worker again, unless it has another run.
-    pub(in crate::cell) fn requeue(&mut self, task: TaskKey, run: u64) {
+    pub(in crate::cell) fn requeue_task(&mut self, task: TaskKey, run: u64) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
         let Some(step) = job.step_mut(task.step) else { return };
         let status = step.tasks.get(task.index as usize).map(|task| task.status.clone());
-        let is_this = matches!(status, Some(Status::Placed { run: placed, .. }) if placed == run);
+        let is_this =
+            matches!(status, Some(TaskStatus::Placed { run: placed, .. }) if placed == run);
         if is_this {
             step.requeue(task.index);
             self.dirty.insert(task.step.job);
             self.make_ready(task.step);
-            self.settle_gang(task.step);
+            self.stop_incomplete_gang(task.step);
         }
     }
 
     /// A gang that lost a member is stopped whole: its tasks work only together.
-    pub(in crate::cell) fn settle_gang(&mut self, key: StepKey) {
+    pub(in crate::cell) fn stop_incomplete_gang(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
-        if !spec.gang || step.waiting.is_empty() || step.left == 0 {
+        if !spec.gang || step.waiting.is_empty() || step.unfinished == 0 {
             return;
         }
         let placed: Vec<(Name, TaskKey, u64)> = step
@@ -286,14 +288,14 @@
             .iter()
             .enumerate()
             .filter_map(|(index, task)| match &task.status {
-                Status::Placed { worker, run } => {
+                TaskStatus::Placed { worker, run } => {
                     Some((worker.clone(), TaskKey { step: key, index: index as u32 }, *run))
                 }
                 _ => None,
             })
             .collect();
         for (worker, task, run) in placed {
-            self.stop(&worker, task, run);
+            self.stop_run(&worker, task, run);
         }
     }
 
@@ -309,11 +311,11 @@
         if !self.is_late {
             self.expire_leases(now);
         }
-        self.settle_doubt(now);
+        self.check_unknown_runs(now);
         self.expire_unconfirmed(now);
         self.note_settled(now);
         self.ended_lives.retain(|_, since| now.since(*since) < ENDED_KEEP);
-        self.forget_jobs(now);
+        self.forget_closed_jobs(now);
         if self.reserved.expire(now) {
             self.changed = true;
         }
@@ -322,7 +324,7 @@
 
     /// Inherited tasks that nobody runs may be started once every worker that an earlier owner
     /// used is known, or its leases are over.
-    fn settle_doubt(&mut self, now: Millis) {
+    fn check_unknown_runs(&mut self, now: Millis) {
         let Some(doubt) = self.doubt.as_mut() else { return };
         let is_unknown = |worker: &&Worker| !worker.known && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_unknown);
@@ -338,34 +340,34 @@
             return;
         }
         log::info!("event=all-runs-known epoch={}", self.epoch);
-        self.end_doubt();
+        self.release_inherited_tasks();
     }
 
     /// No start was sent without a record: what the store holds is all there is. Whether that was not known before.
     pub fn trust_records(&mut self) -> bool {
         let was_doubtful = self.doubt.is_some();
         if was_doubtful {
-            self.end_doubt();
+            self.release_inherited_tasks();
         }
         was_doubtful
     }
 
-    fn end_doubt(&mut self) {
+    fn release_inherited_tasks(&mut self) {
         self.doubt = None;
         self.changed = true;
         let gangs: Vec<StepKey> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.is_open())
-            .flat_map(|(key, job)| job.keys(*key))
+            .flat_map(|(key, job)| job.step_keys(*key))
             .collect();
         for step in gangs {
-            self.settle_gang(step);
+            self.stop_incomplete_gang(step);
         }
     }
 
-    fn forget_jobs(&mut self, now: Millis) {
-        let keep = self.bounds.keep + KEEP_SPARE;
+    fn forget_closed_jobs(&mut self, now: Millis) {
+        let keep = self.bounds.keep + RETENTION_MARGIN;
         while let Some(key) = self.closed.front().copied() {
             let at = self.jobs.get(&key).and_then(|job| job.closed).map(|(_, _, at)| at);
             if at.is_some_and(|at| now.since(at) < keep) {
@@ -380,11 +382,11 @@
 }
 
 /// The place of a job among those that wait: lower ones first.
-pub(in crate::cell) fn rank(job: &Job) -> (u32, Millis) {
-    (job.priority(), job.since + job.queue.objective(&job.work))
+pub(in crate::cell) fn queue_rank(job: &Job) -> (u32, Millis) {
+    (job.priority(), job.known_since + job.queue.objective(&job.work))
 }
 
-fn unlisted(member: Member, born: Option<Millis>) -> Listed {
+fn placeholder_listing(member: Member, born: Option<Millis>) -> Listed {
     Listed {
         id: member.id,
         born,
--- a/src/cell/jobs/mod.rs
+++ b/src/cell/jobs/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod crash;
 pub mod job;
-pub mod life;
-pub mod stage;
+pub mod lifecycle;
+pub mod restart_policy;
 pub mod wait;
-pub mod why;
+pub mod wait_reason;
--- a/src/cell/jobs/stage.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -6,20 +6,20 @@
 
 /// Crashes from which a task runs alone: with one it is mostly one of the six to fourteen that shared
 /// the worker, and to run all of them alone would take as many workers.
-pub(in crate::cell) const QUARANTINE: usize = 2;
+pub(in crate::cell) const QUARANTINE_CRASHES: usize = 2;
 /// Crashes after which a task is given up if it ran alone under the last one. The platform's contract
 /// allows that after two; a third one is worth a worker for some seconds: it tells apart tasks that
 /// merely shared the worker.
-const ALONE_LIMIT: usize = 3;
+const ALONE_CRASH_LIMIT: usize = 3;
 /// Crashes after which a task is given up however it ran, unless only one was seen: one less than the contract allows, as one
 /// may go uncounted at a takeover.
-const LIMIT: usize = 4;
+const CRASH_LIMIT: usize = 4;
 /// Crashes from which a task is not started any more, also where all are doubtful: the contract allows two starts after
 /// the third crash.
-const START_LIMIT: usize = 5;
-/// Crashes that were seen from the start on without which nothing is given up before [`START_LIMIT`]: else a task that met
+const RESTART_CRASH_LIMIT: usize = 5;
+/// Crashes that were seen from the start on without which nothing is given up before [`RESTART_CRASH_LIMIT`]: else a task that met
 /// two takeovers, or two starts that reached nobody, would be given up for one crash of a worker.
-const SEEN_LEAST: usize = 2;
+const MIN_CERTAIN_CRASHES: usize = 2;
 
 /// What a crash tells of a task that was sent to the worker. Records of earlier versions hold a flag in its place, which is
 /// read as one of the first two.
@@ -49,7 +49,7 @@
 
 /// How a task is started again, by the crashes under it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::cell) enum Stage {
+pub(in crate::cell) enum RestartPolicy {
     /// It runs where there is room.
     Normal,
     /// It runs at a worker that has stayed up, alone where there is room for that.
@@ -60,28 +60,30 @@
     Exhausted,
 }
 
-pub(in crate::cell) fn stage_of(crashes: &[Crash]) -> Stage {
+pub(in crate::cell) fn restart_policy(crashes: &[Crash]) -> RestartPolicy {
     let confirmed = || crashes.iter().filter(|crash| crash.is_confirmed);
     let seen = confirmed().filter(|crash| crash.evidence != Evidence::Doubtful).count();
     let last = confirmed().next_back().map(|crash| crash.evidence);
     match confirmed().count() {
         // Nothing more can be learned by another start.
-        START_LIMIT.. if seen > 0 => Stage::Exhausted,
-        LIMIT.. if seen >= SEEN_LEAST => Stage::Exhausted,
-        ALONE_LIMIT.. if last == Some(Evidence::Alone) && seen >= SEEN_LEAST => Stage::Exhausted,
-        known if known < crashes.len() && crashes.len() >= LIMIT => Stage::Paused,
-        START_LIMIT.. => Stage::Paused,
-        _ if crashes.len() >= QUARANTINE => Stage::Quarantined,
-        _ => Stage::Normal,
+        RESTART_CRASH_LIMIT.. if seen > 0 => RestartPolicy::Exhausted,
+        CRASH_LIMIT.. if seen >= MIN_CERTAIN_CRASHES => RestartPolicy::Exhausted,
+        ALONE_CRASH_LIMIT.. if last == Some(Evidence::Alone) && seen >= MIN_CERTAIN_CRASHES => {
+            RestartPolicy::Exhausted
+        }
+        known if known < crashes.len() && crashes.len() >= CRASH_LIMIT => RestartPolicy::Paused,
+        RESTART_CRASH_LIMIT.. => RestartPolicy::Paused,
+        _ if crashes.len() >= QUARANTINE_CRASHES => RestartPolicy::Quarantined,
+        _ => RestartPolicy::Normal,
     }
 }
 
 /// Whether a task with these crashes waits until one is settled.
 pub(in crate::cell) fn is_paused(crashes: &[Crash]) -> bool {
-    stage_of(crashes) == Stage::Paused
+    restart_policy(crashes) == RestartPolicy::Paused
 }
 
 /// Whether a task with these crashes goes only to workers that have stayed up.
-pub(in crate::cell) fn needs_settled(crashes: &[Crash]) -> bool {
-    stage_of(crashes) != Stage::Normal
+pub(in crate::cell) fn needs_stable_worker(crashes: &[Crash]) -> bool {
+    restart_policy(crashes) != RestartPolicy::Normal
 }
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -17,7 +17,7 @@
 use crate::workload::{JobKey, Queue, StepKey, TaskKey, Work};
 use advising::advice::{Advisers, Question};
 use jobs::job::Job;
-use jobs::wait::LongWait;
+use jobs::wait::WaitLogTimer;
 use mechanism::Off;
 use placing::reserve::Reservations;
 use placing::share::Shares;
@@ -118,13 +118,13 @@
     /// What workspaces may still send within their shares.
     shares: Shares,
     /// Lives of workers that may have ended.
-    unconfirmed: jobs::crash::Unconfirmed,
+    unconfirmed: jobs::crash::UnconfirmedCrashes,
     /// Lives of workers that are over and may be listed still, with when they were found to be.
     ended_lives: BTreeMap<Life, Millis>,
     /// Jobs with something new against their tasks.
     recounted: BTreeSet<JobKey>,
     /// Crashes of workers and what became of them, since the takeover.
-    counts: jobs::crash::Counts,
+    counts: jobs::crash::CrashCounts,
     /// Waits that a deadline ended, and not the event that they were for, since the takeover.
     expired_waits: u64,
     /// Jobs whose workspace is in the store.
@@ -147,7 +147,7 @@
     changed: bool,
     /// Earlier owners may have started tasks that no record tells of: inherited tasks are held back
     /// until all their workers are known.
-    doubt: Option<LongWait>,
+    doubt: Option<WaitLogTimer>,
     /// Starts that wait for the batch with their binding, in order.
     unsent: VecDeque<(u64, Name, Start)>,
     actions: Vec<Action>,
@@ -180,10 +180,10 @@
             reserved: Reservations::default(),
             usages: Usages::default(),
             shares: Shares::default(),
-            unconfirmed: jobs::crash::Unconfirmed::default(),
+            unconfirmed: jobs::crash::UnconfirmedCrashes::default(),
             ended_lives: BTreeMap::new(),
             recounted: BTreeSet::new(),
-            counts: jobs::crash::Counts::default(),
+            counts: jobs::crash::CrashCounts::default(),
             expired_waits: 0,
             with_workspace: BTreeSet::new(),
             dirty: BTreeSet::new(),
@@ -194,11 +194,11 @@
             is_stale: false,
             next_settled: None,
             changed: true,
-            doubt: doubt.then(|| LongWait::new(now, DOUBT_LOG)),
+            doubt: doubt.then(|| WaitLogTimer::new(now, DOUBT_LOG)),
             unsent: VecDeque::new(),
             actions: Vec::new(),
         };
-        cell.inherit(snapshot, now);
+        cell.restore_snapshot(snapshot, now);
         cell
     }
 
@@ -251,7 +251,7 @@
         }
         self.withhold_starts("pause");
         for (_, name, start) in std::mem::take(&mut self.unsent) {
-            self.lose(&name, start.task, start.run);
+            self.abandon_run(&name, start.task, start.run);
         }
     }
 
@@ -263,7 +263,7 @@
                 Action::Start { worker, start, .. } => {
                     let (task, run) = (start.task, start.run);
                     log::info!("event=start-given-up task={task} worker={worker} why={why}");
-                    self.lose(&worker, task, run);
+                    self.abandon_run(&worker, task, run);
                 }
                 action => self.actions.push(action),
             }
@@ -283,7 +283,7 @@
             }
         }
         self.queues = queues;
-        self.rank_again();
+        self.rebuild_ready();
         self.changed = true;
     }
 
@@ -318,8 +318,8 @@
             workspace.as_deref().unwrap_or("none"),
             self.batch
         );
-        let is_beyond = workspace.as_ref().is_some_and(|name| self.exceeds_share(now, name));
-        let job = Job { workspace, is_beyond, ..Job::new(queue, work, now, self.batch) };
+        let is_over_share = workspace.as_ref().is_some_and(|name| self.exceeds_share(now, name));
+        let job = Job { workspace, is_over_share, ..Job::new(queue, work, now, self.batch) };
         self.jobs.insert(key, job);
         // Its first steps ask and find workers while its record is written, and start once that is kept: with a slow
         // store a short job has no time to wait for one write more.
@@ -340,7 +340,7 @@
     pub fn cancel(&mut self, now: Millis, key: JobKey) -> Option<u64> {
         let job = self.jobs.get(&key)?;
         if job.is_open() {
-            self.close(now, key, Fate::Cancelled);
+            self.close_job(now, key, Fate::Cancelled);
         }
         let (_, batch, _) = self.jobs.get(&key)?.closed?;
         Some(batch)
@@ -351,7 +351,7 @@
         let job = self.jobs.get(&key)?;
         Some(match job.closed {
             Some((fate, batch, _)) if batch <= self.kept => State::Closed(fate),
-            None if !job.bound => State::Queued,
+            None if !job.was_placed => State::Queued,
             _ => State::Active,
         })
     }
@@ -420,7 +420,7 @@
     /// Workers that answered their last call.
     pub heard: usize,
     /// Crashes, since the takeover.
-    pub counts: jobs::crash::Counts,
+    pub counts: jobs::crash::CrashCounts,
     /// Waits that a deadline ended, since the takeover.
     pub expired_waits: u64,
 }
--- a/src/cell/placing/gather.rs
+++ b/src/cell/placing/gather.rs
@@ -5,7 +5,7 @@
 //! cell a wide gang would wait until nothing else is left to run.
 
 use crate::cell::Cell;
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::place::{Fit, Need};
 use crate::clock::Millis;
@@ -33,7 +33,7 @@
     pub(in crate::cell) fn gather_room(&mut self, now: Millis, need: &Need) {
         let Need { step: key, spec, tasks: rest } = *need;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let mine = rank(job);
+        let mine = queue_rank(job);
         let is_early = !job.has_waited(now, key, PATIENCE);
         let is_off = self.bounds.off.has(Mechanism::Gather);
         if !spec.gang || is_off || is_early || self.reserved.gathers() {
--- a/src/cell/placing/place.rs
+++ b/src/cell/placing/place.rs
@@ -1,7 +1,7 @@
 //! Which of several workers with room a task or a gang goes to.
 
 use crate::cell::jobs::job::Task;
-use crate::cell::jobs::stage::needs_settled;
+use crate::cell::jobs::restart_policy::needs_stable_worker;
 use crate::cell::workers::worker::Worker;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -118,9 +118,9 @@
         let serves = spec.filler && fit.serves;
         let last = (serves, fit.is_kept, away, !fit.is_sound);
         let shared = if task.crashes.is_empty() { 0 } else { fit.busy };
-        (task.avoid.contains(&fit.name), shared, far, last, room)
+        (task.failed_workers.contains(&fit.name), shared, far, last, room)
     };
-    let needs_settled = needs_settled(&task.crashes);
+    let needs_settled = needs_stable_worker(&task.crashes);
     let takes = |fit: &&mut Fit| fit.holds(spec, &charge) && (fit.is_settled || !needs_settled);
     fits.iter_mut().filter(takes).min_by_key(|fit| score(fit))
 }
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -5,7 +5,7 @@
 //! ones have time to spare and save their progress: each loses half a second of work and a restore.
 
 use crate::cell::Cell;
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::place::{Fit, Need};
 use crate::cell::workers::worker::Phase;
@@ -49,7 +49,7 @@
         if is_early || is_unkept || fits.is_empty() || self.reserved.has(key) {
             return;
         }
-        let (mine, queue) = (rank(job), job.queue.name.clone());
+        let (mine, queue) = (queue_rank(job), job.queue.name.clone());
         let priority = job.priority();
         let mut plans: Vec<Plan> = fits
             .iter()
@@ -78,7 +78,7 @@
                 log::info!(
                     "event=preempted task={task} run={run} worker={worker} for={key} queue={queue}"
                 );
-                self.stop(&worker, task, run);
+                self.stop_run(&worker, task, run);
             }
         }
     }
@@ -88,7 +88,7 @@
     pub(in crate::cell) fn share_room(&mut self, now: Millis, need: &Need) {
         let Need { step: key, spec, tasks: rest } = *need;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let mine = rank(job);
+        let mine = queue_rank(job);
         let is_off = self.bounds.off.has(Mechanism::Reserve);
         if is_off || self.reserved.has(key) || self.reserved.shares(key) {
             return;
@@ -126,7 +126,7 @@
                 let spec = job.spec(task.step.step)?;
                 let may_stop = job.priority() > priority && spec.can_stop();
                 let victim = Victim { task: *task, run: *no, charge: run.charge };
-                may_stop.then_some((rank(job), victim))
+                may_stop.then_some((queue_rank(job), victim))
             })
             .collect();
         found.sort_by(|(one, _), (other, _)| other.cmp(one));
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -2,9 +2,9 @@
 
 use crate::cell::advising::clearance::TICKET_SPARE;
 use crate::cell::jobs::job::{Job, StepState};
-use crate::cell::jobs::life::rank;
-use crate::cell::jobs::stage::{is_paused, needs_settled};
-use crate::cell::jobs::why::Why;
+use crate::cell::jobs::lifecycle::queue_rank;
+use crate::cell::jobs::restart_policy::{is_paused, needs_stable_worker};
+use crate::cell::jobs::wait_reason::WaitReason;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::place::{Fit, Need, count_at, is_suitable, pick, pick_gang};
 use crate::cell::placing::pressure::Pressure;
@@ -19,7 +19,7 @@
 impl Cell {
     /// Places waiting tasks, the most urgent first, as far as there is room.
     pub fn schedule(&mut self, now: Millis) {
-        self.give_up(now);
+        self.fail_exhausted_jobs(now);
         if self.is_stale || !std::mem::take(&mut self.changed) {
             return;
         }
@@ -32,27 +32,28 @@
 
     fn place_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        if job.inherited && self.doubt.is_some() {
-            return self.note_wait(now, key, Some(Why::Takeover));
+        if job.is_inherited && self.doubt.is_some() {
+            return self.set_wait_reason(now, key, Some(WaitReason::Takeover));
         }
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
         if step.waiting.is_empty() {
             // All its tasks were found to run, or to be done, since it was listed.
-            let (priority, due) = rank(job);
+            let (priority, due) = queue_rank(job);
             self.ready.remove(&(priority, due, key));
-            return self.note_wait(now, key, None);
+            return self.set_wait_reason(now, key, None);
         }
         let advice = job.queue.advice;
         // Most steps wait for an answer most of the time: these cost nothing more.
-        let pauses = advice.is_some() && (step.advised.asking || now < step.advised.again);
-        if pauses && !step.advised.has_ticket(now + TICKET_SPARE) {
-            let why = self.why(now, key, &[]);
-            return self.note_wait(now, key, why);
+        let pauses =
+            advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
+        if pauses && !step.clearances.has_any_ticket(now + TICKET_SPARE) {
+            let why = self.wait_reason(now, key, &[]);
+            return self.set_wait_reason(now, key, why);
         }
         let allowed = self.allowed(job, spec, step.waiting.len());
         if allowed == 0 {
             self.reserved.release(key);
-            return self.note_wait(now, key, Some(Why::Bound));
+            return self.set_wait_reason(now, key, Some(WaitReason::WorkspaceLimit));
         }
         let spec = spec.clone();
         let waiting: Vec<u32> = step.waiting.iter().copied().take(allowed).collect();
@@ -79,7 +80,7 @@
         match advice {
             _ if left == 0 => {
                 self.reserved.release(key);
-                let ranks = self.jobs.get(&key.job).map(rank);
+                let ranks = self.jobs.get(&key.job).map(queue_rank);
                 if let Some((priority, due)) = ranks {
                     self.ready.remove(&(priority, due, key));
                 }
@@ -87,13 +88,13 @@
             Some(advice) if rest > 0 => self.question(now, key, &spec, advice, rest),
             _ => {}
         }
-        let why = self.why(now, key, &fits).map(|why| match why {
-            _ if rest == 0 => Why::Bound,
-            Why::Crashes => why,
-            _ if waits_for_settled => Why::NewWorkers,
+        let why = self.wait_reason(now, key, &fits).map(|why| match why {
+            _ if rest == 0 => WaitReason::WorkspaceLimit,
+            WaitReason::Crashes => why,
+            _ if waits_for_settled => WaitReason::NewWorkers,
             _ => why,
         });
-        self.note_wait(now, key, why);
+        self.set_wait_reason(now, key, why);
     }
 
     /// The workers that may run a step.
@@ -116,7 +117,7 @@
         step: &StepState,
         spec: &Step,
     ) -> Vec<Fit> {
-        let tickets = step.advised.tickets(now + TICKET_SPARE);
+        let tickets = step.clearances.ticket_holders(now + TICKET_SPARE);
         let known = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.fits(now, key, job, spec, known)
     }
@@ -128,7 +129,7 @@
         if job.queue.advice.is_none() {
             return self.open(now, key, job, spec);
         }
-        let names = step.advised.cleared.keys();
+        let names = step.clearances.cleared.keys();
         let known = names.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.fits(now, key, job, spec, known)
     }
@@ -142,7 +143,7 @@
         spec: &Step,
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Fit> {
-        let rank = rank(job);
+        let rank = queue_rank(job);
         let minds = !self.bounds.off.has(Mechanism::Aside);
         let is_quarantine =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
@@ -168,14 +169,15 @@
         if self.bounds.off.has(Mechanism::Home) {
             return;
         }
-        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.home.is_none()) else {
+        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.home_domain.is_none()) else {
             return;
         };
         let mut idle: BTreeMap<&Name, u64> = BTreeMap::new();
         for fit in fits {
             *idle.entry(&fit.domain).or_default() += fit.free.cpu;
         }
-        job.home = idle.into_iter().max_by_key(|(_, cpu)| *cpu).map(|(domain, _)| domain.clone());
+        job.home_domain =
+            idle.into_iter().max_by_key(|(_, cpu)| *cpu).map(|(domain, _)| domain.clone());
     }
 
     fn place_tasks(
@@ -195,8 +197,8 @@
             if is_paused(&state.crashes) {
                 continue;
             }
-            let home = job.home.as_ref().filter(|_| !spec.lasting);
-            let needs_settled = needs_settled(&state.crashes);
+            let home = job.home_domain.as_ref().filter(|_| !spec.lasting);
+            let needs_settled = needs_stable_worker(&state.crashes);
             let fit = match pick(fits, spec, home, state) {
                 Some(fit) => fit,
                 // The others may go to workers that have just started, too.
@@ -217,9 +219,9 @@
         if waiting < spec.count as usize {
             return;
         }
-        let home = self.jobs.get(&key.job).and_then(|job| job.home.clone());
+        let home = self.jobs.get(&key.job).and_then(|job| job.home_domain.clone());
         let mut members = (0..spec.count).map(|index| TaskKey { step: key, index });
-        if members.clone().any(|task| is_paused(self.crashes(task))) {
+        if members.clone().any(|task| is_paused(self.task_crashes(task))) {
             return;
         }
         let is_quarantined = members.any(|task| self.is_quarantined(task));
@@ -236,7 +238,7 @@
     fn gang_progress(&self, key: StepKey) -> Name {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let tasks = step.map(|step| step.tasks.as_slice()).unwrap_or_default();
-        let saved = tasks.iter().map(|task| &task.saved).find(|saved| !saved.is_empty());
+        let saved = tasks.iter().map(|task| &task.checkpoint).find(|saved| !saved.is_empty());
         saved.cloned().unwrap_or_else(|| "".into())
     }
 
@@ -245,7 +247,7 @@
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let runs = indices.into_iter().filter_map(|index| {
             let task = step?.tasks.get(index as usize)?;
-            Some(task.runs)
+            Some(task.last_run)
         });
         (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
     }
@@ -260,17 +262,17 @@
         let times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
         run.limit = times.and_then(|times| times.limit(spec.estimate));
         worker.add(task, run);
-        let age = now.since(job.since);
-        job.bound = true;
+        let age = now.since(job.known_since);
+        job.was_placed = true;
         let text = job.work.spec.clone();
         let Some(step) = job.step_mut(task.step) else { return };
         step.place(task.index, name.clone(), no);
         step.idle_since = None;
-        let ticket = step.advised.cleared.get(name).map(|ticket| ticket.text.clone());
+        let ticket = step.clearances.cleared.get(name).map(|ticket| ticket.text.clone());
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
-        state.runs = no;
+        state.last_run = no;
         let saved = match saved {
-            "" if !spec.gang => state.saved.clone(),
+            "" if !spec.gang => state.checkpoint.clone(),
             saved => saved.into(),
         };
         log::info!("event=start task={task} run={no} worker={name} age_ms={age}");
@@ -278,7 +280,7 @@
         let start = Start { task, run: no, spec: text, saved, ticket };
         self.dirty.insert(task.step.job);
         if self.is_quarantined(task) {
-            self.quarantine(name, task);
+            self.quarantine_worker(name, task);
         }
         self.unsent.push_back((self.batch, name.clone(), start));
     }
@@ -305,17 +307,17 @@
             }
             if worker.is_other(worker.listed.born) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
-                self.lose(&name, start.task, start.run);
+                self.abandon_run(&name, start.task, start.run);
                 continue;
             }
             if worker.is_overfull() {
                 log::info!("event=room-shrank task={} worker={name}", start.task);
-                self.lose(&name, start.task, start.run);
+                self.abandon_run(&name, start.task, start.run);
                 continue;
             }
             let Some(until) = worker.lease(now, lease) else {
                 log::info!("event=start-given-up task={} worker={name} why=no-clock", start.task);
-                self.lose(&name, start.task, start.run);
+                self.abandon_run(&name, start.task, start.run);
                 continue;
             };
             if let Some(run) = worker.runs.get_mut(&(start.task, start.run)) {
@@ -335,6 +337,8 @@
     pub fn send_unkept(&mut self, now: Millis) {
         // Crashes have to be counted in the store before the task starts again: through
         // outages that each end with a takeover it would start more often than is allowed.
-        self.send_if(now, |cell, batch, task| batch <= cell.kept || cell.crashes(task).is_empty());
+        self.send_if(now, |cell, batch, task| {
+            batch <= cell.kept || cell.task_crashes(task).is_empty()
+        });
     }
 }
--- a/src/cell/placing/settled.rs
+++ b/src/cell/placing/settled.rs
@@ -5,7 +5,7 @@
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::StepState;
-use crate::cell::jobs::stage::needs_settled;
+use crate::cell::jobs::restart_policy::needs_stable_worker;
 use crate::cell::placing::place::Fit;
 use crate::clock::Millis;
 use crate::workload::{Step, StepKey};
@@ -44,6 +44,6 @@
 /// Whether any and whether all of a step's waiting tasks go only to workers that have stayed up.
 fn count_suspects(step: &StepState) -> (bool, bool) {
     let tasks = || step.waiting.iter().filter_map(|index| step.tasks.get(*index as usize));
-    let is_suspect = |needs: bool| tasks().any(|task| needs_settled(&task.crashes) == needs);
+    let is_suspect = |needs: bool| tasks().any(|task| needs_stable_worker(&task.crashes) == needs);
     (is_suspect(true), is_suspect(true) && !is_suspect(false))
 }
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -91,24 +91,24 @@
             records.push(journal::job(key, &job.record()));
         }
         match closed {
-            true if job.noted => {
-                job.noted = false;
+            true if job.has_progress => {
+                job.has_progress = false;
                 records.push(journal::drop_progress(key));
-                if std::mem::take(&mut job.noted_crashes) {
+                if std::mem::take(&mut job.has_crashes) {
                     records.push(journal::drop_crashes(key));
                 }
             }
-            false if job.bound => {
+            false if job.was_placed => {
                 let progress = job.progress();
                 // Also where nothing is left to note: to the next owners, a binding that stayed in the store was lost
                 // with each life of the worker that ended.
-                if !progress.steps.is_empty() || job.noted {
-                    job.noted = true;
+                if !progress.steps.is_empty() || job.has_progress {
+                    job.has_progress = true;
                     records.push(journal::progress(key, &progress));
                 }
-                let crashes = job.crashes();
-                if !crashes.is_empty() || job.noted_crashes {
-                    job.noted_crashes = true;
+                let crashes = job.crash_notes();
+                if !crashes.is_empty() || job.has_crashes {
+                    job.has_crashes = true;
                     records.push(journal::crashes(key, &crashes));
                 }
             }
@@ -141,7 +141,7 @@
                 // It was found by its batch above: without one it was forgotten meanwhile, and is gone.
                 None => log::error!("event=withdrawn-unknown job={key}"),
             }
-            self.undo(*key);
+            self.discard_job(*key);
             self.forwarded.remove(key);
         }
         gone
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -1,6 +1,6 @@
 //! What an owner keeps in the platform's store, and how it is written.
 
-use crate::cell::jobs::stage::Crash;
+use crate::cell::jobs::restart_policy::Crash;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::workload::{JobKey, Queue, Work};
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -19,27 +19,27 @@
         match outcome {
             Outcome::Done(_) => self.confirm_start(now, name, task, run),
             Outcome::Unknown => {
-                self.stop(name, task, run);
+                self.stop_run(name, task, run);
                 self.doubt(now, name);
             }
-            Outcome::Withheld => self.lose(name, task, run),
+            Outcome::Withheld => self.abandon_run(name, task, run),
             Outcome::Unsent => {
-                self.lose(name, task, run);
+                self.abandon_run(name, task, run);
                 self.mark_silent(now, name);
             }
             Outcome::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
             Outcome::Refused(Refusal::OtherLife) => {
                 // This run surely never was at the life that is over.
-                self.lose(name, task, run);
+                self.abandon_run(name, task, run);
                 self.remove_worker(now, name, Over::Replaced);
             }
             Outcome::Refused(Refusal::Late) => {
-                self.lose(name, task, run);
+                self.abandon_run(name, task, run);
                 self.mark_silent(now, name);
             }
             Outcome::Refused(Refusal::Ticket) => {
                 self.drop_ticket(task.step, name);
-                self.lose(name, task, run);
+                self.abandon_run(name, task, run);
             }
             Outcome::Refused(
                 Refusal::Unwell | Refusal::Room | Refusal::Malformed | Refusal::Old,
@@ -47,7 +47,7 @@
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.set_aside(now);
                 }
-                self.lose(name, task, run);
+                self.abandon_run(name, task, run);
             }
         }
     }
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -1,6 +1,6 @@
 //! What workers report: runs that go on, runs that ended, and how they bear each other.
 
-use crate::cell::jobs::job::Status;
+use crate::cell::jobs::job::TaskStatus;
 use crate::cell::records::journal::Fate;
 use crate::cell::workers::roster::Over;
 use crate::cell::workers::worker::{Phase, Run, Worker};
@@ -88,7 +88,7 @@
         self.changed = self.changed || worker.is_doubted();
         // An earlier owner may not have known when it started: the next one has to.
         self.roster |= worker.hear(now, sent, report);
-        self.settle_by(name);
+        self.resolve_by_report(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.known = true;
         for row in &report.ended {
@@ -142,15 +142,15 @@
         };
         let Some(spec) = job.spec(task.step.step) else { return };
         let (lasting, gang, copies) = (spec.lasting, spec.gang, spec.copies);
-        (job.bound, job.has_run) = (true, true);
+        (job.was_placed, job.has_run) = (true, true);
         let attempts = job.queue.attempts;
         let Some(step) = job.step_mut(task.step) else { return };
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
-        if state.status == Status::Done || state.failed.contains(&row.run) {
+        if state.status == TaskStatus::Done || state.failed_runs.contains(&row.run) {
             return;
         }
         if !row.saved.is_empty() {
-            state.saved = row.saved.clone();
+            state.checkpoint = row.saved.clone();
         }
         self.dirty.insert(task.step.job);
         match row.end {
@@ -161,19 +161,19 @@
                 }
                 match other {
                     _ if copies => self.stop_copies(task),
-                    Some((worker, run)) => self.stop(&worker, task, run),
+                    Some((worker, run)) => self.stop_run(&worker, task, run),
                     None => {}
                 }
-                self.finish(now, task);
+                self.finish_task(now, task);
             }
             End::Failed => {
-                state.avoid.push(name.clone());
+                state.failed_workers.push(name.clone());
                 if !lasting {
-                    state.failed.push(row.run);
+                    state.failed_runs.push(row.run);
                 }
                 let failed = match gang {
-                    true => step.tasks.iter().map(|task| task.failed.len()).sum(),
-                    false => state.failed.len(),
+                    true => step.tasks.iter().map(|task| task.failed_runs.len()).sum(),
+                    false => state.failed_runs.len(),
                 };
                 log::info!(
                     "event=failed task={task} run={} worker={name} failed={failed}",
@@ -181,8 +181,8 @@
                 );
                 self.blame(now, name, task);
                 match !lasting && failed >= attempts as usize {
-                    true => self.close(now, task.step.job, Fate::Failed),
-                    false => self.requeue(task, row.run),
+                    true => self.close_job(now, task.step.job, Fate::Failed),
+                    false => self.requeue_task(task, row.run),
                 }
             }
             End::Done | End::Stopped | End::Lapsed | End::Broken | End::Alone => {
@@ -191,7 +191,7 @@
                     row.run,
                     row.end
                 );
-                self.requeue(task, row.run);
+                self.requeue_task(task, row.run);
             }
         }
     }
@@ -229,8 +229,8 @@
         let job = self.jobs.get_mut(&task.step.job);
         let step = job.and_then(|job| job.step_mut(task.step));
         let state = step.and_then(|step| step.tasks.get_mut(task.index as usize));
-        let Some(state) = state.filter(|state| state.saved != row.saved) else { return false };
-        state.saved = row.saved.clone();
+        let Some(state) = state.filter(|state| state.checkpoint != row.saved) else { return false };
+        state.checkpoint = row.saved.clone();
         true
     }
 
@@ -251,29 +251,29 @@
             worker.add(task, run);
         }
         let step = job.filter(|job| job.is_open()).and_then(|job| {
-            (job.bound, job.has_run) = (true, true);
+            (job.was_placed, job.has_run) = (true, true);
             job.step_mut(task.step)
         });
         let mut older = None;
         let wanted = step.filter(|step| {
-            older = step.tasks.get(task.index as usize).and_then(|task| task.older(row.run));
+            older = step.tasks.get(task.index as usize).and_then(|task| task.older_run(row.run));
             step.waiting.contains(&task.index) || older.is_some()
         });
         match wanted {
             Some(step) => {
                 step.place(task.index, name.clone(), row.run);
                 if let Some(state) = step.tasks.get_mut(task.index as usize) {
-                    state.saved = row.saved.clone();
+                    state.checkpoint = row.saved.clone();
                 }
                 log::info!("event=adopted task={task} run={} worker={name}", row.run);
                 // It was over before the newer one began, or may be a copy.
                 if let Some((at, run)) = older {
-                    self.stop(&at, task, run);
+                    self.stop_run(&at, task, run);
                 }
             }
             None => {
                 log::info!("event=unwanted task={task} run={} worker={name}", row.run);
-                self.stop(name, task, row.run);
+                self.stop_run(name, task, row.run);
             }
         }
     }
@@ -299,7 +299,7 @@
                     report.born
                 );
             }
-            self.lose(name, task, run);
+            self.abandon_run(name, task, run);
         }
     }
 
@@ -343,9 +343,11 @@
 }
 
 /// Where a task runs, if it is another run than `run`.
-fn placed(status: &Status, run: u64) -> Option<(Name, u64)> {
+fn placed(status: &TaskStatus, run: u64) -> Option<(Name, u64)> {
     match status {
-        Status::Placed { worker, run: other } if *other != run => Some((worker.clone(), *other)),
+        TaskStatus::Placed { worker, run: other } if *other != run => {
+            Some((worker.clone(), *other))
+        }
         _ => None,
     }
 }
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -4,7 +4,7 @@
 //! leases, and tickets. Which of two lives is the later one is known from reports alone: a worker is asked for
 //! one after the other, and an entry in the list may be of either life.
 
-use crate::cell::jobs::crash::Found;
+use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::workers::worker::{Phase, Run};
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
@@ -46,8 +46,8 @@
             }
         }
         // What is left there crashed with the worker.
-        self.count_crash(now, name, true);
-        self.settle_crash(&over, Found::Over);
+        self.record_worker_crash(now, name, true);
+        self.resolve_crash(&over, CrashResolution::Ended);
         let lease_end = now + Millis(self.bounds.lease_max.0 * 1_050 / 1_000);
         let batch = self.batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -69,7 +69,7 @@
                 Left::Kept => {}
                 Left::Lost => {
                     log::info!("event=run-lost task={task} run={run} worker={name} why=restarted");
-                    self.requeue(task, run);
+                    self.requeue_task(task, run);
                 }
                 Left::Loose => {
                     if let Some(known) = before.remove(task, run) {
@@ -94,8 +94,8 @@
         for job in self.jobs.values_mut().filter(|job| job.is_open() && job.queue.advice.is_some())
         {
             for step in &mut job.steps {
-                step.advised.cleared.remove(name);
-                step.advised.denied.remove(name);
+                step.clearances.cleared.remove(name);
+                step.clearances.denied.remove(name);
             }
         }
     }
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -1,6 +1,6 @@
 //! The workers of a cell: listed, silent, leaving, gone.
 
-use crate::cell::jobs::crash::Found;
+use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::workers::worker::Worker;
 use crate::cell::{Action, Cell};
@@ -47,7 +47,7 @@
             let runs: Vec<(TaskKey, u64)> = worker.runs.keys().copied().collect();
             for (task, run) in runs {
                 if self.is_quarantined(task) {
-                    self.note_silent_run(now, name, task);
+                    self.record_possible_crash(now, name, task);
                 }
                 self.copy(now, name, task, run);
             }
@@ -87,9 +87,11 @@
             return;
         }
         let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-        if spec.is_some_and(|spec| spec.copies && !spec.gang) && !self.may_crash(task, run) {
-            self.note_silent_run(now, name, task);
-            self.requeue(task, run);
+        if spec.is_some_and(|spec| spec.copies && !spec.gang)
+            && !self.may_have_crashed_workers(task, run)
+        {
+            self.record_possible_crash(now, name, task);
+            self.requeue_task(task, run);
         }
     }
 
@@ -102,7 +104,7 @@
         let found: Vec<(Name, Vec<u64>)> = found.filter(|(_, runs)| !runs.is_empty()).collect();
         for (name, runs) in found {
             for run in runs {
-                self.stop(&name, task, run);
+                self.stop_run(&name, task, run);
             }
         }
     }
@@ -110,11 +112,11 @@
     /// A life of a worker is over, and all that it ran with it.
     pub fn remove_worker(&mut self, now: Millis, name: &Name, why: Over) {
         let is_over = why != Over::Unlisted;
-        self.count_crash(now, name, is_over);
+        self.record_worker_crash(now, name, is_over);
         let Some(worker) = self.workers.remove(name) else { return };
         if is_over {
             let life = worker.life();
-            self.settle_crash(&life, Found::Over);
+            self.resolve_crash(&life, CrashResolution::Ended);
             self.ended_lives.insert(life, now);
         }
         let (why, is_leaving) = (why.name(), worker.listed.leaving.is_some());
@@ -124,7 +126,7 @@
         );
         for (task, run) in worker.runs.into_keys() {
             log::info!("event=run-lost task={task} run={run} worker={name} why={why}");
-            self.requeue(task, run);
+            self.requeue_task(task, run);
         }
         self.roster = true;
         self.changed = true;
@@ -151,7 +153,7 @@
         if self.ended_lives.contains_key(&life) {
             return;
         }
-        self.confirm_crashes(&life, &listed.addr);
+        self.confirm_earlier_crashes(&life, &listed.addr);
         self.expect_life(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
@@ -188,7 +190,7 @@
         let moved: Vec<(TaskKey, u64)> =
             worker.runs.keys().filter(|(task, _)| !stays(task)).copied().collect();
         for (task, run) in moved {
-            self.stop(name, task, run);
+            self.stop_run(name, task, run);
         }
     }
 
@@ -215,10 +217,10 @@
             if !runs.is_empty() {
                 log::info!("event=leases-over worker={name} runs={}", runs.len());
             }
-            self.count_crash(now, &name, false);
+            self.record_worker_crash(now, &name, false);
             for (task, run) in runs {
                 log::info!("event=run-lost task={task} run={run} worker={name} why=lease-over");
-                self.lose(&name, task, run);
+                self.abandon_run(&name, task, run);
             }
         }
     }
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -7,7 +7,7 @@
 mod workers;
 
 use crate::cell::advising::advice::Question;
-use crate::cell::jobs::life::TICK;
+use crate::cell::jobs::lifecycle::TICK_INTERVAL;
 use crate::cell::owner::authority::Authority;
 use crate::cell::owner::balance::Load;
 use crate::cell::owner::election::SILENCE;
@@ -272,7 +272,7 @@
     }
 
     async fn tick(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(TICK.duration());
+        let mut timer = tokio::time::interval(TICK_INTERVAL.duration());
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             timer.tick().await;
@@ -294,7 +294,7 @@
     fn note_lag(&self, now: Millis) -> bool {
         let mut lag = lock(&self.lag);
         let before = lag.sheds();
-        lag.tick(now, TICK);
+        lag.tick(now, TICK_INTERVAL);
         if lag.sheds() != before {
             let (cell, epoch) = (self.view.cell, self.epoch);
             log::info!("event=overload cell={cell} epoch={epoch} sheds={}", lag.sheds());
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -3,7 +3,7 @@
 mod rows;
 
 use rows::running as running_row;
-use sprucerudder::cell::jobs::stage::{Crash, Evidence};
+use sprucerudder::cell::jobs::restart_policy::{Crash, Evidence};
 use sprucerudder::cell::mechanism::Off;
 use sprucerudder::cell::records::journal::{
     self, CrashNote, JobRecord, Member, Progress, Snapshot, StepNote, TaskNote,
--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -40,11 +40,11 @@
             self.idle.clear();
             return;
         }
-        let waits: Vec<_> = self.owners[owner].cell.waiting().collect();
-        let is_idle = |(step, why): &(StepKey, Why)| {
-            *why != Why::Crashes && self.has_room(*step) && !self.has_half(step.job)
+        let waits: Vec<_> = self.owners[owner].cell.waiting_steps().collect();
+        let is_idle = |(step, why): &(StepKey, WaitReason)| {
+            *why != WaitReason::Crashes && self.has_room(*step) && !self.has_half(step.job)
         };
-        let idle: Vec<(StepKey, Why)> = waits.into_iter().filter(is_idle).collect();
+        let idle: Vec<(StepKey, WaitReason)> = waits.into_iter().filter(is_idle).collect();
         self.idle.retain(|step, _| idle.iter().any(|(other, _)| other == step));
         for (step, why) in idle {
             let since = *self.idle.entry(step).or_insert(self.now);
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -19,7 +19,7 @@
 
 use fastrand::Rng;
 use sprucerudder::cell::advising::advice::Question;
-use sprucerudder::cell::jobs::why::Why;
+use sprucerudder::cell::jobs::wait_reason::WaitReason;
 use sprucerudder::cell::mechanism::Off;
 use sprucerudder::cell::records::journal::{Batch, Snapshot};
 use sprucerudder::cell::{Action, Bounds, Cell, State};
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -3,7 +3,7 @@
 //!
 //! `UPDATE_GOLDEN=1 cargo test --test golden` writes the files; those of a version stay as that wrote them.
 
-use sprucerudder::cell::jobs::stage::Evidence;
+use sprucerudder::cell::jobs::restart_policy::Evidence;
 use sprucerudder::cell::owner::election::Record;
 use sprucerudder::cell::records::journal::{
     Fate, JobRecord, Member, Progress, Snapshot, StepNote, TaskNote, job, progress, roster,
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -16,7 +16,7 @@
 
 use lifeworld::{LEASE, LENGTH, Site, job, step};
 use sprucerudder::cell::State;
-use sprucerudder::cell::jobs::why::Why;
+use sprucerudder::cell::jobs::wait_reason::WaitReason;
 use sprucerudder::cell::records::journal::Fate;
 use sprucerudder::clock::Millis;
 use sprucerudder::workload::Step;
@@ -295,8 +295,8 @@
     }
     // The first report of the later lives comes now.
     site.play(1_900);
-    let waits: Vec<Why> = site.cell.waiting().map(|(_, why)| why).collect();
-    assert_eq!(waits, [Why::NewWorkers]);
+    let waits: Vec<WaitReason> = site.cell.waiting_steps().map(|(_, why)| why).collect();
+    assert_eq!(waits, [WaitReason::NewWorkers]);
     assert_eq!(site.starts(job(1)), 2);
     site.play(220);
     assert_eq!(site.starts(job(1)), 3);
@@ -376,8 +376,8 @@
     site.play(30_000);
     assert_eq!(site.starts(job(1)), 5, "by the contract, two after the third crash");
     assert_eq!(site.state(job(1)), Some(State::Active));
-    let waits: Vec<Why> = site.cell.waiting().map(|(_, why)| why).collect();
-    assert_eq!(waits, [Why::Crashes]);
+    let waits: Vec<WaitReason> = site.cell.waiting_steps().map(|(_, why)| why).collect();
+    assert_eq!(waits, [WaitReason::Crashes]);
     site.cell.cancel(Millis(site.now), job(1));
     site.play(200);
     assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Cancelled)));
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -4,7 +4,7 @@
 
 use lifeworld::{LENGTH, Site, job, step};
 use sprucerudder::cell::State;
-use sprucerudder::cell::jobs::why::Why;
+use sprucerudder::cell::jobs::wait_reason::WaitReason;
 use sprucerudder::cell::owner::access::{Access, access};
 use sprucerudder::cell::owner::map::CellMap;
 use sprucerudder::cell::records::journal::Fate;
@@ -73,8 +73,8 @@
     site.submit_for(job(2), wide(8), "small");
     site.play(40);
     assert_eq!(site.running(), 12);
-    let waits: Vec<Why> = site.cell.waiting().map(|(_, why)| why).collect();
-    assert_eq!(waits, [Why::Bound]);
+    let waits: Vec<WaitReason> = site.cell.waiting_steps().map(|(_, why)| why).collect();
+    assert_eq!(waits, [WaitReason::WorkspaceLimit]);
 }
 
 #[test]
