--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -19,7 +19,7 @@
 
 use fastrand::Rng;
 use sprucerudder::cell::advising::advice::AdviceRequest;
-use sprucerudder::cell::jobs::why::Why;
+use sprucerudder::cell::jobs::wait_reason::WaitReason;
 use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::{Batch, Snapshot};
 use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
