--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -4,7 +4,7 @@
 use crate::cell::jobs::job::{Job, Ticket};
 use crate::cell::jobs::life::rank;
 use crate::cell::mechanism::Mechanism;
-use crate::cell::placing::place::Fit;
+use crate::cell::placing::candidate::Candidate;
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -64,24 +64,28 @@
         let charge = spec.charge();
         let advised = &step.advised;
         let names_busy = !self.bounds.off.has(Mechanism::AskBusy);
-        let open = self.open(now, key, job, spec).into_iter();
-        let asked = |fit: &Fit| {
-            advised.denied.contains(&fit.name) || advised.holds(&fit.name, now + TICKET_SPARE)
+        let open = self.open_candidates(now, key, job, spec).into_iter();
+        let asked = |candidate: &Candidate| {
+            advised.denied.contains(&candidate.name)
+                || advised.holds(&candidate.name, now + TICKET_SPARE)
         };
-        let (known, unknown): (Vec<Fit>, Vec<Fit>) = open
-            .filter(|fit| !asked(fit) && (names_busy || fit.holds(spec, &charge)))
-            .partition(|fit| advised.cleared.contains_key(&fit.name));
+        let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
+            .filter(|candidate| {
+                !asked(candidate) && (names_busy || candidate.has_room(spec, &charge))
+            })
+            .partition(|candidate| advised.cleared.contains_key(&candidate.name));
         if spec.gang
             && let Some(named) = self.to_name_again(now, key, spec, rest)
         {
             return named;
         }
-        let has_room = |fit: &Fit| fit.holds(spec, &charge);
-        let could_hold = |fit: &Fit| self.could_hold(fit, job.priority(), spec);
-        let known: Vec<Fit> = known.into_iter().filter(could_hold).collect();
+        let has_room = |candidate: &Candidate| candidate.has_room(spec, &charge);
+        let fits_after_preemption =
+            |candidate: &Candidate| self.fits_after_preemption(candidate, job.priority(), spec);
+        let known: Vec<Candidate> = known.into_iter().filter(fits_after_preemption).collect();
         let again = rest.max(LEAST_AGAIN);
         let anew = (rest * CLEARED_SHARE).max(balance(advice));
-        let suffices = |known: &[Fit]| !spec.gang && known.iter().any(has_room);
+        let suffices = |known: &[Candidate]| !spec.gang && known.iter().any(has_room);
         let (mut named, most) = match () {
             () if suffices(&known) => (known, again),
             () if unknown.iter().any(has_room) || advised.is_new() => (unknown, anew),
@@ -90,11 +94,11 @@
             // Room can be made at some of them.
             () => (known, again),
         };
-        named.sort_by_cached_key(|fit| {
-            let away = job.home.as_ref().is_some_and(|home| fit.domain != *home);
-            (!fit.holds(spec, &charge), away, std::cmp::Reverse(fit.free.cpu))
+        named.sort_by_cached_key(|candidate| {
+            let away = job.home.as_ref().is_some_and(|home| candidate.domain != *home);
+            (!candidate.has_room(spec, &charge), away, std::cmp::Reverse(candidate.free.cpu))
         });
-        named.into_iter().take(most.min(MAX_NAMED)).map(|fit| fit.name).collect()
+        named.into_iter().take(most.min(MAX_NAMED)).map(|candidate| candidate.name).collect()
     }
 
     /// The workers known to be cleared for a gang, if they have room for all of it: all tasks start
@@ -108,18 +112,20 @@
         rest: usize,
     ) -> Option<Vec<Name>> {
         let charge = spec.charge();
-        let mut fits = self.known_good(now, key, spec);
-        fits.retain(|fit| fit.holds(spec, &charge));
-        fits.sort_by_cached_key(|fit| std::cmp::Reverse(fit.count(spec, &charge)));
+        let mut candidates = self.cleared_candidates(now, key, spec);
+        candidates.retain(|candidate| candidate.has_room(spec, &charge));
+        candidates.sort_by_cached_key(|candidate| {
+            std::cmp::Reverse(candidate.count_fitting(spec, &charge))
+        });
         let mut named = Vec::new();
         let mut room = 0;
-        for fit in fits.into_iter().take(MAX_NAMED) {
+        for candidate in candidates.into_iter().take(MAX_NAMED) {
             // Some fill up before the answer is there.
             if room >= rest + LEAST_AGAIN {
                 break;
             }
-            room += fit.count(spec, &charge);
-            named.push(fit.name);
+            room += candidate.count_fitting(spec, &charge);
+            named.push(candidate.name);
         }
         (room >= rest).then_some(named)
     }
--- a/src/cell/jobs/life.rs
+++ b/src/cell/jobs/life.rs
@@ -94,7 +94,7 @@
                 step.place(task.index, name.clone(), *no);
                 // The first report has to name it, or it is over.
                 let mut run = Run::bound(*no, &spec, Phase::Running(Millis(0)));
-                run.held = owner.as_ref().map(|owner| self.usages.hold(owner, spec.room));
+                run.held = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
                 // It may have been sent.
                 (run.is_sent, run.since) = (true, now);
                 worker.add(TaskKey { step: step_key, index: task.index }, run);
@@ -311,7 +311,7 @@
         }
         self.settle_doubt(now);
         self.expire_unconfirmed(now);
-        self.note_settled(now);
+        self.check_stability(now);
         self.ended_lives.retain(|_, since| now.since(*since) < ENDED_KEEP);
         self.forget_jobs(now);
         if self.reserved.expire(now) {
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -4,7 +4,7 @@
 use crate::cell::jobs::job::Job;
 use crate::cell::jobs::stage::is_paused;
 use crate::cell::jobs::why::Why;
-use crate::cell::placing::place::{Fit, is_suitable};
+use crate::cell::placing::candidate::{Candidate, is_suitable};
 use crate::clock::Millis;
 use crate::workload::StepKey;
 
@@ -47,7 +47,12 @@
 
 impl Cell {
     /// Why a step waits whose tasks found no worker among `fits`.
-    pub(in crate::cell) fn why(&self, now: Millis, key: StepKey, fits: &[Fit]) -> Option<Why> {
+    pub(in crate::cell) fn why(
+        &self,
+        now: Millis,
+        key: StepKey,
+        candidates: &[Candidate],
+    ) -> Option<Why> {
         let job = self.jobs.get(&key.job)?;
         let step = job.step(key)?;
         let advised = &step.advised;
@@ -57,7 +62,7 @@
         Some(match () {
             () if step.waiting.is_empty() => return None,
             () if step.waiting.iter().all(is_held) => Why::Crashes,
-            () if !fits.is_empty() => Why::Room,
+            () if !candidates.is_empty() => Why::Room,
             () if advised.asking => Why::Advice,
             () if !self.has_large(job, key) => Why::TooLarge,
             () if job.queue.advice.is_none() => Why::NoWorker,
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -19,9 +19,9 @@
 use jobs::job::Job;
 use jobs::wait::LongWait;
 use mechanism::Off;
-use placing::reserve::Reservations;
-use placing::share::Shares;
-use placing::usage::Usages;
+use placing::fair_share::ShareLimits;
+use placing::reservation::Reservations;
+use placing::usage::WorkspaceUsages;
 use records::journal::{Fate, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -114,9 +114,9 @@
     /// Room that is kept for steps that are about to start.
     reserved: Reservations,
     /// What workspaces have running, and may.
-    usages: Usages,
+    usages: WorkspaceUsages,
     /// What workspaces may still send within their shares.
-    shares: Shares,
+    shares: ShareLimits,
     /// Lives of workers that may have ended.
     unconfirmed: jobs::crash::Unconfirmed,
     /// Lives of workers that are over and may be listed still, with when they were found to be.
@@ -178,8 +178,8 @@
             closed: VecDeque::new(),
             advisers: Advisers::default(),
             reserved: Reservations::default(),
-            usages: Usages::default(),
-            shares: Shares::default(),
+            usages: WorkspaceUsages::default(),
+            shares: ShareLimits::default(),
             unconfirmed: jobs::crash::Unconfirmed::default(),
             ended_lives: BTreeMap::new(),
             recounted: BTreeSet::new(),
--- a/src/cell/placing/share.rs
+++ b/src/cell/placing/fair_share.rs
@@ -10,34 +10,34 @@
 use std::collections::HashMap;
 
 /// What a workspace may send in this many seconds may come at once.
-const BURST: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 /// In milliseconds.
-const SECOND: f64 = 1_000.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// What a workspace may still send within its share.
 #[derive(Debug)]
-struct Bucket {
-    left: f64,
-    at: Millis,
+struct TokenBucket {
+    tokens: f64,
+    refilled: Millis,
 }
 
 /// The buckets of all workspaces.
 #[derive(Debug, Default)]
-pub(in crate::cell) struct Shares(HashMap<Name, Bucket>);
+pub(in crate::cell) struct ShareLimits(HashMap<Name, TokenBucket>);
 
-impl Shares {
+impl ShareLimits {
     /// A job of a workspace came that may send `rate` a second; whether that is beyond its share.
     pub fn exceeds(&mut self, now: Millis, workspace: &Name, rate: f64) -> bool {
-        let most = (rate * BURST).max(1.0);
-        let fresh = || Bucket { left: most, at: now };
+        let capacity = (rate * BURST_SECONDS).max(1.0);
+        let fresh = || TokenBucket { tokens: capacity, refilled: now };
         let bucket = self.0.entry(workspace.clone()).or_insert_with(fresh);
-        let gained = now.since(bucket.at).0 as f64 / SECOND * rate;
-        (bucket.left, bucket.at) = ((bucket.left + gained).min(most), now);
-        let is_beyond = bucket.left < 1.0;
-        if !is_beyond {
-            bucket.left -= 1.0;
+        let gained = now.since(bucket.refilled).0 as f64 / MILLIS_PER_SECOND * rate;
+        (bucket.tokens, bucket.refilled) = ((bucket.tokens + gained).min(capacity), now);
+        let is_exceeded = bucket.tokens < 1.0;
+        if !is_exceeded {
+            bucket.tokens -= 1.0;
         }
-        is_beyond
+        is_exceeded
     }
 }
 
--- a/src/cell/placing/gather.rs
+++ b/src/cell/placing/gang.rs
@@ -7,47 +7,50 @@
 use crate::cell::Cell;
 use crate::cell::jobs::life::rank;
 use crate::cell::mechanism::Mechanism;
-use crate::cell::placing::place::{Fit, Need};
+use crate::cell::placing::candidate::{Candidate, UnplacedTasks};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::workload::{Room, Step, StepKey};
 
 /// No room is gathered before a gang's turn came so long ago: most find room by themselves before, and
 /// gathered room stands idle.
-const PATIENCE: Millis = Millis(2_000);
+const MIN_GANG_WAIT: Millis = Millis(2_000);
 /// Where room is gathered is decided anew after this time: by then some of the workers may be lost.
-const KEEP: Millis = Millis(1_500);
+const RESERVATION_TIME: Millis = Millis(1_500);
 
 /// A worker at which room is gathered.
-struct Place {
+struct GangCapacity {
     worker: Name,
     /// Tasks of the gang that have room now.
-    now: usize,
+    fits_now: usize,
     /// Tasks that have room once all runs that end by themselves are over.
-    later: usize,
+    fits_later: usize,
 }
 
 impl Cell {
     /// Keeps room for all `rest` tasks of a gang, at the workers known to be good for it that have most
     /// of it free, from tasks that rank after it. For one gang at a time: two would hold up each other.
-    pub(in crate::cell) fn gather_room(&mut self, now: Millis, need: &Need) {
-        let Need { step: key, spec, tasks: rest } = *need;
+    pub(in crate::cell) fn reserve_for_gang(&mut self, now: Millis, need: &UnplacedTasks) {
+        let UnplacedTasks { step: key, spec, count: unplaced } = *need;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let mine = rank(job);
-        let is_early = !job.has_waited(now, key, PATIENCE);
+        let is_early = !job.has_waited(now, key, MIN_GANG_WAIT);
         let is_off = self.bounds.off.has(Mechanism::Gather);
-        if !spec.gang || is_off || is_early || self.reserved.gathers() {
+        if !spec.gang || is_off || is_early || self.reserved.has_gang() {
             return;
         }
         let charge = spec.charge();
-        let fits = self.known_good(now, key, spec);
-        let mut places: Vec<Place> =
-            fits.iter().filter_map(|fit| self.place_for(fit, spec, &charge)).collect();
-        places.sort_by_key(|place| std::cmp::Reverse((place.now, place.later)));
-        let mut left = rest as usize;
+        let candidates = self.cleared_candidates(now, key, spec);
+        let mut capacities: Vec<GangCapacity> = candidates
+            .iter()
+            .filter_map(|candidate| self.gang_capacity(candidate, spec, &charge))
+            .collect();
+        capacities
+            .sort_by_key(|capacity| std::cmp::Reverse((capacity.fits_now, capacity.fits_later)));
+        let mut left = unplaced as usize;
         let mut chosen = Vec::new();
-        for Place { worker, later, .. } in places {
-            let count = later.min(left);
+        for GangCapacity { worker, fits_later, .. } in capacities {
+            let count = fits_later.min(left);
             left -= count;
             if count > 0 {
                 chosen.push((worker, count));
@@ -56,23 +59,32 @@
         if left > 0 {
             return;
         }
-        log::info!("event=room-gathered step={key} tasks={rest} workers={}", chosen.len());
+        log::info!("event=room-gathered step={key} tasks={unplaced} workers={}", chosen.len());
         for (worker, count) in chosen {
             let room = (0..count).fold(Room::default(), |sum, _| sum.plus(&charge));
-            self.reserved.gather(&worker, key, mine, room, now + KEEP);
+            self.reserved.reserve_for_gang(&worker, key, mine, room, now + RESERVATION_TIME);
         }
     }
 
-    fn place_for(&self, fit: &Fit, spec: &Step, charge: &Room) -> Option<Place> {
-        let worker = self.workers.get(&fit.name)?;
-        let stays = |task: &StepKey| {
+    fn gang_capacity(
+        &self,
+        candidate: &Candidate,
+        spec: &Step,
+        charge: &Room,
+    ) -> Option<GangCapacity> {
+        let worker = self.workers.get(&candidate.name)?;
+        let is_lasting = |task: &StepKey| {
             let job = self.jobs.get(&task.job);
             job.and_then(|job| job.spec(task.step)).is_none_or(|spec| spec.lasting)
         };
-        let ending = worker.runs.iter().filter(|((task, _), _)| !stays(&task.step));
-        let mut then = fit.clone();
-        ending.for_each(|(_, run)| then.gain(&run.charge));
-        let later = then.count(spec, charge);
-        Some(Place { worker: fit.name.clone(), now: fit.count(spec, charge), later })
+        let ending = worker.runs.iter().filter(|((task, _), _)| !is_lasting(&task.step));
+        let mut after_ends = candidate.clone();
+        ending.for_each(|(_, run)| after_ends.release(&run.charge));
+        let fits_later = after_ends.count_fitting(spec, charge);
+        Some(GangCapacity {
+            worker: candidate.name.clone(),
+            fits_now: candidate.count_fitting(spec, charge),
+            fits_later,
+        })
     }
 }
--- a/src/cell/placing/mod.rs
+++ b/src/cell/placing/mod.rs
@@ -5,12 +5,12 @@
 //! others; `pressure` says what a step need not mind after a long wait; `usage` bounds what a workspace has running, `share`
 //! finds what it sends beyond its share.
 
-pub(super) mod gather;
-pub(super) mod place;
+pub(super) mod candidate;
+pub(super) mod fair_share;
+pub(super) mod gang;
 pub(super) mod preempt;
-pub(super) mod pressure;
-pub(super) mod reserve;
+pub(super) mod relaxation;
+pub(super) mod reservation;
 pub(super) mod schedule;
-pub(super) mod settled;
-pub(super) mod share;
+pub(super) mod stability;
 pub(super) mod usage;
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -7,7 +7,7 @@
 use crate::cell::Cell;
 use crate::cell::jobs::life::rank;
 use crate::cell::mechanism::Mechanism;
-use crate::cell::placing::place::{Fit, Need};
+use crate::cell::placing::candidate::{Candidate, UnplacedTasks};
 use crate::cell::workers::worker::Phase;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -15,10 +15,10 @@
 
 /// Nothing is stopped for a step before its turn came so long ago: a stop takes up to 900 ms, and room
 /// that small tasks leave by themselves is mostly there before.
-const PATIENCE: Millis = Millis(300);
+const MIN_WAIT: Millis = Millis(300);
 /// How long room is kept for a step after tasks were stopped for it: the longest stop of the platform's
 /// contract is 900 ms, and a ticket holds for two seconds.
-const KEEP: Millis = Millis(1_500);
+const RESERVATION_TIME: Millis = Millis(1_500);
 
 /// A run that may be stopped.
 #[derive(Debug, Clone)]
@@ -30,7 +30,7 @@
 
 /// What has to be stopped at one worker to start so many tasks there.
 #[derive(Debug)]
-struct Plan {
+struct PreemptionPlan {
     worker: Name,
     tasks: u32,
     victims: Vec<Victim>,
@@ -40,40 +40,51 @@
     /// Has less urgent tasks stopped so that `rest` tasks of a step can start on workers that are
     /// cleared for it, and keeps their room. For a gang nothing is stopped unless that makes room for
     /// all of it. Tasks that need most of a worker's accelerators would wait for good beside ones that need one.
-    pub(in crate::cell) fn make_room(&mut self, now: Millis, need: &Need, fits: &[Fit]) {
-        let Need { step: key, spec, tasks: rest } = *need;
+    pub(in crate::cell) fn preempt_for(
+        &mut self,
+        now: Millis,
+        need: &UnplacedTasks,
+        candidates: &[Candidate],
+    ) {
+        let UnplacedTasks { step: key, spec, count: unplaced } = *need;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let is_early = !job.has_waited(now, key, PATIENCE);
+        let is_early = !job.has_waited(now, key, MIN_WAIT);
         // It may be given back to its caller, and nothing was gained by what was stopped for it.
-        let is_unkept = job.batch > self.kept;
-        if is_early || is_unkept || fits.is_empty() || self.reserved.has(key) {
+        let is_unstored = job.batch > self.kept;
+        if is_early || is_unstored || candidates.is_empty() || self.reserved.has_exclusive(key) {
             return;
         }
         let (mine, queue) = (rank(job), job.queue.name.clone());
         let priority = job.priority();
-        let mut plans: Vec<Plan> = fits
+        let mut plans: Vec<PreemptionPlan> = candidates
             .iter()
-            .map(|fit| plan(fit, spec, rest, self.victims(&fit.name, priority)))
+            .map(|candidate| {
+                plan_preemption(candidate, spec, unplaced, self.victims(&candidate.name, priority))
+            })
             .filter(|plan| plan.tasks > 0)
             .collect();
         plans.sort_by_key(|plan| plan.victims.len() * 100 / plan.tasks as usize);
-        let mut left = rest;
+        let mut left = unplaced;
         let mut chosen = Vec::new();
         for found in plans {
             if left == 0 {
                 break;
             }
-            let Some(fit) = fits.iter().find(|fit| fit.name == found.worker) else { continue };
-            let part = plan(fit, spec, left.min(found.tasks), found.victims);
+            let Some(candidate) =
+                candidates.iter().find(|candidate| candidate.name == found.worker)
+            else {
+                continue;
+            };
+            let part = plan_preemption(candidate, spec, left.min(found.tasks), found.victims);
             left -= part.tasks;
             chosen.push(part);
         }
         if spec.gang && left > 0 {
             return;
         }
-        for Plan { worker, tasks, victims } in chosen {
+        for PreemptionPlan { worker, tasks, victims } in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&spec.charge()));
-            self.reserved.add(&worker, key, mine, room, now + KEEP);
+            self.reserved.reserve(&worker, key, mine, room, now + RESERVATION_TIME);
             for Victim { task, run, .. } in victims {
                 log::info!(
                     "event=preempted task={task} run={run} worker={worker} for={key} queue={queue}"
@@ -85,30 +96,43 @@
 
     /// Keeps room for tasks of a step that found none, at the workers cleared for it that are next to
     /// having it: tasks that cannot be stopped for the step would take each piece that becomes free.
-    pub(in crate::cell) fn share_room(&mut self, now: Millis, need: &Need) {
-        let Need { step: key, spec, tasks: rest } = *need;
+    pub(in crate::cell) fn reserve_shared_for(&mut self, now: Millis, need: &UnplacedTasks) {
+        let UnplacedTasks { step: key, spec, count: unplaced } = *need;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let mine = rank(job);
         let is_off = self.bounds.off.has(Mechanism::Reserve);
-        if is_off || self.reserved.has(key) || self.reserved.shares(key) {
+        if is_off || self.reserved.has_exclusive(key) || self.reserved.has_shared(key) {
             return;
         }
         let charge = spec.charge();
-        let mut fits = self.known_good(now, key, spec);
-        fits.retain(|fit| fit.takes(spec) && !fit.free.holds(&charge));
-        fits.sort_by_key(|fit| std::cmp::Reverse((fit.free.gpu, fit.free.cpu)));
-        for fit in fits.into_iter().take(rest as usize) {
-            self.reserved.share(&fit.name, key, mine, charge, now + KEEP);
+        let mut candidates = self.cleared_candidates(now, key, spec);
+        candidates
+            .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.holds(&charge));
+        candidates
+            .sort_by_key(|candidate| std::cmp::Reverse((candidate.free.gpu, candidate.free.cpu)));
+        for candidate in candidates.into_iter().take(unplaced as usize) {
+            self.reserved.reserve_shared(
+                &candidate.name,
+                key,
+                mine,
+                charge,
+                now + RESERVATION_TIME,
+            );
         }
     }
 
     /// Whether a worker has room for a task of a job of this priority, or would have if less urgent
     /// tasks were stopped.
-    pub(in crate::cell) fn could_hold(&self, fit: &Fit, priority: u32, spec: &Step) -> bool {
-        let victims = self.victims(&fit.name, priority);
-        let mut then = fit.clone();
-        victims.iter().for_each(|victim| then.gain(&victim.charge));
-        then.holds(spec, &spec.charge())
+    pub(in crate::cell) fn fits_after_preemption(
+        &self,
+        candidate: &Candidate,
+        priority: u32,
+        spec: &Step,
+    ) -> bool {
+        let victims = self.victims(&candidate.name, priority);
+        let mut after_stops = candidate.clone();
+        victims.iter().for_each(|victim| after_stops.release(&victim.charge));
+        after_stops.has_room(spec, &spec.charge())
     }
 
     /// Runs at a worker that may be stopped for a job of this priority, the least urgent first.
@@ -135,24 +159,33 @@
 }
 
 /// The fewest of `victims`, in order, that make room for up to `most` tasks at a worker.
-fn plan(fit: &Fit, spec: &Step, most: u32, victims: Vec<Victim>) -> Plan {
+fn plan_preemption(
+    candidate: &Candidate,
+    spec: &Step,
+    most: u32,
+    victims: Vec<Victim>,
+) -> PreemptionPlan {
     let charge = spec.charge();
-    let mut fit = fit.clone();
+    let mut candidate = candidate.clone();
     let (mut tasks, mut stopped, mut needed) = (0, 0, 0);
     while tasks < most {
         match victims.get(stopped) {
-            _ if fit.holds(spec, &charge) => {
-                fit.free = fit.free.less(&charge);
-                fit.runs += 1;
+            _ if candidate.has_room(spec, &charge) => {
+                candidate.free = candidate.free.less(&charge);
+                candidate.step_runs += 1;
                 tasks += 1;
                 needed = stopped;
             }
             Some(victim) => {
-                fit.gain(&victim.charge);
+                candidate.release(&victim.charge);
                 stopped += 1;
             }
             None => break,
         }
     }
-    Plan { worker: fit.name, tasks, victims: victims.into_iter().take(needed).collect() }
+    PreemptionPlan {
+        worker: candidate.name,
+        tasks,
+        victims: victims.into_iter().take(needed).collect(),
+    }
 }
--- a/src/cell/placing/pressure.rs
+++ b/src/cell/placing/relaxation.rs
@@ -12,48 +12,48 @@
 
 /// After so long without a worker, though half of the room is free, a step goes where it would not go otherwise. By the
 /// platform's contract a task with room for it waits for 3 s at the most.
-const PATIENCE: Millis = Millis(2_000);
+const MAX_IDLE_TIME: Millis = Millis(2_000);
 
 /// After so long without a run a task that lasts goes wherever it may: the contract allows 9 s, and a question about it
 /// takes up to one second more, or three if its answer is lost.
-const LASTING_PATIENCE: Millis = Millis(2_000);
+const MAX_LASTING_IDLE: Millis = Millis(2_000);
 
 /// What a step need not mind any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::cell) enum Pressure {
+pub(in crate::cell) enum Relaxation {
     /// Nothing: it has not waited for long, or half of the processors are in use and it does not last.
     None,
     /// Workers that are set aside, for 16 s at the most, or left to a task that crashes workers, for as long as that
     /// runs; room that is gathered for a gang.
-    Processors,
+    Partial,
     /// Room that is kept for others, too: half of all room is free, or the step lasts, whose bound holds however full the
     /// service is. Beside accelerators that are mostly taken, a task that
     /// needs many would be passed by those that need few.
-    All,
+    Full,
 }
 
 impl Cell {
     /// How hard a step is pressed by its wait.
-    pub(in crate::cell) fn pressure(&self, now: Millis, job: &Job, key: StepKey) -> Pressure {
-        let Some(step) = job.step(key) else { return Pressure::None };
+    pub(in crate::cell) fn relaxation(&self, now: Millis, job: &Job, key: StepKey) -> Relaxation {
+        let Some(step) = job.step(key) else { return Relaxation::None };
         let idle = step.longest_idle();
-        if idle.is_some_and(|since| now.since(since) >= LASTING_PATIENCE) {
-            return Pressure::All;
+        if idle.is_some_and(|since| now.since(since) >= MAX_LASTING_IDLE) {
+            return Relaxation::Full;
         }
         let since = step.idle_since;
-        if since.is_none_or(|since| now.since(since) < PATIENCE) {
-            return Pressure::None;
+        if since.is_none_or(|since| now.since(since) < MAX_IDLE_TIME) {
+            return Relaxation::None;
         }
-        let (used, all) = self.usage_of(&job.queue.service);
+        let (used, all) = self.service_usage(&job.queue.service);
         match used.plus(&used) {
-            twice if twice.cpu >= all.cpu => Pressure::None,
-            twice if all.holds(&twice) => Pressure::All,
-            _ => Pressure::Processors,
+            twice if twice.cpu >= all.cpu => Relaxation::None,
+            twice if all.holds(&twice) => Relaxation::Full,
+            _ => Relaxation::Partial,
         }
     }
 
     /// What of a service's room is in use, and all of it.
-    fn usage_of(&self, service: &Name) -> (Room, Room) {
+    fn service_usage(&self, service: &Name) -> (Room, Room) {
         let heard = self.workers.values().filter(|worker| worker.heard);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
         let none = (Room::default(), Room::default());
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -6,8 +6,10 @@
 use crate::cell::jobs::stage::{is_paused, needs_settled};
 use crate::cell::jobs::why::Why;
 use crate::cell::mechanism::Mechanism;
-use crate::cell::placing::place::{Fit, Need, count_at, is_suitable, pick, pick_gang};
-use crate::cell::placing::pressure::Pressure;
+use crate::cell::placing::candidate::{
+    Candidate, UnplacedTasks, count_step_runs, is_suitable, pick_gang_workers, pick_worker,
+};
+use crate::cell::placing::relaxation::Relaxation;
 use crate::cell::workers::worker::{Phase, Run, Worker};
 use crate::cell::{Action, Cell, RUN_BITS};
 use crate::clock::Millis;
@@ -49,32 +51,32 @@
             let why = self.why(now, key, &[]);
             return self.note_wait(now, key, why);
         }
-        let allowed = self.allowed(job, spec, step.waiting.len());
+        let allowed = self.allowed_starts(job, spec, step.waiting.len());
         if allowed == 0 {
             self.reserved.release(key);
             return self.note_wait(now, key, Some(Why::Bound));
         }
         let spec = spec.clone();
         let waiting: Vec<u32> = step.waiting.iter().copied().take(allowed).collect();
-        let mut fits = match advice {
-            Some(_) => self.cleared(now, key, job, step, &spec),
-            None => self.open(now, key, job, &spec),
+        let mut candidates = match advice {
+            Some(_) => self.ticketed_candidates(now, key, job, step, &spec),
+            None => self.open_candidates(now, key, job, &spec),
         };
-        let waits_for_settled = self.leave_settled(key, &spec, &mut fits);
-        self.choose_home(key, &fits);
+        let waits_for_settled = self.retain_stable(key, &spec, &mut candidates);
+        self.choose_home_domain(key, &candidates);
         match spec.gang {
-            true => self.place_gang(now, key, &spec, &fits, waiting.len()),
-            false => self.place_tasks(now, key, &spec, &mut fits, &waiting),
+            true => self.place_gang(now, key, &spec, &candidates, waiting.len()),
+            false => self.place_tasks(now, key, &spec, &mut candidates, &waiting),
         }
         let left = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let left = left.map_or(0, |step| step.waiting.len());
         // What the workspace may not start yet needs no room, and no clearance that would run out meanwhile.
-        let rest = self.jobs.get(&key.job).map_or(0, |job| self.allowed(job, &spec, left));
+        let rest = self.jobs.get(&key.job).map_or(0, |job| self.allowed_starts(job, &spec, left));
         if rest > 0 {
-            let need = Need { step: key, spec: &spec, tasks: rest as u32 };
-            self.make_room(now, &need, &fits);
-            self.share_room(now, &need);
-            self.gather_room(now, &need);
+            let need = UnplacedTasks { step: key, spec: &spec, count: rest as u32 };
+            self.preempt_for(now, &need, &candidates);
+            self.reserve_shared_for(now, &need);
+            self.reserve_for_gang(now, &need);
         }
         match advice {
             _ if left == 0 => {
@@ -87,7 +89,7 @@
             Some(advice) if rest > 0 => self.question(now, key, &spec, advice, rest),
             _ => {}
         }
-        let why = self.why(now, key, &fits).map(|why| match why {
+        let why = self.why(now, key, &candidates).map(|why| match why {
             _ if rest == 0 => Why::Bound,
             Why::Crashes => why,
             _ if waits_for_settled => Why::NewWorkers,
@@ -97,74 +99,86 @@
     }
 
     /// The workers that may run a step.
-    pub(in crate::cell) fn open(
+    pub(in crate::cell) fn open_candidates(
         &self,
         now: Millis,
         key: StepKey,
         job: &Job,
         spec: &Step,
-    ) -> Vec<Fit> {
-        self.fits(now, key, job, spec, self.workers.iter())
+    ) -> Vec<Candidate> {
+        self.filter_candidates(now, key, job, spec, self.workers.iter())
     }
 
     /// The workers that may run a step and whose tickets for it hold.
-    fn cleared(
+    fn ticketed_candidates(
         &self,
         now: Millis,
         key: StepKey,
         job: &Job,
         step: &StepState,
         spec: &Step,
-    ) -> Vec<Fit> {
+    ) -> Vec<Candidate> {
         let tickets = step.advised.tickets(now + TICKET_SPARE);
         let known = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
-        self.fits(now, key, job, spec, known)
+        self.filter_candidates(now, key, job, spec, known)
     }
 
     /// The workers that may run a step as far as is known, whether their tickets hold or not.
-    pub(in crate::cell) fn known_good(&self, now: Millis, key: StepKey, spec: &Step) -> Vec<Fit> {
+    pub(in crate::cell) fn cleared_candidates(
+        &self,
+        now: Millis,
+        key: StepKey,
+        spec: &Step,
+    ) -> Vec<Candidate> {
         let Some(job) = self.jobs.get(&key.job) else { return Vec::new() };
         let Some(step) = job.step(key) else { return Vec::new() };
         if job.queue.advice.is_none() {
-            return self.open(now, key, job, spec);
+            return self.open_candidates(now, key, job, spec);
         }
         let names = step.advised.cleared.keys();
         let known = names.filter_map(|name| Some((name, self.workers.get(name)?)));
-        self.fits(now, key, job, spec, known)
+        self.filter_candidates(now, key, job, spec, known)
     }
 
     /// Those of some workers that may run a step, with the room that others leave to it.
-    fn fits<'a>(
+    fn filter_candidates<'a>(
         &self,
         now: Millis,
         key: StepKey,
         job: &Job,
         spec: &Step,
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
-    ) -> Vec<Fit> {
+    ) -> Vec<Candidate> {
         let rank = rank(job);
-        let minds = !self.bounds.off.has(Mechanism::Aside);
+        let skips_aside = !self.bounds.off.has(Mechanism::Aside);
         let is_quarantine =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
-        let pressure = self.pressure(now, job, key);
-        let aside = |worker: &Worker| {
-            pressure == Pressure::None && ((minds && worker.is_aside(now)) || is_quarantine(worker))
+        let relaxation = self.relaxation(now, job, key);
+        let is_excluded = |worker: &Worker| {
+            relaxation == Relaxation::None
+                && ((skips_aside && worker.is_aside(now)) || is_quarantine(worker))
         };
-        let open = workers.filter(|(_, worker)| worker.is_open(self.kept) && !aside(worker));
+        let open = workers.filter(|(_, worker)| worker.is_open(self.kept) && !is_excluded(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
-        let fit = |(name, worker)| {
-            let fit = Fit::new(now, name, worker);
-            let held = self.reserved.held(name, key, rank, spec.can_stop(), pressure);
-            let runs = if spec.apart == 0 { 0 } else { count_at(worker, key) };
-            let is_kept = self.reserved.gathers_at(name, key);
-            Fit { free: fit.free.less(&held), runs, is_kept, ..fit }
+        let candidate = |(name, worker)| {
+            let candidate = Candidate::new(now, name, worker);
+            let unavailable =
+                self.reserved.unavailable(name, key, rank, spec.can_stop(), relaxation);
+            let step_runs = if spec.apart == 0 { 0 } else { count_step_runs(worker, key) };
+            let is_reserved = self.reserved.has_gang_at(name, key);
+            Candidate {
+                free: candidate.free.less(&unavailable),
+                step_runs,
+                is_reserved,
+                ..candidate
+            }
         };
-        suitable.map(fit).collect()
+        suitable.map(candidate).collect()
     }
 
     /// Gives a job a failure domain, the one with the most idle processors: its tasks go there as
     /// far as there is room, so that a cut between failure domains holds up few jobs.
-    fn choose_home(&mut self, key: StepKey, fits: &[Fit]) {
+    fn choose_home_domain(&mut self, key: StepKey, candidates: &[Candidate]) {
         if self.bounds.off.has(Mechanism::Home) {
             return;
         }
@@ -172,8 +186,8 @@
             return;
         };
         let mut idle: BTreeMap<&Name, u64> = BTreeMap::new();
-        for fit in fits {
-            *idle.entry(&fit.domain).or_default() += fit.free.cpu;
+        for candidate in candidates {
+            *idle.entry(&candidate.domain).or_default() += candidate.free.cpu;
         }
         job.home = idle.into_iter().max_by_key(|(_, cpu)| *cpu).map(|(domain, _)| domain.clone());
     }
@@ -183,7 +197,7 @@
         now: Millis,
         key: StepKey,
         spec: &Step,
-        fits: &mut [Fit],
+        candidates: &mut [Candidate],
         waiting: &[u32],
     ) {
         let charge = spec.charge();
@@ -197,23 +211,30 @@
             }
             let home = job.home.as_ref().filter(|_| !spec.lasting);
             let needs_settled = needs_settled(&state.crashes);
-            let fit = match pick(fits, spec, home, state) {
-                Some(fit) => fit,
+            let candidate = match pick_worker(candidates, spec, home, state) {
+                Some(candidate) => candidate,
                 // The others may go to workers that have just started, too.
                 None if needs_settled => continue,
                 None => return,
             };
-            fit.free = fit.free.less(&charge);
-            fit.runs += 1;
-            fit.busy += 1;
-            let name = fit.name.clone();
-            let run = self.next_run(key, [*index]);
+            candidate.free = candidate.free.less(&charge);
+            candidate.step_runs += 1;
+            candidate.total_runs += 1;
+            let name = candidate.name.clone();
+            let run = self.next_run_number(key, [*index]);
             self.bind(now, task, &name, run, spec, "");
         }
     }
 
     /// Places all tasks of a gang, or none.
-    fn place_gang(&mut self, now: Millis, key: StepKey, spec: &Step, fits: &[Fit], waiting: usize) {
+    fn place_gang(
+        &mut self,
+        now: Millis,
+        key: StepKey,
+        spec: &Step,
+        candidates: &[Candidate],
+        waiting: usize,
+    ) {
         if waiting < spec.count as usize {
             return;
         }
@@ -223,9 +244,12 @@
             return;
         }
         let is_quarantined = members.any(|task| self.is_quarantined(task));
-        let Some(chosen) = pick_gang(fits, spec, home.as_ref(), is_quarantined) else { return };
-        let run = self.next_run(key, 0..spec.count);
-        let saved = self.gang_progress(key);
+        let Some(chosen) = pick_gang_workers(candidates, spec, home.as_ref(), is_quarantined)
+        else {
+            return;
+        };
+        let run = self.next_run_number(key, 0..spec.count);
+        let saved = self.saved_gang_progress(key);
         for (index, name) in chosen.iter().enumerate() {
             let task = TaskKey { step: key, index: index as u32 };
             self.bind(now, task, name, run, spec, &saved);
@@ -233,7 +257,7 @@
     }
 
     /// The saved progress of any member is good for the whole gang.
-    fn gang_progress(&self, key: StepKey) -> Name {
+    fn saved_gang_progress(&self, key: StepKey) -> Name {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let tasks = step.map(|step| step.tasks.as_slice()).unwrap_or_default();
         let saved = tasks.iter().map(|task| &task.saved).find(|saved| !saved.is_empty());
@@ -241,7 +265,7 @@
     }
 
     /// The number for a start: above all earlier ones of these tasks, in this epoch and before.
-    fn next_run(&self, key: StepKey, indices: impl IntoIterator<Item = u32>) -> u64 {
+    fn next_run_number(&self, key: StepKey, indices: impl IntoIterator<Item = u32>) -> u64 {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let runs = indices.into_iter().filter_map(|index| {
             let task = step?.tasks.get(index as usize)?;
@@ -256,7 +280,7 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut run = Run::bound(no, spec, Phase::Starting);
         run.since = now;
-        run.held = job.workspace.as_ref().map(|owner| self.usages.hold(owner, spec.room));
+        run.held = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
         let times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
         run.limit = times.and_then(|times| times.limit(spec.estimate));
         worker.add(task, run);
@@ -285,11 +309,11 @@
 
     /// Sends the starts whose bindings are in the store: the next owner has to know of them.
     pub(in crate::cell) fn send_starts(&mut self, now: Millis, kept: u64) {
-        self.send_if(now, |_, batch, _| batch <= kept);
+        self.send_starts_if(now, |_, batch, _| batch <= kept);
     }
 
     /// Sends the starts of accepted jobs that may go now; the others stay, in order.
-    fn send_if(&mut self, now: Millis, may_go: impl Fn(&Self, u64, TaskKey) -> bool) {
+    fn send_starts_if(&mut self, now: Millis, may_go: impl Fn(&Self, u64, TaskKey) -> bool) {
         let lease = self.bounds.lease;
         let unsent = std::mem::take(&mut self.unsent);
         let goes = |(batch, _, start): &(u64, Name, Start)| {
@@ -335,6 +359,8 @@
     pub fn send_unkept(&mut self, now: Millis) {
         // Crashes have to be counted in the store before the task starts again: through
         // outages that each end with a takeover it would start more often than is allowed.
-        self.send_if(now, |cell, batch, task| batch <= cell.kept || cell.crashes(task).is_empty());
+        self.send_starts_if(now, |cell, batch, task| {
+            batch <= cell.kept || cell.crashes(task).is_empty()
+        });
     }
 }
--- a/src/cell/placing/settled.rs
+++ b/src/cell/placing/stability.rs
@@ -6,35 +6,35 @@
 use crate::cell::Cell;
 use crate::cell::jobs::job::StepState;
 use crate::cell::jobs::stage::needs_settled;
-use crate::cell::placing::place::Fit;
+use crate::cell::placing::candidate::Candidate;
 use crate::clock::Millis;
 use crate::workload::{Step, StepKey};
 
 impl Cell {
     /// Leaves to a step the workers that its waiting tasks may go to; whether it has to wait for some of the others to
     /// have stayed up.
-    pub(in crate::cell) fn leave_settled(
+    pub(in crate::cell) fn retain_stable(
         &mut self,
         key: StepKey,
         spec: &Step,
-        fits: &mut Vec<Fit>,
+        candidates: &mut Vec<Candidate>,
     ) -> bool {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let Some((any, all)) = step.map(count_suspects) else { return false };
-        let new = fits.iter().filter(|fit| any && !fit.is_settled);
-        let times = new.filter_map(|fit| self.workers.get(&fit.name)?.settles_at());
+        let new = candidates.iter().filter(|candidate| any && !candidate.is_stable);
+        let times = new.filter_map(|candidate| self.workers.get(&candidate.name)?.settles_at());
         self.next_settled = times.chain(self.next_settled).min();
         // A gang starts whole.
         if all || (any && spec.gang) {
-            let before = fits.len();
-            fits.retain(|fit| fit.is_settled);
-            return fits.is_empty() && before > 0;
+            let before = candidates.len();
+            candidates.retain(|candidate| candidate.is_stable);
+            return candidates.is_empty() && before > 0;
         }
         false
     }
 
     /// A worker that steps wait for has stayed up by now.
-    pub(in crate::cell) fn note_settled(&mut self, now: Millis) {
+    pub(in crate::cell) fn check_stability(&mut self, now: Millis) {
         if self.next_settled.take_if(|at| now >= *at).is_some() {
             self.changed = true;
         }
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -26,12 +26,12 @@
 
 /// A run's part of its workspace's usage, given back when it is dropped.
 #[derive(Debug)]
-pub struct Held {
+pub struct UsageGuard {
     usage: Usage,
     room: Room,
 }
 
-impl Drop for Held {
+impl Drop for UsageGuard {
     fn drop(&mut self) {
         let mut used = self.usage.room();
         *used = used.less(&self.room);
@@ -40,28 +40,28 @@
 
 /// The usage of all workspaces in one cell, and their bounds: all jobs of a workspace with a bound are in one cell.
 #[derive(Debug, Default)]
-pub(in crate::cell) struct Usages {
-    used: HashMap<Name, Usage>,
+pub(in crate::cell) struct WorkspaceUsages {
+    by_workspace: HashMap<Name, Usage>,
     workspaces: Workspaces,
 }
 
-impl Usages {
+impl WorkspaceUsages {
     /// A workspace of the policy in force.
     pub fn workspace(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.workspaces.get(name)
     }
 
     /// Counts a run for its workspace.
-    pub fn hold(&mut self, workspace: &Name, room: Room) -> Held {
-        let usage = self.used.entry(workspace.clone()).or_default().clone();
+    pub fn acquire(&mut self, workspace: &Name, room: Room) -> UsageGuard {
+        let usage = self.by_workspace.entry(workspace.clone()).or_default().clone();
         let now = usage.room().plus(&room);
         *usage.room() = now;
-        Held { usage, room }
+        UsageGuard { usage, room }
     }
 
     /// What a workspace has running here.
     pub fn used(&self, workspace: &Name) -> Room {
-        match self.used.get(workspace) {
+        match self.by_workspace.get(workspace) {
             Some(usage) => *usage.room(),
             // No run of it was counted here yet.
             None => Room::default(),
@@ -70,18 +70,18 @@
 
     /// How many tasks of a size a workspace may start here, at most `most`. One task runs alone though it is larger
     /// than the bound: it would never run otherwise.
-    pub fn allowed(&self, workspace: &Workspace, room: &Room, most: usize) -> usize {
+    pub fn allowed_tasks(&self, workspace: &Workspace, room: &Room, max: usize) -> usize {
         let used = self.used(&workspace.name);
         let left = workspace.limit.less(&used);
-        let fits = |left: u64, each: u64| match each {
+        let quotient = |left: u64, each: u64| match each {
             // A task that takes none of it fits any number of times.
             0 => u64::MAX,
             each => left / each,
         };
-        let count = fits(left.cpu, room.cpu).min(fits(left.mem, room.mem));
-        let count = count.min(fits(left.gpu, room.gpu)).min(most as u64) as usize;
+        let count = quotient(left.cpu, room.cpu).min(quotient(left.mem, room.mem));
+        let count = count.min(quotient(left.gpu, room.gpu)).min(max as u64) as usize;
         match count {
-            0 if used == Room::default() => most.min(1),
+            0 if used == Room::default() => max.min(1),
             count => count,
         }
     }
@@ -95,10 +95,10 @@
     }
 
     /// How many tasks of a step the job's workspace may start now, of `most`. A gang starts whole or not at all.
-    pub(in crate::cell) fn allowed(&self, job: &Job, spec: &Step, most: usize) -> usize {
+    pub(in crate::cell) fn allowed_starts(&self, job: &Job, spec: &Step, max: usize) -> usize {
         let workspace = job.workspace.as_ref().and_then(|name| self.usages.workspace(name));
-        let Some(workspace) = workspace else { return most };
-        match self.usages.allowed(workspace, &spec.room, most) {
+        let Some(workspace) = workspace else { return max };
+        match self.usages.allowed_tasks(workspace, &spec.room, max) {
             count if spec.gang && count < spec.count as usize => 0,
             count => count,
         }
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -245,7 +245,7 @@
         let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::bound(row.run, &spec, Phase::Running(now));
-        run.held = owner.map(|owner| self.usages.hold(owner, spec.room));
+        run.held = owner.map(|owner| self.usages.acquire(owner, spec.room));
         (run.seen, run.is_sent, run.percent, run.since) = (true, true, row.percent, now);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.add(task, run);
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -1,6 +1,6 @@
 //! A worker at its owner: the room that is taken, what runs, and what is known of its health.
 
-use crate::cell::placing::usage::Held;
+use crate::cell::placing::usage::UsageGuard;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::{Life, Listed, Report, differ};
@@ -50,7 +50,7 @@
     /// What it takes.
     pub charge: Room,
     /// Its part of what its workspace has running.
-    pub held: Option<Held>,
+    pub held: Option<UsageGuard>,
     /// Where it stands.
     pub phase: Phase,
     /// A stop is under way to the worker.
