--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
 use sprucerudder::clock::Millis;
-use sprucerudder::platform::http::{Http, uri};
+use sprucerudder::platform::http::{HttpClient, uri};
 use sprucerudder::standin::process::Process;
 use sprucerudder::standin::site::Site;
 use std::path::PathBuf;
@@ -52,7 +52,7 @@
     Entry(Process::node(program, &path, &site.settings(0), &[], Stdio::null()).unwrap())
 }
 
-async fn submit(http: &Http, addr: &str, key: u64) -> StatusCode {
+async fn submit(http: &HttpClient, addr: &str, key: u64) -> StatusCode {
     let steps = json!([{"count": TASKS, "cpu": 300, "mem_mb": 50, "estimate_ms": LENGTH}]);
     let body = json!({"spec": LENGTH.to_string(), "steps": steps}).to_string();
     let request = Request::builder()
@@ -66,7 +66,7 @@
 }
 
 /// Submits jobs evenly for `time`; the number accepted.
-async fn load(http: &Http, addr: &str, from: u64, gap: Duration, time: Duration) -> u64 {
+async fn load(http: &HttpClient, addr: &str, from: u64, gap: Duration, time: Duration) -> u64 {
     let begun = Instant::now();
     let mut jobs = tokio::task::JoinSet::new();
     let mut no = 0;
@@ -83,7 +83,7 @@
 async fn measure(workers: usize) {
     let site = Site::start(HOST, PORT + workers as u16 * 10, workers).await.unwrap();
     let entry = start(&site);
-    let (http, addr) = (Http::default(), site.front(0));
+    let (http, addr) = (HttpClient::default(), site.front(0));
     while submit(&http, &addr, 1).await != StatusCode::OK {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
--- a/src/cmd/client.rs
+++ b/src/cmd/client.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::cmd::Refusal;
-use crate::platform::http::{Http, uri};
+use crate::platform::http::{HttpClient, uri};
 use anyhow::{Context, Result, bail};
 use bpaf::Bpaf;
 use bytes::Bytes;
@@ -29,13 +29,13 @@
 /// A client for one command.
 pub struct Client {
     target: Target,
-    http: Http,
+    http: HttpClient,
 }
 
 impl Client {
     /// A client of `target`.
     pub fn new(target: Target) -> Self {
-        Self { target, http: Http::default() }
+        Self { target, http: HttpClient::default() }
     }
 
     /// Calls the API and returns its JSON answer.
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -5,7 +5,7 @@
 use crate::cmd::{Refusal, Run};
 use crate::logs;
 use crate::node::Node;
-use crate::platform::settings::{Settings, VARIABLE};
+use crate::platform::settings::{SETTINGS_VARIABLE, Settings};
 use anyhow::{Context, Result};
 use bpaf::Bpaf;
 use simplelog::LevelFilter;
@@ -42,22 +42,22 @@
     fn run(self) -> Result<()> {
         let path = match self.settings {
             Some(path) => path,
-            None => std::env::var_os(VARIABLE)
+            None => std::env::var_os(SETTINGS_VARIABLE)
                 .map(PathBuf::from)
-                .with_context(|| format!("{VARIABLE} names no settings file"))?,
+                .with_context(|| format!("{SETTINGS_VARIABLE} names no settings file"))?,
         };
         let text = std::fs::read_to_string(&path)
             .with_context(|| format!("cannot read {}", path.display()))?;
         let mut settings =
             Settings::parse(&text).map_err(|err| Refusal(format!("{}: {err}", path.display())))?;
         if let Some(port) = self.metrics {
-            settings.metrics = format!("{}:{port}", settings.ip).into();
+            settings.metrics_addr = format!("{}:{port}", settings.ip).into();
         }
         if let Some(addr) = self.advertise {
-            settings.advertise = addr.into();
+            settings.advertised_addr = addr.into();
         }
-        settings.cell_size = self.cell_workers;
-        settings.off = self.without;
+        settings.min_workers = self.cell_workers;
+        settings.disabled = self.without;
         logs::start(self.log);
         runtime(settings.cores)?.block_on(serve(settings, path))
     }
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -3,7 +3,7 @@
 use crate::check;
 use crate::clock::Millis;
 use crate::cmd::{Refusal, Run, runtime};
-use crate::platform::http::{Http, uri};
+use crate::platform::http::{HttpClient, uri};
 use crate::server::{TRACE_PATH, TraceRequest};
 use crate::trace::{Event, Stamp};
 use anyhow::{Context, Result, bail};
@@ -44,7 +44,7 @@
 async fn run(args: TimelineArgs) -> Result<()> {
     let mut events = Vec::new();
     for addr in &args.addrs {
-        let found = fetch(&Http::default(), *addr, &args.token).await;
+        let found = fetch(&HttpClient::default(), *addr, &args.token).await;
         events.extend(found.with_context(|| format!("no time line from {addr}"))?);
     }
     events.sort_by(|a, b| (a.at, &a.who).cmp(&(b.at, &b.who)));
@@ -67,7 +67,7 @@
 }
 
 /// The whole time line of one process.
-pub async fn fetch(http: &Http, addr: SocketAddr, token: &str) -> Result<Vec<Event>> {
+pub async fn fetch(http: &HttpClient, addr: SocketAddr, token: &str) -> Result<Vec<Event>> {
     let ask = TraceRequest { since: Stamp(0), max: usize::MAX };
     let addr = addr.to_string();
     let request = Request::builder()
--- a/src/demo/cell.rs
+++ b/src/demo/cell.rs
@@ -4,7 +4,7 @@
 use crate::controller::list::{Role, Vm, VmList};
 use crate::entry::Entry;
 use crate::id::Name;
-use crate::platform::http::{Answer, Http, uri};
+use crate::platform::http::{HttpClient, HttpResponse, uri};
 use crate::server::serve;
 use crate::settings::Settings;
 use crate::size::Size;
@@ -50,7 +50,7 @@
     /// All workers' processors together, in thousandths of a core.
     pub cpu: u64,
     traces: Vec<Arc<Trace>>,
-    http: Http,
+    http: HttpClient,
     stop: watch::Sender<bool>,
 }
 
@@ -75,7 +75,7 @@
             entries: Vec::new(),
             cpu: 0,
             traces: Vec::new(),
-            http: Http::default(),
+            http: HttpClient::default(),
             stop: watch::Sender::new(false),
         };
         tokio::spawn(serve(listener, platform.app(), stopped(cell.stop.subscribe())));
@@ -190,7 +190,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Result<Answer> {
+    ) -> Result<HttpResponse> {
         let addr = addr.to_string();
         let mut builder = Request::builder()
             .method(method)
--- a/src/entry/beat.rs
+++ b/src/entry/beat.rs
@@ -169,7 +169,7 @@
             let addr = &self.settings.platform.list;
             let ask = lock(&self.lists).newest().rev;
             let me = &self.me.name;
-            let list = self.http.post_as(me, addr, "/list", &ask, LIST_LIMIT).await;
+            let list = self.http.post_json(me, addr, "/list", &ask, LIST_LIMIT).await;
             if list.is_ok() != up {
                 up = !up;
                 self.trace.add(What::Platform { part: "list".into(), up });
--- a/src/entry/log.rs
+++ b/src/entry/log.rs
@@ -217,7 +217,7 @@
     async fn read(&self, ask: &ReadRequest) -> Result<ReadReply, HttpError> {
         let addr = &self.settings.platform.log;
         let limit = LOG_LIMIT + READ_WAIT;
-        self.http.post_as(&self.me.name, addr, "/log/read", ask, limit).await
+        self.http.post_json(&self.me.name, addr, "/log/read", ask, limit).await
     }
 
     fn take_read(self: &Arc<Self>, from: u64, begun: Millis, reply: ReadReply) {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -28,7 +28,7 @@
 use crate::controller::shard::office::Answer;
 use crate::controller::slots::{Lender, Slots, Turn};
 use crate::id::{EntryId, Name};
-use crate::platform::http::Http;
+use crate::platform::http::HttpClient;
 use crate::server::serve;
 use crate::settings::Settings;
 use crate::table::Table;
@@ -114,7 +114,7 @@
     pub(crate) settings: Settings,
     pub(crate) me: EntryId,
     pub(crate) trace: Arc<Trace>,
-    pub(crate) http: Http,
+    pub(crate) http: HttpClient,
     pub(crate) quic: Arc<Quic>,
     pub(crate) metrics: Metrics,
     fold: Mutex<Fold>,
@@ -162,7 +162,7 @@
             settings,
             me: me.clone(),
             trace,
-            http: Http::default(),
+            http: HttpClient::default(),
             quic,
             metrics: Metrics::new()?,
             fold: Mutex::new(Fold::new(domain.clone())),
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -310,11 +310,11 @@
         let reply = match message {
             Tellable::Start(mut order) => {
                 order.stamp = self.trace.stamp();
-                self.http.post_as(me, addr, "/start", &order, WORKER_LIMIT).await
+                self.http.post_json(me, addr, "/start", &order, WORKER_LIMIT).await
             }
             Tellable::Stop(task) => {
                 let order = StopOrder { task };
-                self.http.post_as(me, addr, "/stop", &order, WORKER_LIMIT).await
+                self.http.post_json(me, addr, "/stop", &order, WORKER_LIMIT).await
             }
         };
         reply.ok()
@@ -351,7 +351,7 @@
     }
 
     async fn sync(&self, addr: &str, order: &SyncOrder) -> Option<Report> {
-        self.http.post_as(&self.me.name, addr, "/sync", order, WORKER_LIMIT).await.ok()
+        self.http.post_json(&self.me.name, addr, "/sync", order, WORKER_LIMIT).await.ok()
     }
 
     /// Renews leases from a replica while the owner is not heard: a renewal starts nothing.
--- a/src/filter/forward.rs
+++ b/src/filter/forward.rs
@@ -2,8 +2,8 @@
 
 use crate::entry::{Entry, Slot};
 use crate::filter::{Classified, hold, not_run};
-use crate::platform::http::{Answer, HttpError, uri};
-use crate::platform::http::{REQUEST_HEADER, STATE_HEADER};
+use crate::platform::http::{HttpError, HttpResponse, uri};
+use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
 use crate::trace::What;
 use crate::wire::msg::{Reason, Refused, Run};
 use http_body_util::Full;
@@ -22,7 +22,7 @@
     entry: &Arc<Entry>,
     classified: &Classified,
     slot: Slot,
-) -> Result<Answer, Refused> {
+) -> Result<HttpResponse, Refused> {
     entry.deposit_retry();
     let mut slot = slot;
     let mut run = Run::No;
@@ -52,7 +52,7 @@
     entry: &Entry,
     classified: &Classified,
     slot: &mut Slot,
-) -> Result<Answer, HttpError> {
+) -> Result<HttpResponse, HttpError> {
     let exchange = &classified.exchange;
     let unsent = || HttpError::Connect(slot.runner.to_string());
     let addr = entry.runner_addr(&slot.runner).ok_or_else(unsent)?;
@@ -61,13 +61,13 @@
     for (name, value) in &exchange.headers {
         builder = builder.header(name, value.as_slice());
     }
-    let builder = builder.header(REQUEST_HEADER, &*exchange.id);
+    let builder = builder.header(REQUEST_ID_HEADER, &*exchange.id);
     let request = builder.body(Full::from(exchange.body.clone())).map_err(|_| unsent())?;
     let (id, runner) = (exchange.id.clone(), slot.runner.clone());
     entry.trace.add(What::RequestSent { request: id, runner });
     let answer = entry.http.send(&addr, request, classified.due.since(entry.now())).await?;
     slot.reached = true;
-    if answer.headers.get(STATE_HEADER).is_some_and(|state| state == "leaving") {
+    if answer.headers.get(UPSTREAM_STATE_HEADER).is_some_and(|state| state == "leaving") {
         entry.runner_leaves(&slot.runner);
     }
     Ok(answer)
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -13,7 +13,7 @@
 use crate::clock::Millis;
 use crate::entry::Entry;
 use crate::id::Name;
-use crate::platform::http::Answer;
+use crate::platform::http::HttpResponse;
 use crate::table::Row;
 use crate::trace::What;
 use crate::wire::msg::{Forward, Forwarded, Reason, Refused, Run};
@@ -124,7 +124,7 @@
     result.map(whole)
 }
 
-fn whole(answer: Answer) -> Forwarded {
+fn whole(answer: HttpResponse) -> Forwarded {
     let content = answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     Forwarded::Whole {
         status: answer.status.as_u16(),
--- a/src/node/call.rs
+++ b/src/node/call.rs
@@ -60,9 +60,9 @@
         };
         let reply = match &answer {
             Ok(Tell::Accepted) => return Reply::Accepted,
-            Ok(Tell::Refused(Refused::NotYours)) => Reply::NotYours,
+            Ok(Tell::Refused(Refused::NotYours)) => Reply::OtherWorkspace,
             Ok(Tell::Refused(_)) | Err(AskError::Unsent) => Reply::Busy { after },
-            Ok(_) | Err(AskError::Unknown) => Reply::InDoubt,
+            Ok(_) | Err(AskError::Unknown) => Reply::Unconfirmed,
         };
         log::info!(
             "event=not-accepted job={job} cell={} queue={} policy={} answer={answer:?} waited_ms={} \
@@ -77,7 +77,7 @@
 
     /// The job in a request; an error says what is wrong with it.
     async fn read(&self, request: Request<Incoming>) -> Result<Work, String> {
-        let body = Limited::new(request.into_body(), self.policy.limits.body).collect();
+        let body = Limited::new(request.into_body(), self.policy.limits.body_bytes).collect();
         let left = self.until - self.view.now();
         let body = match tokio::time::timeout(left.duration(), body).await {
             Ok(body) => body.map_err(|err| err.to_string())?.to_bytes(),
@@ -125,7 +125,7 @@
             Ok(Tell::Cancelled(true)) => Reply::Accepted,
             Ok(Tell::Cancelled(false)) => Reply::NoJob,
             Ok(Tell::Refused(_)) | Err(AskError::Unsent) => Reply::Busy { after: admission::LEAST },
-            Ok(_) | Err(AskError::Unknown) => Reply::InDoubt,
+            Ok(_) | Err(AskError::Unknown) => Reply::Unconfirmed,
         };
         log::info!("event=cancel job={} cell={} reply={reply:?}", self.job, self.view.cell);
         reply
--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -5,14 +5,14 @@
 use crate::id::{Name, hash};
 use crate::node::view::View;
 use crate::node::{Node, STORE_RETRY};
-use crate::platform::store::{Guard, Part, StoreError, put_keyed};
+use crate::platform::store::{Partition, Precondition, StoreError, encode_keyed};
 use crate::workload::JobKey;
 use bytes::BytesMut;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// The topic that holds the map, and its key there.
-const MAP: Part<'static> = Part { topic: "keyed.map", part: 0 };
+const MAP: Partition<'static> = Partition { topic: "keyed.map", index: 0 };
 const KEY: &str = "map";
 /// The longest wait for the store's answer to a write.
 const LIMIT: Millis = Millis(2_000);
@@ -102,13 +102,13 @@
             tokio::time::sleep(SETTLE.duration()).await;
             return Ok(None);
         }
-        let map = CellMap::new(&listed, self.settings.cell_size);
+        let map = CellMap::new(&listed, self.settings.min_workers);
         let bytes = postcard::to_stdvec(&map);
         let bytes = bytes.map_err(|err| StoreError::Malformed(err.to_string()))?;
         let mut body = BytesMut::new();
-        put_keyed(&mut body, KEY, &bytes);
+        encode_keyed(&mut body, KEY, &bytes);
         let cells = map.cells();
-        match self.store.append(MAP, Guard::End(end), body.freeze(), LIMIT).await {
+        match self.store.append(MAP, Precondition::End(end), body.freeze(), LIMIT).await {
             Ok(_) => log::info!("event=map-made cells={cells} workers={}", listed.len()),
             Err(err) => log::info!("event=map-not-made cells={cells} error={err:?}"),
         }
@@ -123,7 +123,7 @@
 
     /// The map, if there is one that can be read, and where its topic ends.
     async fn read_map(&self) -> Result<(Option<CellMap>, u64), StoreError> {
-        let (items, end) = self.store.newest_all(MAP, MAP_LIMIT).await?;
+        let (items, end) = self.store.latest_all(MAP, MAP_LIMIT).await?;
         let Some(item) = items.iter().find(|item| *item.key == *KEY) else {
             return Ok((None, end));
         };
--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -5,7 +5,7 @@
 use crate::id::hash;
 use crate::node::view::View;
 use crate::node::{STORE_RETRY, lock};
-use crate::platform::store::{Guard, StoreError, put_record};
+use crate::platform::store::{Precondition, StoreError, encode_record};
 use bytes::BytesMut;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -154,7 +154,7 @@
             election.claim(self.now())
         };
         let Some(end) = end else { return };
-        let (owner, addr) = (self.node.me.clone(), self.node.settings.advertise.clone());
+        let (owner, addr) = (self.node.me.clone(), self.node.settings.advertised_addr.clone());
         let record = Record::Claim { owner, addr };
         let cell = self.cell;
         match self.append_claim(end, &record, APPEND_LIMIT).await {
@@ -182,10 +182,11 @@
         let bytes = postcard::to_stdvec(record);
         let bytes = bytes.map_err(|err| StoreError::Malformed(err.to_string()))?;
         let mut body = BytesMut::new();
-        put_record(&mut body, &bytes);
+        encode_record(&mut body, &bytes);
         let mut topic = TOPIC.to_string();
         let part = self.part(&mut topic);
-        let done = self.node.store.append(part, Guard::End(end), body.freeze(), limit).await?;
+        let done =
+            self.node.store.append(part, Precondition::End(end), body.freeze(), limit).await?;
         lock(&self.election).add(self.now(), done.offset, record.clone());
         let leader = lock(&self.election).leader().cloned();
         self.set_leader(leader);
@@ -198,9 +199,9 @@
         while self.is_leader(epoch) && !self.has_given_up(epoch) {
             let sent = self.now();
             let end = lock(&self.election).end();
-            let (owner, addr) = (self.node.me.clone(), self.node.settings.advertise.clone());
+            let (owner, addr) = (self.node.me.clone(), self.node.settings.advertised_addr.clone());
             let largest = self.owner_of(epoch).map_or(0, |owner| owner.largest());
-            let most = largest.max(self.node.settings.cpu);
+            let most = largest.max(self.node.settings.millicores);
             let beat = Record::Beat { epoch, owner, addr, most };
             match self.append_claim(end, &beat, limit).await {
                 Ok(()) => {
@@ -210,7 +211,7 @@
                     }
                     tokio::time::sleep(BEAT.duration()).await;
                 }
-                Err(StoreError::Moved(_)) => tokio::time::sleep(OVERTAKEN.duration()).await,
+                Err(StoreError::EndMismatch(_)) => tokio::time::sleep(OVERTAKEN.duration()).await,
                 Err(err) => {
                     log::debug!("event=beat-failed cell={} epoch={epoch} error={err:?}", self.cell);
                     if let Some(owner) = self.owner_of(epoch) {
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::node::call::{Call, pending};
 use crate::platform::config::{Policy, Route};
-use crate::platform::front::{Reply, deadline, host, key};
+use crate::platform::front::{Reply, api_key, deadline, host};
 use crate::workload::JobKey;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -78,8 +78,8 @@
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time.max(limits.idle_time).duration())
-        .max_buf_size(limits.head.max(8_192));
+        .header_read_timeout(limits.header_timeout.max(limits.idle_timeout).duration())
+        .max_buf_size(limits.header_bytes.max(8_192));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
@@ -124,18 +124,18 @@
         let reply = if is_fresh(age) { Reply::NoQueue } else { Reply::Busy { after: LEAST } };
         return ("none", reply);
     };
-    let workspace = match node.access(&policy, route, key(&request), age) {
+    let workspace = match node.access(&policy, route, api_key(&request), age) {
         Access::Granted(workspace) => workspace.map(|workspace| workspace.name.clone()),
         denied => {
             let reply = match denied {
                 Access::Unsure => Reply::Busy { after: LEAST },
-                _ => Reply::NoKey,
+                _ => Reply::InvalidKey,
             };
             log::info!(
                 "event=denied queue={} policy={} age_ms={age} has_key={} reply={reply:?}",
                 route.queue.name,
                 policy.version,
-                key(&request).is_some()
+                api_key(&request).is_some()
             );
             return ("denied", reply);
         }
@@ -167,8 +167,8 @@
     /// Whether a caller may call on a route with its key.
     fn access(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
         // By the settings too: a policy that was written without workspaces would let anybody in.
-        match policy.has_keys || self.settings.has_workspaces {
-            true => access(&policy.workspaces, route.is_open, key, age),
+        match policy.requires_keys || self.settings.has_workspaces {
+            true => access(&policy.workspaces, route.is_anonymous, key, age),
             false => Access::Granted(None),
         }
     }
--- a/src/node/link.rs
+++ b/src/node/link.rs
@@ -201,7 +201,7 @@
             is_closed: AtomicBool::new(false),
             pause: self.ping_pause(),
         });
-        let (entry, cpu) = (self.me().clone(), self.node.settings.cpu);
+        let (entry, cpu) = (self.me().clone(), self.node.settings.millicores);
         let (cell, epoch) = (self.cell, leader.epoch);
         let (is_home, word) = (self.is_home, self.word());
         let hello = Ask::Hello { entry, cell, epoch, cpu, is_home, word };
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -17,11 +17,11 @@
 use crate::clock::{Clock, Millis};
 use crate::id::{EntryId, Name};
 use crate::order::Cleared;
-use crate::platform::advice::Adviser;
+use crate::platform::advice::AdviceClient;
 use crate::platform::config::Policy;
-use crate::platform::http::Http;
+use crate::platform::http::HttpClient;
 use crate::platform::settings::Settings;
-use crate::platform::store::Store;
+use crate::platform::store::StoreClient;
 use crate::workload::StepKey;
 use cells::Cells;
 use metrics::Metrics;
@@ -57,9 +57,9 @@
     me: EntryId,
     settings: Settings,
     clock: Clock,
-    http: Http,
-    store: Store,
-    adviser: Option<Adviser>,
+    http: HttpClient,
+    store: StoreClient,
+    adviser: Option<AdviceClient>,
     metrics: Metrics,
     policy: watch::Sender<Arc<Policy>>,
     /// When the policy was last known to be the operators' newest.
@@ -92,12 +92,12 @@
     /// See [`NodeError`].
     pub async fn run(settings: Settings, stop: watch::Receiver<bool>) -> Result<(), NodeError> {
         let me = EntryId { name: settings.name.clone(), inc: Millis::now().0 };
-        let http = Http::default();
+        let http = HttpClient::default();
         let clock = Clock::default();
         let node = Arc::new(Self {
             history: Mutex::new(History::new(clock.now())),
-            store: Store::new(http.clone(), settings.store.clone()),
-            adviser: settings.advice.clone().map(|addr| Adviser::new(http.clone(), addr)),
+            store: StoreClient::new(http.clone(), settings.store_addr.clone()),
+            adviser: settings.advice_addr.clone().map(|addr| AdviceClient::new(http.clone(), addr)),
             metrics: Metrics::new()?,
             policy: watch::channel(Arc::new(Policy::default())).0,
             policy_read: Mutex::default(),
@@ -112,16 +112,16 @@
     }
 
     async fn serve(self: Arc<Self>, stop: watch::Receiver<bool>) -> Result<(), NodeError> {
-        let front = listen(&self.settings.front).await?;
-        let ready = listen(&self.settings.ready).await?;
-        let peer = listen(&self.settings.peer).await?;
-        let metrics = listen(&self.settings.metrics).await?;
+        let front = listen(&self.settings.front_addr).await?;
+        let ready = listen(&self.settings.ready_addr).await?;
+        let peer = listen(&self.settings.peer_addr).await?;
+        let metrics = listen(&self.settings.metrics_addr).await?;
         log::info!(
             "event=up entry={} domain={} front={} store={}",
             self.me,
             self.settings.domain,
-            self.settings.front,
-            self.settings.store
+            self.settings.front_addr,
+            self.settings.store_addr
         );
         let (close, closed) = watch::channel(false);
         let (never, open) = watch::channel(false);
@@ -143,7 +143,7 @@
     }
 
     fn lease(&self) -> Millis {
-        LEASE.min(self.settings.lease_max)
+        LEASE.min(self.settings.max_lease)
     }
 
     fn policy(&self) -> Arc<Policy> {
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -84,8 +84,9 @@
             self.now().since(begun)
         );
         let node = &self.node;
-        let (lease, keep, off) = (node.lease(), node.settings.keep, node.settings.off);
-        let bounds = Bounds { lease, lease_max: node.settings.lease_max, keep, off };
+        let (lease, keep, off) =
+            (node.lease(), node.settings.job_retention, node.settings.disabled);
+        let bounds = Bounds { lease, lease_max: node.settings.max_lease, keep, off };
         let policy = node.policy();
         let mut cell = Cell::new(epoch, bounds, policy.queues.clone(), snapshot, doubt, self.now());
         cell.set_workspaces(policy.workspaces.clone());
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -6,7 +6,7 @@
 use crate::node::view::View;
 use crate::node::{STORE_RETRY, lock};
 use crate::order::Listed;
-use crate::platform::store::{Guard, StoreError, put_keyed};
+use crate::platform::store::{Precondition, StoreError, encode_keyed};
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -44,7 +44,7 @@
 fn body(records: &[&(String, Vec<u8>)]) -> Bytes {
     let mut body = BytesMut::new();
     for (key, value) in records {
-        put_keyed(&mut body, key, value);
+        encode_keyed(&mut body, key, value);
     }
     body.freeze()
 }
@@ -68,17 +68,17 @@
     }
 
     async fn try_recover(&self, epoch: u64) -> Result<(Snapshot, Vec<Listed>), StoreError> {
-        let guard = Guard::Producer { name: PRODUCER, epoch, seq: 0 };
+        let guard = Precondition::Producer { name: PRODUCER, epoch, seq: 0 };
         let mut topic = TOPIC.to_string();
         let part = self.part(&mut topic);
         let store = &self.node.store;
         match store.append(part, guard, Bytes::new(), APPEND_LIMIT).await {
             // The fence is there already: its first answer was lost. A later epoch would be
             // `Fenced`. Without this the takeover waited for good.
-            Ok(_) | Err(StoreError::Sequence) => {}
+            Ok(_) | Err(StoreError::OutOfSequence) => {}
             Err(err) => return Err(err),
         }
-        let (items, _) = store.newest_all(part, READ_LIMIT).await?;
+        let (items, _) = store.latest_all(part, READ_LIMIT).await?;
         let mut snapshot = Snapshot::default();
         for item in items {
             if let Err(err) = snapshot.add(&item.key, &item.value) {
@@ -143,7 +143,7 @@
         let mut may_be_there = false;
         let begun = self.node.now();
         loop {
-            let guard = Guard::Producer { name: PRODUCER, epoch: self.epoch, seq };
+            let guard = Precondition::Producer { name: PRODUCER, epoch: self.epoch, seq };
             let body = body(&records);
             let mut topic = TOPIC.to_string();
             let part = self.view.part(&mut topic);
--- a/src/node/owner/transfer.rs
+++ b/src/node/owner/transfer.rs
@@ -63,10 +63,10 @@
     /// Hands the cell over once an entry with far more processors could own it, or once this one
     /// does not keep up and another one could.
     pub(super) async fn transfer_when_slow(self: Arc<Self>) {
-        if self.node.settings.off.has(Mechanism::Transfer) {
+        if self.node.settings.disabled.has(Mechanism::Transfer) {
             return std::future::pending().await;
         }
-        let cpu = self.node.settings.cpu;
+        let cpu = self.node.settings.millicores;
         loop {
             tokio::time::sleep(SIZE_LOOK.duration()).await;
             let now = self.node.now();
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -8,14 +8,14 @@
 use crate::node::view::View;
 use crate::node::{Node, lock};
 use crate::order::{Listed, Outcome};
-use crate::platform::store::{Part, StoreError, split_keyed};
-use crate::platform::worker::{self, Worker};
+use crate::platform::store::{Partition, StoreError, decode_keyed};
+use crate::platform::worker::{self, WorkerClient};
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
 /// The topic in which workers list themselves.
-const WORKERS: Part<'static> = Part { topic: worker::TOPIC, part: 0 };
+const WORKERS: Partition<'static> = Partition { topic: worker::TOPIC, index: 0 };
 /// Time between two looks at the list of workers. Each worker rewrites its entry every 1.5 s, so
 /// waiting for the next record would return at once.
 const LIST_EVERY: Millis = Millis(400);
@@ -43,14 +43,14 @@
 impl Node {
     /// Reads the whole list of workers, and where it ends.
     pub(in crate::node) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
-        let (items, end) = self.store.newest_all(WORKERS, READ_LIMIT).await?;
+        let (items, end) = self.store.latest_all(WORKERS, READ_LIMIT).await?;
         let items = items.into_iter().filter(|item| !item.value.is_empty());
         Ok((items.filter_map(|item| read_worker(item.key, &item.value)).collect(), end))
     }
 }
 
 fn read_worker(id: Name, value: &[u8]) -> Option<Listed> {
-    match worker::parse_listed(id.clone(), value) {
+    match worker::parse_worker_entry(id.clone(), value) {
         Ok(listed) => Some(listed),
         Err(err) => {
             log::warn!("event=worker-unreadable worker={id} error={err}");
@@ -133,9 +133,9 @@
         self.wake.notify_one();
     }
 
-    fn client(&self, name: &Name) -> Option<Worker> {
+    fn client(&self, name: &Name) -> Option<WorkerClient> {
         let addr = lock(&self.cell).addr(name)?;
-        Some(Worker::new(self.node.http.clone(), addr, name.clone(), self.epoch))
+        Some(WorkerClient::new(self.node.http.clone(), addr, name.clone(), self.epoch))
     }
 
     /// Asks a worker for reports as long as the cell knows it.
@@ -153,7 +153,7 @@
             let Some(client) = self.client(&name) else { return };
             let timeouts = lock(&self.lag).timeouts();
             let held = tokio::select! {
-                held = client.hold(hold.seen, hold.until, wait, wait + timeouts.report) => held,
+                held = client.renew(hold.seen, hold.until, wait, wait + timeouts.report) => held,
                 () = look.notified() => {
                     wait = Millis(0);
                     continue;
@@ -239,7 +239,7 @@
         let mut changed = false;
         for (offset, record) in read.records {
             *next = offset + 1;
-            let Some((id, value)) = split_keyed(&record) else { continue };
+            let Some((id, value)) = decode_keyed(&record) else { continue };
             let listed = match value.is_empty() {
                 true => None,
                 false => read_worker(id.clone(), &value).filter(|listed| self.view.has(listed)),
--- a/src/node/policy.rs
+++ b/src/node/policy.rs
@@ -3,11 +3,11 @@
 use crate::clock::Millis;
 use crate::node::{Node, STORE_RETRY, lock};
 use crate::platform::config::{KEY, Policy, TOPIC};
-use crate::platform::store::{Part, StoreError, split_keyed};
+use crate::platform::store::{Partition, StoreError, decode_keyed};
 use std::sync::Arc;
 
 /// The operators' records.
-const OPERATORS: Part<'static> = Part { topic: TOPIC, part: 0 };
+const OPERATORS: Partition<'static> = Partition { topic: TOPIC, index: 0 };
 /// How long a read waits for the next record of the operators: a silent connection is noticed
 /// within this time, and a change must be in force within two seconds.
 const POLICY_WAIT: Millis = Millis(1_000);
@@ -40,7 +40,7 @@
 
     /// Reads the newest policy.
     async fn read_policy(&self) -> Result<u64, StoreError> {
-        let (items, end) = self.store.newest_all(OPERATORS, POLICY_WAIT + READ_SPARE).await?;
+        let (items, end) = self.store.latest_all(OPERATORS, POLICY_WAIT + READ_SPARE).await?;
         if let Some(item) = items.iter().find(|item| *item.key == *KEY) {
             self.set_policy(&item.value);
         }
@@ -52,7 +52,7 @@
         let limit = POLICY_WAIT + READ_SPARE;
         let read = self.store.read(OPERATORS, from, POLICY_WAIT, limit).await?;
         let end = read.records.last().map_or(from, |(offset, _)| offset + 1);
-        let keyed = read.records.iter().filter_map(|(_, record)| split_keyed(record));
+        let keyed = read.records.iter().filter_map(|(_, record)| decode_keyed(record));
         if let Some((_, value)) = keyed.filter(|(key, _)| **key == *KEY).last() {
             self.set_policy(&value);
         }
--- a/src/node/stop.rs
+++ b/src/node/stop.rs
@@ -56,7 +56,7 @@
             transfers.spawn(async move { view.transfer(&owner, false).await });
         }
         transfers.join_all().await;
-        let grace = self.settings.grace;
+        let grace = self.settings.stop_grace;
         while self.now().since(begun) < UNLISTED.min(grace - LAST) {
             tokio::time::sleep(LOOK.duration()).await;
         }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -9,7 +9,7 @@
 use crate::node::msg::{Ask, Refused, Tell};
 use crate::node::owner::Owner;
 use crate::node::{Node, lock};
-use crate::platform::store::Part;
+use crate::platform::store::Partition;
 use crate::workload::JobKey;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -65,7 +65,7 @@
 impl View {
     /// Nothing is known of the cell yet.
     pub fn new(node: Arc<Node>, cell: u32, cells: u32, is_home: bool) -> Self {
-        let election = Election::new(node.me.clone(), node.settings.cpu, node.now());
+        let election = Election::new(node.me.clone(), node.settings.millicores, node.now());
         Self {
             node,
             cell,
@@ -97,12 +97,12 @@
 
     /// The cell's part of one of the project's topics in the store. Cells beyond the parts of one
     /// topic have the next one.
-    pub fn part<'a>(&self, topic: &'a mut String) -> Part<'a> {
-        let parts = self.node.settings.parts.max(1);
+    pub fn part<'a>(&self, topic: &'a mut String) -> Partition<'a> {
+        let parts = self.node.settings.partitions.max(1);
         if self.cell >= parts {
             topic.push_str(&(self.cell / parts).to_string());
         }
-        Part { topic, part: self.cell % parts }
+        Partition { topic, index: self.cell % parts }
     }
 
     /// The owner here, if it is that of an epoch.
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::Cleared;
-use crate::platform::http::{Http, HttpError, uri};
+use crate::platform::http::{HttpClient, HttpError, uri};
 use crate::workload::StepKey;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most workers that one question may name.
-pub const MAX_NAMED: usize = 100;
+pub const MAX_WORKERS: usize = 100;
 
 #[derive(Serialize)]
 struct RawQuestion<'a> {
@@ -31,14 +31,14 @@
 
 /// The service's client.
 #[derive(Debug, Clone)]
-pub struct Adviser {
-    http: Http,
+pub struct AdviceClient {
+    http: HttpClient,
     addr: Name,
 }
 
-impl Adviser {
+impl AdviceClient {
     /// A client of the service at `addr`.
-    pub fn new(http: Http, addr: Name) -> Self {
+    pub fn new(http: HttpClient, addr: Name) -> Self {
         Self { http, addr }
     }
 
@@ -55,8 +55,8 @@
         let malformed = |err: &dyn std::fmt::Display| {
             HttpError::Malformed(self.addr.to_string(), err.to_string())
         };
-        let ask = RawQuestion { step: step.to_string(), workers };
-        let body = serde_json::to_vec(&ask).map_err(|err| malformed(&err))?;
+        let question = RawQuestion { step: step.to_string(), workers };
+        let body = serde_json::to_vec(&question).map_err(|err| malformed(&err))?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(uri(&self.addr, "/advise")?)
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct RawBound {
+struct RawResourceLimit {
     cpu: u64,
     mem_mb: u64,
     gpu: u64,
@@ -65,7 +65,7 @@
     weight: u32,
     /// 0 is no bound.
     #[serde(default)]
-    upper_bound: RawBound,
+    upper_bound: RawResourceLimit,
 }
 
 #[derive(Debug, Deserialize)]
@@ -112,26 +112,31 @@
     /// The queue.
     pub queue: Arc<Queue>,
     /// Anybody may call; else a caller bears the key of a workspace.
-    pub is_open: bool,
+    pub is_anonymous: bool,
 }
 
 /// Bounds on callers' exchanges.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// The largest head, in bytes.
-    pub head: usize,
+    pub header_bytes: usize,
     /// The largest body, in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// The longest time to send a head.
-    pub head_time: Millis,
+    pub header_timeout: Millis,
     /// The longest time that a connection stays open without an exchange.
-    pub idle_time: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
     /// The platform's own first configuration has these.
     fn default() -> Self {
-        Self { head: 16_384, body: 262_144, head_time: Millis(3_000), idle_time: Millis(15_000) }
+        Self {
+            header_bytes: 16_384,
+            body_bytes: 262_144,
+            header_timeout: Millis(3_000),
+            idle_timeout: Millis(15_000),
+        }
     }
 }
 
@@ -147,13 +152,13 @@
     /// The services that there are; workers of others are not used.
     pub services: Vec<Name>,
     /// Those of them whose workers refuse what does not fit.
-    pub guarded: Vec<Name>,
+    pub admission_checked: Vec<Name>,
     /// Bounds on callers' exchanges.
     pub limits: Limits,
     /// The workspaces.
     pub workspaces: Workspaces,
     /// Callers bear keys: the policy tells of workspaces, though it may be of none.
-    pub has_keys: bool,
+    pub requires_keys: bool,
 }
 
 impl Policy {
@@ -165,22 +170,22 @@
         let raw: RawConfig = serde_json::from_slice(text)?;
         let mut policy = Self { version: raw.version, ..Self::default() };
         for route in raw.routes {
-            policy.add(route);
+            policy.add_route(route);
         }
         for routes in policy.routes.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         policy.services = raw.services.iter().map(|service| service.name.clone()).collect();
-        let guarded = raw.services.into_iter().filter(|service| service.admission_check);
-        policy.guarded = guarded.map(|service| service.name).collect();
-        policy.limits = limits(&raw.limits);
+        let admission_checked = raw.services.into_iter().filter(|service| service.admission_check);
+        policy.admission_checked = admission_checked.map(|service| service.name).collect();
+        policy.limits = parse_limits(&raw.limits);
         if let Some(tenants) = raw.tenants {
-            (policy.workspaces, policy.has_keys) = (workspaces(tenants), true);
+            (policy.workspaces, policy.requires_keys) = (parse_workspaces(tenants), true);
         }
         Ok(policy)
     }
 
-    fn add(&mut self, raw: RawRoute) {
+    fn add_route(&mut self, raw: RawRoute) {
         let advice = raw.advice.map(|advice| Advice {
             base: Millis(advice.decide_ms.max(0.0) as u64),
             each: (advice.period_ms.max(0.0) * 1_000.0) as u64,
@@ -195,13 +200,13 @@
             target: Millis(raw.target_latency_ms.max(0.0) as u64),
             advice,
         });
-        let (timeout, is_open) = (Millis(raw.timeout_ms), raw.anonymous);
+        let (timeout, is_anonymous) = (Millis(raw.timeout_ms), raw.anonymous);
         let route = Route {
             host: raw.host,
             prefix: raw.path_prefix,
             timeout,
             queue: queue.clone(),
-            is_open,
+            is_anonymous,
         };
         self.queues.insert(raw.name, queue);
         self.routes.entry(route.host.to_ascii_lowercase()).or_default().push(route);
@@ -215,11 +220,13 @@
     }
 }
 
-fn workspaces(raw: Vec<RawTenant>) -> Workspaces {
+fn parse_workspaces(raw: Vec<RawTenant>) -> Workspaces {
     let or = |bound: u64, none: u64| if bound == 0 { none } else { bound };
     let none = Room::UNLIMITED;
     let mut all = Workspaces::default();
-    for RawTenant { name, api_keys, weight, upper_bound: RawBound { cpu, mem_mb, gpu } } in raw {
+    for RawTenant { name, api_keys, weight, upper_bound: RawResourceLimit { cpu, mem_mb, gpu } } in
+        raw
+    {
         let limit =
             Room { cpu: or(cpu, none.cpu), mem: or(mem_mb, none.mem), gpu: or(gpu, none.gpu) };
         all.add(Workspace { name, weight, limit }, api_keys);
@@ -227,13 +234,17 @@
     all
 }
 
-fn limits(raw: &RawLimits) -> Limits {
-    let usual = Limits::default();
+fn parse_limits(raw: &RawLimits) -> Limits {
+    let defaults = Limits::default();
     let or = |given: u64, usual: Millis| if given == 0 { usual } else { Millis(given) };
     Limits {
-        head: if raw.max_header_bytes == 0 { usual.head } else { raw.max_header_bytes },
-        body: if raw.max_body_bytes == 0 { usual.body } else { raw.max_body_bytes },
-        head_time: or(raw.header_timeout_ms, usual.head_time),
-        idle_time: or(raw.idle_timeout_ms, usual.idle_time),
+        header_bytes: if raw.max_header_bytes == 0 {
+            defaults.header_bytes
+        } else {
+            raw.max_header_bytes
+        },
+        body_bytes: if raw.max_body_bytes == 0 { defaults.body_bytes } else { raw.max_body_bytes },
+        header_timeout: or(raw.header_timeout_ms, defaults.header_timeout),
+        idle_timeout: or(raw.idle_timeout_ms, defaults.idle_timeout),
     }
 }
--- a/src/platform/front.rs
+++ b/src/platform/front.rs
@@ -13,30 +13,30 @@
 
 /// The host that a caller names.
 pub fn host<B>(request: &Request<B>) -> &str {
-    let header = request.headers().get(HOST).and_then(|host| text(HOST.as_str(), host));
+    let header = request.headers().get(HOST).and_then(|host| header_text(HOST.as_str(), host));
     // Without a host no route fits, and the caller is told so.
     header.or(request.uri().host()).unwrap_or_default()
 }
 
 /// How callers show their keys.
-const SCHEME: &str = "Bearer";
+const AUTH_SCHEME: &str = "Bearer";
 
 /// The key that a caller bears.
-pub fn key<B>(request: &Request<B>) -> Option<&str> {
-    let text = text(AUTHORIZATION.as_str(), request.headers().get(AUTHORIZATION)?)?;
+pub fn api_key<B>(request: &Request<B>) -> Option<&str> {
+    let text = header_text(AUTHORIZATION.as_str(), request.headers().get(AUTHORIZATION)?)?;
     let (scheme, key) = text.trim().split_once(' ')?;
-    scheme.eq_ignore_ascii_case(SCHEME).then_some(key.trim())
+    scheme.eq_ignore_ascii_case(AUTH_SCHEME).then_some(key.trim())
 }
 
 /// A header's text; one that is none counts as absent.
-fn text<'a>(name: &str, value: &'a HeaderValue) -> Option<&'a str> {
+fn header_text<'a>(name: &str, value: &'a HeaderValue) -> Option<&'a str> {
     let text = value.to_str();
     text.inspect_err(|err| log::info!("event=header-unreadable name={name} error={err:?}")).ok()
 }
 
 /// How long a caller waits.
 pub fn deadline<B>(request: &Request<B>) -> Option<Millis> {
-    let text = text(DEADLINE_HEADER, request.headers().get(DEADLINE_HEADER)?)?;
+    let text = header_text(DEADLINE_HEADER, request.headers().get(DEADLINE_HEADER)?)?;
     let parsed = text.trim().parse::<f64>();
     let parsed = parsed.inspect_err(|err| {
         // The caller is served with the usual time, as one that does not say.
@@ -63,16 +63,16 @@
     /// Only GET, POST and DELETE are served.
     NoMethod,
     /// The caller bears no key, or one that is not in force.
-    NoKey,
+    InvalidKey,
     /// The job belongs to another workspace.
-    NotYours,
+    OtherWorkspace,
     /// Nothing was done, and nothing will be: come back after so many seconds.
     Busy {
         /// Seconds.
         after: u64,
     },
     /// It may have been done: ask again with the same key.
-    InDoubt,
+    Unconfirmed,
 }
 
 impl Reply {
@@ -82,14 +82,20 @@
             Self::Accepted => (StatusCode::OK, String::new()),
             Self::State(state) => (StatusCode::OK, format!(r#"{{"state":"{state}"}}"#)),
             Self::Pending(count) => (StatusCode::OK, format!(r#"{{"pending":{count}}}"#)),
-            Self::NoJob => (StatusCode::GONE, error("there is no such job")),
-            Self::NoQueue => (StatusCode::NOT_FOUND, error("there is no such queue")),
-            Self::Malformed(why) => (StatusCode::BAD_REQUEST, error(why)),
-            Self::NoMethod => (StatusCode::METHOD_NOT_ALLOWED, error("only GET, POST and DELETE")),
-            Self::NoKey => (StatusCode::UNAUTHORIZED, error("this key is not in force")),
-            Self::NotYours => (StatusCode::FORBIDDEN, error("the job is another workspace's")),
-            Self::Busy { .. } => (StatusCode::SERVICE_UNAVAILABLE, error("not taken: come back")),
-            Self::InDoubt => (StatusCode::GATEWAY_TIMEOUT, error("in doubt: ask again")),
+            Self::NoJob => (StatusCode::GONE, error_body("there is no such job")),
+            Self::NoQueue => (StatusCode::NOT_FOUND, error_body("there is no such queue")),
+            Self::Malformed(why) => (StatusCode::BAD_REQUEST, error_body(why)),
+            Self::NoMethod => {
+                (StatusCode::METHOD_NOT_ALLOWED, error_body("only GET, POST and DELETE"))
+            }
+            Self::InvalidKey => (StatusCode::UNAUTHORIZED, error_body("this key is not in force")),
+            Self::OtherWorkspace => {
+                (StatusCode::FORBIDDEN, error_body("the job is another workspace's"))
+            }
+            Self::Busy { .. } => {
+                (StatusCode::SERVICE_UNAVAILABLE, error_body("not taken: come back"))
+            }
+            Self::Unconfirmed => (StatusCode::GATEWAY_TIMEOUT, error_body("in doubt: ask again")),
         };
         let is_empty = body.is_empty();
         let mut response = Response::new(Full::from(body));
@@ -102,8 +108,8 @@
             Self::Busy { after } => {
                 headers.insert(RETRY_AFTER, HeaderValue::from(*after));
             }
-            Self::NoKey => {
-                headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static(SCHEME));
+            Self::InvalidKey => {
+                headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static(AUTH_SCHEME));
             }
             _ => {}
         }
@@ -111,6 +117,6 @@
     }
 }
 
-fn error(text: &str) -> String {
+fn error_body(text: &str) -> String {
     serde_json::json!({ "error": text }).to_string()
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -17,18 +17,18 @@
 use thiserror::Error;
 
 /// The largest body that is read, in bytes.
-pub const MAX_BODY: usize = 16 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// The header by which an entry says who calls.
 pub const CALLER_HEADER: &str = "entry-name";
 /// The header with the request's id.
-pub const REQUEST_HEADER: &str = "request-id";
+pub const REQUEST_ID_HEADER: &str = "request-id";
 /// The header with which a runner says that it is leaving.
-pub const STATE_HEADER: &str = "upstream-state";
+pub const UPSTREAM_STATE_HEADER: &str = "upstream-state";
 /// Idle connections kept for each address.
-const POOL: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 /// The longest wait for a connection to open: a hundred times the way between failure domains, and
 /// as much for a first packet that is lost.
-const CONNECT: Millis = Millis(1_000);
+const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
 /// Why an exchange failed.
 #[derive(Debug, Error)]
@@ -59,7 +59,7 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -68,11 +68,11 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl HttpResponse {
     /// What a body says of its answer, or the defaults: most answers have none. A body that cannot
     /// be read leaves the status alone to decide, which is the safe side: a refusal whose reason is
     /// not known counts as the general one.
-    pub fn detail<T: DeserializeOwned + Default>(&self) -> T {
+    pub fn json_or_default<T: DeserializeOwned + Default>(&self) -> T {
         if self.body.is_empty() {
             return T::default();
         }
@@ -92,26 +92,26 @@
 /// an answer in time ends all idle connections to its address: without this each of up to [`POOL`]
 /// silent ones costs one more exchange its whole time limit.
 #[derive(Debug, Clone, Default)]
-pub struct Http {
+pub struct HttpClient {
     pools: Arc<Mutex<HashMap<Name, Arc<Pool>>>>,
 }
 
-fn connect() -> Pool {
+fn new_pool() -> Pool {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT.duration()));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT.duration()));
     let mut builder = Client::builder(TokioExecutor::new());
-    builder.pool_max_idle_per_host(POOL).retry_canceled_requests(false);
+    builder.pool_max_idle_per_host(MAX_IDLE_CONNECTIONS).retry_canceled_requests(false);
     builder.build(connector)
 }
 
-impl Http {
+impl HttpClient {
     fn pool(&self, addr: &str) -> Arc<Pool> {
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(pool) = pools.get(addr) {
             return pool.clone();
         }
-        let pool = Arc::new(connect());
+        let pool = Arc::new(new_pool());
         pools.insert(addr.into(), pool.clone());
         pool
     }
@@ -133,7 +133,7 @@
         addr: &str,
         request: Request<Full<Bytes>>,
         limit: Millis,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let pool = self.pool(addr);
         let exchange = exchange(&pool, addr, request);
         let result = match tokio::time::timeout(limit.duration(), exchange).await {
@@ -150,15 +150,15 @@
     ///
     /// # Errors
     /// As [`Http::post_bytes`].
-    pub async fn post_as<A: Serialize, T: DeserializeOwned>(
+    pub async fn post_json<P: Serialize, T: DeserializeOwned>(
         &self,
         caller: &str,
         addr: &str,
         path: &str,
-        ask: &A,
+        payload: &P,
         limit: Millis,
     ) -> Result<T, HttpError> {
-        let body = serde_json::to_vec(ask).map_err(|err| malformed(addr, err))?;
+        let body = serde_json::to_vec(payload).map_err(|err| malformed(addr, err))?;
         self.post_bytes(caller, addr, path, body.into(), limit).await
     }
 
@@ -193,19 +193,19 @@
     pool: &Pool,
     addr: &str,
     request: Request<Full<Bytes>>,
-) -> Result<Answer, HttpError> {
+) -> Result<HttpResponse, HttpError> {
     let broken = |err: String| HttpError::Broken(addr.to_string(), err);
     let answer = pool.request(request).await.map_err(|err| match err.is_connect() {
         true => HttpError::Connect(addr.to_string()),
         false => broken(err.to_string()),
     })?;
     let (parts, body) = answer.into_parts();
-    let whole = Limited::new(body, MAX_BODY).collect().await;
+    let whole = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = whole.map_err(|err| broken(err.to_string()))?.to_bytes();
     let declared = parts.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
     match declared.and_then(|text| text.parse::<usize>().ok()) {
         Some(length) if length != body.len() => Err(broken(format!("{length} bytes declared"))),
-        _ => Ok(Answer { status: parts.status, headers: parts.headers, body }),
+        _ => Ok(HttpResponse { status: parts.status, headers: parts.headers, body }),
     }
 }
 
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -9,13 +9,13 @@
 use thiserror::Error;
 
 /// The variable that names the settings file.
-pub const VARIABLE: &str = "SPRUCERUDDER_SETTINGS";
+pub const SETTINGS_VARIABLE: &str = "SPRUCERUDDER_SETTINGS";
 /// The way of giving orders to workers that is served: the owner calls the worker.
-const CALLED: &str = "invoke";
+const INVOKE_ORDERS: &str = "invoke";
 /// The part of the platform's contract by which callers belong to workspaces.
-const WORKSPACES: &str = "tenants";
+const TENANTS_CONTRACT: &str = "tenants";
 /// The form of the platform's store that is served.
-const LOG_FORM: &str = "log";
+const LOG_STORE: &str = "log";
 
 #[derive(Debug, Deserialize)]
 struct RawListen {
@@ -85,39 +85,39 @@
     /// Its failure domain.
     pub domain: Name,
     /// Where callers come, `IP:PORT`.
-    pub front: Name,
+    pub front_addr: Name,
     /// Where the balancer asks whether callers may come.
-    pub ready: Name,
+    pub ready_addr: Name,
     /// Where other entries come.
-    pub peer: Name,
+    pub peer_addr: Name,
     /// Where other entries are told to come: another address if there is a relay in between.
-    pub advertise: Name,
+    pub advertised_addr: Name,
     /// Where metrics are served.
-    pub metrics: Name,
+    pub metrics_addr: Name,
     /// The platform's store.
-    pub store: Name,
+    pub store_addr: Name,
     /// The most bytes in one call to the store.
     pub call_bytes: usize,
     /// Partitions of a topic in the store, at least one.
-    pub parts: u32,
+    pub partitions: u32,
     /// The fewest workers of a cell where there are several; not from the file.
-    pub cell_size: NonZeroUsize,
+    pub min_workers: NonZeroUsize,
     /// The advice service, if there is one.
-    pub advice: Option<Name>,
+    pub advice_addr: Option<Name>,
     /// Callers belong to workspaces, and bear their keys.
     pub has_workspaces: bool,
     /// Processors.
     pub cores: usize,
     /// What the entry may use of them, in thousandths of one.
-    pub cpu: u32,
+    pub millicores: u32,
     /// The longest lease that a worker takes.
-    pub lease_max: Millis,
+    pub max_lease: Millis,
     /// How long a finished job's state can be asked for.
-    pub keep: Millis,
+    pub job_retention: Millis,
     /// The time between a request to stop and being killed.
-    pub grace: Millis,
+    pub stop_grace: Millis,
     /// Mechanisms that are switched off; not from the file.
-    pub off: Off,
+    pub disabled: Off,
 }
 
 /// Why an entry cannot start.
@@ -131,7 +131,7 @@
     Missing(&'static str),
     /// Workers or store are spoken to in a way that is not built.
     #[error("{0} = {1:?} is not served: only {2:?} is")]
-    Unserved(&'static str, Name, &'static str),
+    Unsupported(&'static str, Name, &'static str),
 }
 
 impl Settings {
@@ -141,35 +141,36 @@
     /// See [`SettingsError`].
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let raw: RawSettings = toml::from_str(text)?;
-        if !raw.orders.is_empty() && *raw.orders != *CALLED {
-            return Err(SettingsError::Unserved("orders", raw.orders, CALLED));
+        if !raw.orders.is_empty() && *raw.orders != *INVOKE_ORDERS {
+            return Err(SettingsError::Unsupported("orders", raw.orders, INVOKE_ORDERS));
         }
-        if !raw.platform.form.is_empty() && *raw.platform.form != *LOG_FORM {
-            return Err(SettingsError::Unserved("platform.form", raw.platform.form, LOG_FORM));
+        if !raw.platform.form.is_empty() && *raw.platform.form != *LOG_STORE {
+            return Err(SettingsError::Unsupported("platform.form", raw.platform.form, LOG_STORE));
         }
         let seconds = |s: f64| Millis((s.max(0.0) * 1_000.0) as u64);
         let (first, second) = raw.internal_ports;
         Ok(Self {
-            off: Off::default(),
-            peer: format!("{}:{first}", raw.ip).into(),
-            advertise: format!("{}:{first}", raw.ip).into(),
-            metrics: format!("{}:{second}", raw.ip).into(),
-            front: raw.listen.front.ok_or(SettingsError::Missing("front"))?,
-            ready: raw.listen.ready.ok_or(SettingsError::Missing("ready"))?,
+            disabled: Off::default(),
+            peer_addr: format!("{}:{first}", raw.ip).into(),
+            advertised_addr: format!("{}:{first}", raw.ip).into(),
+            metrics_addr: format!("{}:{second}", raw.ip).into(),
+            front_addr: raw.listen.front.ok_or(SettingsError::Missing("front"))?,
+            ready_addr: raw.listen.ready.ok_or(SettingsError::Missing("ready"))?,
             name: raw.node,
             ip: raw.ip,
             domain: raw.zone,
-            store: raw.platform.address,
+            store_addr: raw.platform.address,
             call_bytes: raw.platform.call_bytes,
-            parts: raw.platform.parts.max(1),
-            cell_size: CELL_WORKERS,
-            advice: raw.advice.filter(|addr| !addr.is_empty()),
-            has_workspaces: raw.contracts.iter().any(|part| **part == *WORKSPACES),
+            partitions: raw.platform.parts.max(1),
+            min_workers: CELL_WORKERS,
+            advice_addr: raw.advice.filter(|addr| !addr.is_empty()),
+            has_workspaces: raw.contracts.iter().any(|part| **part == *TENANTS_CONTRACT),
             cores: raw.limits.cores.max(1),
-            cpu: (raw.limits.cpu_share.max(0.0) * raw.limits.cores.max(1) as f64 * 1_000.0) as u32,
-            lease_max: Millis(raw.bounds.hold_max_ms),
-            keep: seconds(raw.bounds.status_s),
-            grace: seconds(raw.bounds.grace_s),
+            millicores: (raw.limits.cpu_share.max(0.0) * raw.limits.cores.max(1) as f64 * 1_000.0)
+                as u32,
+            max_lease: Millis(raw.bounds.hold_max_ms),
+            job_retention: seconds(raw.bounds.status_s),
+            stop_grace: seconds(raw.bounds.grace_s),
         })
     }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::platform::http::{Answer, Http, HttpError, uri};
+use crate::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -14,7 +14,7 @@
 
 /// A read answers with at most this many kilobytes; small enough to be decoded within a few
 /// milliseconds of a quarter of a core.
-const READ_KB: u32 = 512;
+const MAX_READ_KB: u32 = 512;
 
 /// Why a call to the store failed.
 #[derive(Debug, Error)]
@@ -27,13 +27,13 @@
     Unknown(HttpError),
     /// The partition does not end where the append wants it to.
     #[error("the partition ends at {0}")]
-    Moved(u64),
+    EndMismatch(u64),
     /// A producer with a higher epoch has written.
     #[error("a producer of a later epoch has written")]
     Fenced,
     /// The sequence number is not the one after the last.
     #[error("the sequence number does not follow the last")]
-    Sequence,
+    OutOfSequence,
     /// The records are gone; the oldest one kept is named.
     #[error("records before {0} are gone")]
     Gone(u64),
@@ -44,16 +44,16 @@
 
 /// Where a call goes.
 #[derive(Debug, Clone, Copy)]
-pub struct Part<'a> {
+pub struct Partition<'a> {
     /// The topic.
     pub topic: &'a str,
     /// The partition.
-    pub part: u32,
+    pub index: u32,
 }
 
 /// What an append depends on.
 #[derive(Debug, Clone, Copy)]
-pub enum Guard<'a> {
+pub enum Precondition<'a> {
     /// The partition must end at this offset.
     End(u64),
     /// Nobody with a higher epoch may have written, and a repeated call has one effect.
@@ -87,7 +87,7 @@
 
 /// The newest record of a key.
 #[derive(Debug)]
-pub struct Newest {
+pub struct LatestRecord {
     /// The key.
     pub key: Name,
     /// The value; empty if the key was dropped.
@@ -98,9 +98,9 @@
 #[derive(Debug)]
 pub struct Page {
     /// The records.
-    pub items: Vec<Newest>,
+    pub items: Vec<LatestRecord>,
     /// Whether there are more after the last one.
-    pub more: bool,
+    pub has_more: bool,
     /// The place after the partition's last record.
     pub end: u64,
 }
@@ -133,19 +133,19 @@
 
 /// The store's client.
 #[derive(Debug, Clone)]
-pub struct Store {
-    http: Http,
+pub struct StoreClient {
+    http: HttpClient,
     addr: Name,
 }
 
 /// Adds a record of a plain topic to the body of an append.
-pub fn put_record(body: &mut BytesMut, data: &[u8]) {
+pub fn encode_record(body: &mut BytesMut, data: &[u8]) {
     body.put_u32(data.len() as u32);
     body.put_slice(data);
 }
 
 /// Adds a record of a keyed topic to the body of an append; an empty value drops the key.
-pub fn put_keyed(body: &mut BytesMut, key: &str, value: &[u8]) {
+pub fn encode_keyed(body: &mut BytesMut, key: &str, value: &[u8]) {
     body.put_u32((1 + key.len() + value.len()) as u32);
     body.put_u8(key.len() as u8);
     body.put_slice(key.as_bytes());
@@ -154,7 +154,7 @@
 
 /// Splits a record of a keyed topic into its key and its value; `None`: it is not such a record.
 /// One bad record must not hide the others, so readers go on without it.
-pub fn split_keyed(record: &Bytes) -> Option<(Name, Bytes)> {
+pub fn decode_keyed(record: &Bytes) -> Option<(Name, Bytes)> {
     let split = || -> Result<(Name, Bytes), String> {
         let len = usize::from(*record.first().ok_or("it is empty")?);
         let key = record.get(1..1 + len).ok_or("it is shorter than its key")?;
@@ -164,9 +164,9 @@
     split().inspect_err(|err| log::warn!("event=record-unreadable error={err:?}")).ok()
 }
 
-impl Store {
+impl StoreClient {
     /// A client of the store at `addr`.
-    pub fn new(http: Http, addr: Name) -> Self {
+    pub fn new(http: HttpClient, addr: Name) -> Self {
         Self { http, addr }
     }
 
@@ -176,7 +176,7 @@
         path: &str,
         body: Bytes,
         limit: Millis,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<HttpResponse, StoreError> {
         let malformed = |err: &dyn std::fmt::Display| StoreError::Malformed(err.to_string());
         let uri = uri(&self.addr, path).map_err(|err| malformed(&err))?;
         let request = Request::builder().method(method).uri(uri).body(Full::from(body));
@@ -185,7 +185,7 @@
         let answer = answer.map_err(StoreError::Unknown)?;
         match answer.status {
             status if status.is_success() => Ok(answer),
-            _ => Err(problem(&answer)),
+            _ => Err(parse_problem(&answer)),
         }
     }
 
@@ -195,20 +195,20 @@
     /// [`StoreError::Unknown`] if it may have been done.
     pub async fn append(
         &self,
-        part: Part<'_>,
-        guard: Guard<'_>,
+        partition: Partition<'_>,
+        precondition: Precondition<'_>,
         body: Bytes,
         limit: Millis,
     ) -> Result<Appended, StoreError> {
-        let Part { topic, part } = part;
-        let path = match guard {
-            Guard::End(end) => format!("/log-append?topic={topic}&part={part}&as_of={end}"),
-            Guard::Producer { name, epoch, seq } => format!(
-                "/log-append?topic={topic}&part={part}&producer={name}&epoch={epoch}&seq={seq}"
+        let Partition { topic, index } = partition;
+        let path = match precondition {
+            Precondition::End(end) => format!("/log-append?topic={topic}&part={index}&as_of={end}"),
+            Precondition::Producer { name, epoch, seq } => format!(
+                "/log-append?topic={topic}&part={index}&producer={name}&epoch={epoch}&seq={seq}"
             ),
         };
         let answer = self.call(Method::POST, &path, body, limit).await?;
-        decode(&answer.body)
+        parse_json(&answer.body)
     }
 
     /// Reads records from an offset on; waits up to `wait` for the first one.
@@ -217,31 +217,31 @@
     /// [`StoreError::Gone`] if they were removed.
     pub async fn read(
         &self,
-        part: Part<'_>,
+        partition: Partition<'_>,
         from: u64,
         wait: Millis,
         limit: Millis,
     ) -> Result<Records, StoreError> {
-        let Part { topic, part } = part;
+        let Partition { topic, index } = partition;
         let path = format!(
-            "/log-read?topic={topic}&part={part}&from={from}&max_kb={READ_KB}&wait_ms={wait}"
+            "/log-read?topic={topic}&part={index}&from={from}&max_kb={MAX_READ_KB}&wait_ms={wait}"
         );
         let answer = self.call(Method::GET, &path, Bytes::new(), limit).await?;
-        split(answer.body, from)
+        decode_records(answer.body, from)
     }
 
     /// Reads the newest records of all keys after `after`.
     ///
     /// # Errors
     /// See [`StoreError`].
-    pub async fn newest(
+    pub async fn latest(
         &self,
-        part: Part<'_>,
+        partition: Partition<'_>,
         after: Option<&str>,
         limit: Millis,
     ) -> Result<Page, StoreError> {
-        let Part { topic, part } = part;
-        let mut path = format!("/log-newest?topic={topic}&part={part}");
+        let Partition { topic, index } = partition;
+        let mut path = format!("/log-newest?topic={topic}&part={index}");
         if let Some(key) = after {
             // The platform gives the key to continue after in the field of a step's dependencies.
             path.push_str("&depends_on=");
@@ -255,17 +255,17 @@
     ///
     /// # Errors
     /// See [`StoreError`].
-    pub async fn newest_all(
+    pub async fn latest_all(
         &self,
-        part: Part<'_>,
+        partition: Partition<'_>,
         limit: Millis,
-    ) -> Result<(Vec<Newest>, u64), StoreError> {
-        let mut page = self.newest(part, None, limit).await?;
+    ) -> Result<(Vec<LatestRecord>, u64), StoreError> {
+        let mut page = self.latest(partition, None, limit).await?;
         let end = page.end;
         let mut all = std::mem::take(&mut page.items);
-        while page.more {
+        while page.has_more {
             let Some(last) = all.last().map(|item| item.key.clone()) else { break };
-            page = self.newest(part, Some(&last), limit).await?;
+            page = self.latest(partition, Some(&last), limit).await?;
             all.append(&mut page.items);
         }
         Ok((all, end))
@@ -277,42 +277,42 @@
 /// # Errors
 /// [`StoreError::Malformed`]: it is no page at all.
 pub fn parse_page(body: &[u8]) -> Result<Page, StoreError> {
-    let raw: RawPage<'_> = decode(body)?;
+    let raw: RawPage<'_> = parse_json(body)?;
     let items = raw.items.into_iter().filter_map(|item| {
-        let found = newest(item.get());
+        let found = parse_latest(item.get());
         found.inspect_err(|err| log::warn!("event=item-unreadable error={err}")).ok()
     });
-    Ok(Page { items: items.collect(), more: raw.has_more, end: raw.end })
+    Ok(Page { items: items.collect(), has_more: raw.has_more, end: raw.end })
 }
 
-fn newest(item: &str) -> Result<Newest, StoreError> {
-    let raw: RawItem = decode(item.as_bytes())?;
+fn parse_latest(item: &str) -> Result<LatestRecord, StoreError> {
+    let raw: RawItem = parse_json(item.as_bytes())?;
     let value = BASE64_STANDARD.decode(&raw.value);
     let value = value.map_err(|err| StoreError::Malformed(err.to_string()))?;
-    Ok(Newest { key: raw.key, value })
+    Ok(LatestRecord { key: raw.key, value })
 }
 
-fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, StoreError> {
+fn parse_json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|err| StoreError::Malformed(err.to_string()))
 }
 
-fn problem(answer: &Answer) -> StoreError {
-    let raw: RawProblem = answer.detail();
+fn parse_problem(answer: &HttpResponse) -> StoreError {
+    let raw: RawProblem = answer.json_or_default();
     match (answer.status, raw.reason.as_str()) {
-        (StatusCode::PRECONDITION_FAILED, _) => StoreError::Moved(raw.end),
+        (StatusCode::PRECONDITION_FAILED, _) => StoreError::EndMismatch(raw.end),
         (StatusCode::CONFLICT, "fenced") => StoreError::Fenced,
-        (StatusCode::CONFLICT, "seq") => StoreError::Sequence,
+        (StatusCode::CONFLICT, "seq") => StoreError::OutOfSequence,
         (StatusCode::GONE, _) => StoreError::Gone(raw.first),
         _ => StoreError::Refused(answer.status),
     }
 }
 
 /// Splits the raw answer to a read: the end, the first offset kept, then the records.
-fn split(mut body: Bytes, from: u64) -> Result<Records, StoreError> {
-    const HEAD: usize = 16;
-    let short = || StoreError::Malformed("a read's answer is too short".to_string());
-    if body.len() < HEAD {
-        return Err(short());
+fn decode_records(mut body: Bytes, from: u64) -> Result<Records, StoreError> {
+    const HEADER_BYTES: usize = 16;
+    let truncated = || StoreError::Malformed("a read's answer is too short".to_string());
+    if body.len() < HEADER_BYTES {
+        return Err(truncated());
     }
     let end = body.get_u64();
     let first = body.get_u64();
@@ -320,11 +320,11 @@
     let mut offset = from.max(first);
     while body.has_remaining() {
         if body.remaining() < 4 {
-            return Err(short());
+            return Err(truncated());
         }
         let len = body.get_u32() as usize;
         if body.remaining() < len {
-            return Err(short());
+            return Err(truncated());
         }
         records.push((offset, body.split_to(len)));
         offset += 1;
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::{End, EndedRow, HoldError, Listed, Outcome, Refusal, Report, RunningRow, Start};
-use crate::platform::http::{Answer, Http, HttpError, uri};
+use crate::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use crate::workload::{KeyError, Room, TaskKey};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,7 +18,7 @@
 /// The topic in which workers list themselves, each under its id.
 pub const TOPIC: &str = "keyed.servers";
 /// Names the life of a worker that a call is meant for.
-const LIFE_HEADER: &str = "X-Sprucerudder-Expected-Instance";
+const INSTANCE_HEADER: &str = "X-Sprucerudder-Expected-Instance";
 
 #[derive(Debug, Deserialize)]
 struct RawCapacity {
@@ -51,7 +51,7 @@
 
 /// Why an entry names no worker.
 #[derive(Debug, Error)]
-pub enum ListedError {
+pub enum WorkerEntryError {
     /// It is no text, or fields are missing or of another type.
     #[error("it is not the entry of a worker: {0}")]
     Syntax(#[from] serde_json::Error),
@@ -68,15 +68,15 @@
 ///
 /// # Errors
 /// See [`ListedError`].
-pub fn parse_listed(id: Name, text: &[u8]) -> Result<Listed, ListedError> {
+pub fn parse_worker_entry(id: Name, text: &[u8]) -> Result<Listed, WorkerEntryError> {
     let raw: RawWorker = serde_json::from_slice(text)?;
     if raw.address.parse::<SocketAddr>().is_err() {
-        return Err(ListedError::Address(raw.address));
+        return Err(WorkerEntryError::Address(raw.address));
     }
     let leaves = match &*raw.state {
         "ready" => false,
         "draining" => true,
-        _ => return Err(ListedError::State(raw.state)),
+        _ => return Err(WorkerEntryError::State(raw.state)),
     };
     if leaves && raw.remaining_ms.is_none() {
         // It may be gone at any moment: what runs there is moved.
@@ -171,42 +171,42 @@
 
 /// The client of one life of one worker.
 #[derive(Debug, Clone)]
-pub struct Worker {
-    http: Http,
+pub struct WorkerClient {
+    http: HttpClient,
     addr: Name,
     id: Name,
     fence: u64,
 }
 
-impl Worker {
+impl WorkerClient {
     /// A client that gives orders with `fence` to the life `id` at `addr`.
-    pub fn new(http: Http, addr: Name, id: Name, fence: u64) -> Self {
+    pub fn new(http: HttpClient, addr: Name, id: Name, fence: u64) -> Self {
         Self { http, addr, id, fence }
     }
 
-    async fn call<A: Serialize>(
+    async fn call<P: Serialize>(
         &self,
         path: &str,
-        ask: &A,
+        payload: &P,
         limit: Millis,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let malformed = |err: &dyn std::fmt::Display| {
             HttpError::Malformed(self.addr.to_string(), err.to_string())
         };
-        let body = serde_json::to_vec(ask).map_err(|err| malformed(&err))?;
+        let body = serde_json::to_vec(payload).map_err(|err| malformed(&err))?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(uri(&self.addr, path)?)
             .header(CONTENT_TYPE, "application/json")
-            .header(LIFE_HEADER, &*self.id)
+            .header(INSTANCE_HEADER, &*self.id)
             .body(Full::from(Bytes::from(body)))
             .map_err(|err| malformed(&err))?;
         self.http.send(&self.addr, request, limit).await
     }
 
-    async fn order<A: Serialize>(&self, path: &str, ask: &A, limit: Millis) -> Outcome {
-        match self.call(path, ask, limit).await {
-            Ok(answer) => outcome(&answer),
+    async fn send_order<P: Serialize>(&self, path: &str, payload: &P, limit: Millis) -> Outcome {
+        match self.call(path, payload, limit).await {
+            Ok(answer) => parse_outcome(&answer),
             Err(err) if err.is_unsent() => Outcome::Unsent,
             Err(err) => {
                 log::debug!("event=order-unanswered worker={} path={path} error={err:?}", self.id);
@@ -217,7 +217,7 @@
 
     /// Starts a run that ends by itself at `until` on the worker's clock unless it is renewed.
     pub async fn start(&self, start: &Start, until: u64, limit: Millis) -> Outcome {
-        let ask = RawStart {
+        let payload = RawStart {
             task: start.task.to_string(),
             run: start.run,
             spec: &start.spec,
@@ -226,19 +226,19 @@
             checkpoint: &start.saved,
             ticket: &start.ticket,
         };
-        self.order("/run-start", &ask, limit).await
+        self.send_order("/run-start", &payload, limit).await
     }
 
     /// Stops a run; one that has not begun never will.
     pub async fn stop(&self, task: TaskKey, run: u64, limit: Millis) -> Outcome {
-        let ask = RawStop { task: task.to_string(), run, fence: self.fence };
-        self.order("/run-stop", &ask, limit).await
+        let payload = RawStop { task: task.to_string(), run, fence: self.fence };
+        self.send_order("/run-stop", &payload, limit).await
     }
 
     /// Lets a run work at a share of its speed, in hundredths.
     pub async fn pace(&self, task: TaskKey, run: u64, percent: u32, limit: Millis) -> Outcome {
-        let ask = RawPace { task: task.to_string(), run, percent, fence: self.fence };
-        self.order("/pace", &ask, limit).await
+        let payload = RawPace { task: task.to_string(), run, percent, fence: self.fence };
+        self.send_order("/pace", &payload, limit).await
     }
 
     /// Renews the lease of all that runs there, confirms ends up to `seen`, and waits up to `wait`
@@ -246,7 +246,7 @@
     ///
     /// # Errors
     /// See [`HoldError`].
-    pub async fn hold(
+    pub async fn renew(
         &self,
         seen: u64,
         until: Option<u64>,
@@ -254,19 +254,19 @@
         limit: Millis,
     ) -> Result<Report, HoldError> {
         let wait_ms = (wait.0 > 0).then_some(wait.0);
-        let ask = RawHold { fence: self.fence, last_seen: seen, until_ms: until, wait_ms };
-        let answer = self.call("/hold", &ask, limit).await;
+        let payload = RawHold { fence: self.fence, last_seen: seen, until_ms: until, wait_ms };
+        let answer = self.call("/hold", &payload, limit).await;
         let answer = answer.map_err(|err| HoldError::Silent(err.to_string()))?;
-        match outcome(&answer) {
-            Outcome::Done(_) => report(&answer.body).map_err(HoldError::Silent),
+        match parse_outcome(&answer) {
+            Outcome::Done(_) => parse_report(&answer.body).map_err(HoldError::Silent),
             Outcome::Refused(why) => Err(HoldError::Refused(why)),
             other => Err(HoldError::Silent(format!("{other:?} {}", answer.status))),
         }
     }
 }
 
-fn outcome(answer: &Answer) -> Outcome {
-    let raw: RawAnswer = answer.detail();
+fn parse_outcome(answer: &HttpResponse) -> Outcome {
+    let raw: RawAnswer = answer.json_or_default();
     match (answer.status, raw.reason.as_str()) {
         (status, _) if status.is_success() => Outcome::Done(raw.clock_ms.map(|ms| ms as u64)),
         (StatusCode::CONFLICT, "fence") => Outcome::Refused(Refusal::Fence),
@@ -283,29 +283,29 @@
     }
 }
 
-fn report(body: &[u8]) -> Result<Report, String> {
+fn parse_report(body: &[u8]) -> Result<Report, String> {
     let raw: RawReport<'_> = serde_json::from_slice(body).map_err(|err| err.to_string())?;
     Ok(Report {
         born: raw.born,
         clock: raw.clock_ms as u64,
-        running: raw.running.iter().map(running).collect::<Result<_, _>>()?,
-        ended: raw.ended.iter().map(ended).collect::<Result<_, _>>()?,
+        running: raw.running.iter().map(parse_running).collect::<Result<_, _>>()?,
+        ended: raw.ended.iter().map(parse_ended).collect::<Result<_, _>>()?,
     })
 }
 
-fn running(row: &RawRunning<'_>) -> Result<RunningRow, String> {
+fn parse_running(row: &RawRunning<'_>) -> Result<RunningRow, String> {
     let RawRunning(task, run, saved, percent, gauge) = row;
     Ok(RunningRow {
-        task: parse_task(task)?,
+        task: parse_task_key(task)?,
         run: *run,
-        saved: name(saved),
+        saved: shared_name(saved),
         percent: *percent as u32,
         gauge: *gauge,
     })
 }
 
 /// Most runs have saved nothing: one shared empty name for them.
-fn name(text: &str) -> Name {
+fn shared_name(text: &str) -> Name {
     static EMPTY: OnceLock<Name> = OnceLock::new();
     match text {
         "" => EMPTY.get_or_init(|| "".into()).clone(),
@@ -313,7 +313,7 @@
     }
 }
 
-fn ended(row: &RawEnded<'_>) -> Result<EndedRow, String> {
+fn parse_ended(row: &RawEnded<'_>) -> Result<EndedRow, String> {
     let RawEnded(no, task, run, how, saved) = row;
     let end = match how.as_ref() {
         "done" => End::Done,
@@ -324,9 +324,9 @@
         "alone" => End::Alone,
         other => return Err(format!("{other:?} is not an end of {task}")),
     };
-    Ok(EndedRow { no: *no, task: parse_task(task)?, run: *run, end, saved: name(saved) })
+    Ok(EndedRow { no: *no, task: parse_task_key(task)?, run: *run, end, saved: shared_name(saved) })
 }
 
-fn parse_task(text: &str) -> Result<TaskKey, String> {
+fn parse_task_key(text: &str) -> Result<TaskKey, String> {
     text.parse().map_err(|err: KeyError| err.to_string())
 }
--- a/src/standin/runner.rs
+++ b/src/standin/runner.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::platform::http::{REQUEST_HEADER, STATE_HEADER};
+use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
 use crate::server::TRACE_PATH;
 use crate::standin::timeline;
 use crate::trace::{Trace, What};
@@ -93,14 +93,14 @@
     let _slot = runner.slots.acquire().await.map_err(|_| unavailable())?;
     let number = request.header(RUN_HEADER).and_then(|text| text.parse().ok());
     tokio::time::sleep(Millis(number.unwrap_or(DEFAULT_RUN.0)).duration()).await;
-    let id: Name = request.header(REQUEST_HEADER).unwrap_or("").into();
+    let id: Name = request.header(REQUEST_ID_HEADER).unwrap_or("").into();
     runner.trace.add(What::RunnerRan { request: id });
     let faults = runner.faults().clone();
     let mut answer = format!("{}:", kind.0).into_bytes();
     answer.extend_from_slice(&body);
     let mut response = Response::builder();
     if faults.leaving {
-        response = response.header(STATE_HEADER, "leaving");
+        response = response.header(UPSTREAM_STATE_HEADER, "leaving");
     }
     if faults.fail {
         return Ok(response.status(StatusCode::INTERNAL_SERVER_ERROR).body(answer));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use sprucerudder::check;
 use sprucerudder::clock::Millis;
-use sprucerudder::platform::http::{Answer, Http, HttpError, uri};
+use sprucerudder::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use sprucerudder::trace::Event;
 use sprucerudder::wire::keys::Authority;
 use std::collections::BTreeMap;
@@ -101,7 +101,7 @@
     settings: BTreeMap<String, PathBuf>,
     addresses: Addresses,
     folder: PathBuf,
-    pub http: Http,
+    pub http: HttpClient,
     past: Vec<Event>,
 }
 
@@ -117,7 +117,7 @@
     pub async fn start_with(name: &str, retention: u64, settings: Value) -> Self {
         let folder = std::env::temp_dir().join(format!("spruce-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("folder");
-        let http = Http::default();
+        let http = HttpClient::default();
         let mut addresses = Addresses::new();
         let platform = platform(addresses.next(), retention);
         let mut cell = Self {
@@ -263,7 +263,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let addr = addr.to_string();
         let mut builder = Request::builder().method(method).uri(uri(&addr, path)?);
         for (name, value) in headers {
@@ -398,7 +398,7 @@
         path: &str,
         body: &Value,
     ) -> Result<Value, HttpError> {
-        self.http.post_as("test", &addr.to_string(), path, body, LIMIT).await
+        self.http.post_json("test", &addr.to_string(), path, body, LIMIT).await
     }
 
     pub async fn platform_faults(&self, faults: Value) {
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::hash;
-use sprucerudder::platform::http::{Answer, Http, HttpError, uri};
+use sprucerudder::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use sprucerudder::standin::process::Process;
 use sprucerudder::standin::site::store::Faults;
 use sprucerudder::standin::site::{Site, Workspace};
@@ -34,7 +34,7 @@
 /// A site with entries, on a loopback address of its own.
 struct Cell {
     site: Site,
-    http: Http,
+    http: HttpClient,
     folder: PathBuf,
     entries: HashMap<u16, Process>,
     /// More arguments of every entry.
@@ -53,7 +53,7 @@
         let site = Site::start(&host, PORT, workers).await.unwrap();
         let folder = std::env::temp_dir().join(format!("sprucerudder-{pid}-{no}"));
         std::fs::create_dir_all(&folder).unwrap();
-        let (http, entries_by_no) = (Http::default(), HashMap::new());
+        let (http, entries_by_no) = (HttpClient::default(), HashMap::new());
         let mut cell = Self { site, http, folder, entries: entries_by_no, more };
         for no in 0..entries {
             cell.start_entry(no);
@@ -97,7 +97,7 @@
         method: Method,
         path: &str,
         body: &str,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         self.call_with(no, method, path, body, None).await
     }
 
@@ -109,7 +109,7 @@
         path: &str,
         body: &str,
         key: Option<&str>,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let addr = self.site.front(no);
         let mut request = Request::builder()
             .method(method)
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -11,9 +11,9 @@
 use sprucerudder::id::Name;
 use sprucerudder::order::Life;
 use sprucerudder::platform::config::Policy;
-use sprucerudder::platform::store::{parse_page, split_keyed};
+use sprucerudder::platform::store::{decode_keyed, parse_page};
 use sprucerudder::platform::submit;
-use sprucerudder::platform::worker::parse_listed;
+use sprucerudder::platform::worker::parse_worker_entry;
 use std::collections::BTreeMap;
 
 fn entry() -> Value {
@@ -25,7 +25,7 @@
 }
 
 fn reads(entry: &Value) -> bool {
-    parse_listed("i-1".into(), entry.to_string().as_bytes()).is_ok()
+    parse_worker_entry("i-1".into(), entry.to_string().as_bytes()).is_ok()
 }
 
 #[test]
@@ -34,7 +34,7 @@
     let mut draining = entry();
     draining["state"] = json!("draining");
     draining["remaining_ms"] = json!(2_500.5);
-    let listed = parse_listed("i-1".into(), draining.to_string().as_bytes()).unwrap();
+    let listed = parse_worker_entry("i-1".into(), draining.to_string().as_bytes()).unwrap();
     assert!(listed.leaving.is_some());
 }
 
@@ -104,7 +104,7 @@
 #[test]
 fn bytes_that_are_no_text_name_no_worker() {
     for bytes in [&b""[..], b"{", b"null", b"[]", b"7", b"\xff\xfe{}", b"{\"service\":\"\xff\"}"] {
-        assert!(parse_listed("i-1".into(), bytes).is_err(), "{bytes:?}");
+        assert!(parse_worker_entry("i-1".into(), bytes).is_err(), "{bytes:?}");
     }
 }
 
@@ -133,9 +133,9 @@
     let mut good = BytesMut::new();
     good.put_u8(1);
     good.put_slice(b"kv");
-    assert!(split_keyed(&good.freeze()).is_some());
+    assert!(decode_keyed(&good.freeze()).is_some());
     for bad in [&b""[..], b"\x05ab", b"\x01\xff"] {
-        assert!(split_keyed(&Bytes::copy_from_slice(bad)).is_none(), "{bad:?}");
+        assert!(decode_keyed(&Bytes::copy_from_slice(bad)).is_none(), "{bad:?}");
     }
 }
 
@@ -147,9 +147,9 @@
         text in "[\\[\\]{}\":,a-z0-9. ]{0,120}",
     ) {
         for input in [&bytes[..], text.as_bytes()] {
-            let _ = parse_listed("i-1".into(), input);
+            let _ = parse_worker_entry("i-1".into(), input);
             let _ = parse_page(input);
-            let _ = split_keyed(&Bytes::copy_from_slice(input));
+            let _ = decode_keyed(&Bytes::copy_from_slice(input));
             let _ = Policy::parse(input);
             let _ = submit::parse(input);
             let _ = postcard::from_bytes::<Record>(input);
@@ -167,11 +167,14 @@
     let listed = |born: Value| {
         let mut entry = entry();
         entry["born"] = born;
-        parse_listed("i-1".into(), entry.to_string().as_bytes())
+        parse_worker_entry("i-1".into(), entry.to_string().as_bytes())
     };
     let born = listed(json!(1_777_874_052_012_u64)).unwrap().born;
     assert_eq!(born, Some(Millis(1_777_874_052_012)));
-    assert_eq!(parse_listed("i-1".into(), entry().to_string().as_bytes()).unwrap().born, None);
+    assert_eq!(
+        parse_worker_entry("i-1".into(), entry().to_string().as_bytes()).unwrap().born,
+        None
+    );
     for other in [json!("7"), json!(7.5), json!(-7), json!([7]), json!(true)] {
         assert!(listed(other.clone()).is_err(), "{other}");
     }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -15,7 +15,7 @@
 use proxy::Proxy;
 use serde_json::{Value, json};
 use sprucerudder::clock::Millis;
-use sprucerudder::platform::http::{Answer, Http, HttpError, uri};
+use sprucerudder::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 
 struct Callers {
     cell: Cell,
-    http: Http,
+    http: HttpClient,
 }
 
 impl Callers {
@@ -34,14 +34,14 @@
         static CELLS: AtomicU8 = AtomicU8::new(200);
         let no = CELLS.fetch_add(1, Ordering::Relaxed);
         let cell = Cell::start(no, workers, entries, None).await;
-        let callers = Self { cell, http: Http::default() };
+        let callers = Self { cell, http: HttpClient::default() };
         for no in 0..entries {
             callers.await_ready(no).await;
         }
         callers
     }
 
-    async fn get(&self, addr: &str, path: &str) -> Result<Answer, HttpError> {
+    async fn get(&self, addr: &str, path: &str) -> Result<HttpResponse, HttpError> {
         let request = Request::get(uri(addr, path).unwrap()).body(Full::default()).unwrap();
         self.http.send(addr, request, Millis(2_000)).await
     }
@@ -65,7 +65,7 @@
         panic!("nobody owns the cell");
     }
 
-    async fn call(&self, no: u16, method: Method, path: &str) -> Result<Answer, HttpError> {
+    async fn call(&self, no: u16, method: Method, path: &str) -> Result<HttpResponse, HttpError> {
         let step = json!({ "count": 1, "cpu": 100, "mem_mb": 10, "estimate_ms": 100 });
         let body = json!({ "spec": "100", "steps": [step] }).to_string();
         let addr = self.cell.site.front(no);
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::{Value, json};
 use sprucerudder::clock::Millis;
-use sprucerudder::platform::http::{Answer, Http, HttpError, uri};
+use sprucerudder::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use sprucerudder::standin::site::Workspace;
 use sprucerudder::standin::site::worker::CRASHING;
 use std::sync::{Arc, Mutex};
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 pub struct Way {
     pub fronts: Vec<String>,
-    pub http: Http,
+    pub http: HttpClient,
     /// Callers belong to workspaces.
     pub keyed: bool,
 }
@@ -69,7 +69,7 @@
         method: Method,
         path: &str,
         body: &str,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let addr = &self.fronts[entry % self.fronts.len()];
         let mut request = Request::builder()
             .method(method)
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -17,7 +17,7 @@
 use faults::{Act, Cut, Link};
 use nix::sys::signal::Signal;
 use proxy::Proxy;
-use sprucerudder::platform::http::Http;
+use sprucerudder::platform::http::HttpClient;
 use sprucerudder::standin::site::CPU;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -119,7 +119,7 @@
         if keyed {
             cell.site.publish(2, &callers::WORKSPACES);
         }
-        let way = Way { fronts, http: Http::default(), keyed };
+        let way = Way { fronts, http: HttpClient::default(), keyed };
         let jobs = Jobs::default();
         let mut run = Self { cell, way, jobs, checks: Checks::new(keyed), restarts: Vec::new() };
         let mut acts = faults::draw(&mut rng, entries, workers, TROUBLE);
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -221,14 +221,14 @@
         "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1,"weight":18,
         "upper_bound":{"cpu":4000,"mem_mb":0,"gpu":0}}]}"#;
     let policy = Policy::parse(text.as_bytes()).unwrap();
-    assert!(policy.route("h", "/a/1").unwrap().is_open);
-    assert!(!policy.route("h", "/b/1").unwrap().is_open);
-    assert!(policy.has_keys);
+    assert!(policy.route("h", "/a/1").unwrap().is_anonymous);
+    assert!(!policy.route("h", "/b/1").unwrap().is_anonymous);
+    assert!(policy.requires_keys);
     let all = policy.workspaces;
     let of_key = all.of_key("k2").unwrap();
     let limit = Room { cpu: 4_000, ..Room::UNLIMITED };
     assert_eq!(**of_key, Workspace { name: "t".into(), weight: 18, limit });
     assert!(all.of_key("k3").is_none());
     let none = Policy::parse(br#"{"version":7}"#).unwrap();
-    assert!(none.workspaces.is_empty() && !none.has_keys);
+    assert!(none.workspaces.is_empty() && !none.requires_keys);
 }
