--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -4,7 +4,7 @@
 use crate::cell::jobs::job::Job;
 use crate::cell::jobs::restart_policy::is_paused;
 use crate::cell::jobs::wait_reason::WaitReason;
-use crate::cell::placing::place::{Fit, is_suitable};
+use crate::cell::placing::candidate::{Candidate, is_suitable};
 use crate::clock::Millis;
 use crate::workload::StepKey;
 
@@ -51,7 +51,7 @@
         &self,
         now: Millis,
         key: StepKey,
-        fits: &[Fit],
+        candidates: &[Candidate],
     ) -> Option<WaitReason> {
         let job = self.jobs.get(&key.job)?;
         let step = job.step(key)?;
@@ -62,7 +62,7 @@
         Some(match () {
             () if step.waiting.is_empty() => return None,
             () if step.waiting.iter().all(is_held) => WaitReason::Crashes,
-            () if !fits.is_empty() => WaitReason::Room,
+            () if !candidates.is_empty() => WaitReason::Room,
             () if advised.is_asking => WaitReason::Advice,
             () if !self.has_large_worker(job, key) => WaitReason::TooLarge,
             () if job.queue.advice.is_none() => WaitReason::NoWorker,
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -84,10 +84,11 @@
             self.now().since(begun)
         );
         let node = &self.node;
-        let (lease, keep, off) = (node.lease(), node.settings.keep, node.settings.off);
+        let (lease, keep, off) =
+            (node.lease(), node.settings.job_retention, node.settings.disabled);
         let bounds = CellConfig {
             lease,
-            max_lease: node.settings.lease_max,
+            max_lease: node.settings.max_lease,
             job_retention: keep,
             disabled: off,
         };
