--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -3,8 +3,8 @@
 use crate::cell::owner::map::CellMap;
 use crate::clock::Millis;
 use crate::id::{Name, hash};
-use crate::node::view::View;
-use crate::node::{Node, STORE_RETRY};
+use crate::node::view::CellView;
+use crate::node::{Node, STORE_RETRY_DELAY};
 use crate::platform::store::{Guard, Part, StoreError, put_keyed};
 use crate::workload::JobKey;
 use bytes::BytesMut;
@@ -12,75 +12,75 @@
 use std::time::Duration;
 
 /// The topic that holds the map, and its key there.
-const MAP: Part<'static> = Part { topic: "keyed.map", part: 0 };
-const KEY: &str = "map";
+const MAP_PART: Part<'static> = Part { topic: "keyed.map", part: 0 };
+const MAP_KEY: &str = "map";
 /// The longest wait for the store's answer to a write.
-const LIMIT: Millis = Millis(2_000);
+const WRITE_TIMEOUT: Millis = Millis(2_000);
 /// The longest wait for the map itself, which is small: a store 60 times slower than usual answers within
-/// 240 ms, and a connection that was begun while it was away hangs.
-const MAP_LIMIT: Millis = Millis(450);
+/// 240 ms, and a connection that was started while it was away hangs.
+const READ_TIMEOUT: Millis = Millis(450);
 /// Entries count the workers up to this much apart, from when the first ones are listed.
-const SPREAD: Duration = Duration::from_millis(1_500);
+const START_SPREAD: Duration = Duration::from_millis(1_500);
 /// Few go early: the others do not read the long list of workers before the first one has written the map.
-const FEW_EARLY: f64 = 0.25;
-/// Time between two looks at the list of workers. It has to stand still so long: they list themselves
+const START_EXPONENT: f64 = 0.25;
+/// Time between two attempts at the list of workers. It has to stand still so long: they list themselves
 /// within 1.5 s of each other.
-const SETTLE: Millis = Millis(600);
-/// The map is made after so many looks, however the list changes.
-const MOST_LOOKS: u32 = 8;
+const COUNT_INTERVAL: Millis = Millis(600);
+/// The map is made after so many attempts, however the list changes.
+const MAX_COUNTS: u32 = 8;
 
 /// All cells, by number.
 #[derive(Debug)]
 pub(super) struct Cells {
     pub map: CellMap,
-    pub views: Vec<Arc<View>>,
+    pub views: Vec<Arc<CellView>>,
 }
 
 impl Cells {
     /// The cell of a job: that of its workspace, if it has one.
-    pub fn of_job(&self, job: JobKey, workspace: Option<&Name>) -> Option<&Arc<View>> {
+    pub fn of_job(&self, job: JobKey, workspace: Option<&Name>) -> Option<&Arc<CellView>> {
         let of_job = || self.map.of_job(job);
         let cell = workspace.map_or_else(of_job, |name| self.map.of_workspace(name));
         self.views.get(cell as usize)
     }
 
     /// A cell by its number.
-    pub fn get(&self, cell: u32) -> Option<&Arc<View>> {
+    pub fn get(&self, cell: u32) -> Option<&Arc<CellView>> {
         self.views.get(cell as usize)
     }
 
     /// The cell that this entry belongs to.
-    pub fn home(&self) -> Option<&Arc<View>> {
+    pub fn home(&self) -> Option<&Arc<CellView>> {
         self.views.iter().find(|view| view.is_home)
     }
 
     /// Whether callers can be served: the owners of more than half of the cells take jobs.
-    pub fn accept(&self) -> bool {
-        let able = self.views.iter().filter(|view| view.accepts()).count();
-        2 * able > self.views.len()
+    pub fn accept_jobs(&self) -> bool {
+        let accepting = self.views.iter().filter(|view| view.accepts_jobs()).count();
+        2 * accepting > self.views.len()
     }
 }
 
 impl Node {
     /// Learns the map, and follows every cell from then on.
-    pub(super) async fn find_cells(self: Arc<Self>) {
-        let mut counted = Counted::new();
-        let mut is_told = false;
+    pub(super) async fn discover_cells(self: Arc<Self>) {
+        let mut worker_count = WorkerCount::new();
+        let mut is_logged = false;
         let map = loop {
-            match self.find_map(&mut counted).await {
+            match self.load_or_create_map(&mut worker_count).await {
                 Ok(Some(map)) => break map,
                 Ok(None) => {}
-                Err(err @ StoreError::Malformed(_)) if !std::mem::replace(&mut is_told, true) => {
+                Err(err @ StoreError::Malformed(_)) if !std::mem::replace(&mut is_logged, true) => {
                     log::error!("event=map-unreadable error={err}");
                 }
                 Err(err) => log::debug!("event=map-unread error={err:?}"),
             }
-            tokio::time::sleep(STORE_RETRY.duration()).await;
+            tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
         };
-        let home = map.of_entry(&self.me.name);
+        let home = map.of_entry(&self.id.name);
         log::info!("event=cells count={} home={home}", map.cells());
-        let view = |cell| Arc::new(View::new(self.clone(), cell, map.cells(), cell == home));
-        let views: Vec<Arc<View>> = (0..map.cells()).map(view).collect();
+        let view = |cell| Arc::new(CellView::new(self.clone(), cell, map.cells(), cell == home));
+        let views: Vec<Arc<CellView>> = (0..map.cells()).map(view).collect();
         for view in &views {
             view.follow();
         }
@@ -89,26 +89,29 @@
 
     /// Reads the map, or makes it if there is none; `None`: it is not time yet, or another entry may
     /// just have made it.
-    async fn find_map(&self, counted: &mut Counted) -> Result<Option<CellMap>, StoreError> {
+    async fn load_or_create_map(
+        &self,
+        worker_count: &mut WorkerCount,
+    ) -> Result<Option<CellMap>, StoreError> {
         let (map, end) = self.read_map().await?;
         if map.is_some() || self.policy.borrow().version == 0 {
             return Ok(map);
         }
         let (listed, _) = self.list_workers().await?;
-        if !counted.is_final(listed.len()) {
-            if std::mem::take(&mut counted.is_first) {
-                tokio::time::sleep(self.turn()).await;
+        if !worker_count.is_complete(listed.len()) {
+            if std::mem::take(&mut worker_count.delay_pending) {
+                tokio::time::sleep(self.start_delay()).await;
             }
-            tokio::time::sleep(SETTLE.duration()).await;
+            tokio::time::sleep(COUNT_INTERVAL.duration()).await;
             return Ok(None);
         }
         let map = CellMap::new(&listed, self.settings.cell_size);
         let bytes = postcard::to_stdvec(&map);
         let bytes = bytes.map_err(|err| StoreError::Malformed(err.to_string()))?;
         let mut body = BytesMut::new();
-        put_keyed(&mut body, KEY, &bytes);
+        put_keyed(&mut body, MAP_KEY, &bytes);
         let cells = map.cells();
-        match self.store.append(MAP, Guard::End(end), body.freeze(), LIMIT).await {
+        match self.store.append(MAP_PART, Guard::End(end), body.freeze(), WRITE_TIMEOUT).await {
             Ok(_) => log::info!("event=map-made cells={cells} workers={}", listed.len()),
             Err(err) => log::info!("event=map-not-made cells={cells} error={err:?}"),
         }
@@ -116,15 +119,15 @@
     }
 
     /// How much later than the first entry this one counts workers.
-    fn turn(&self) -> Duration {
-        let part = hash(&[self.me.name.as_bytes()]) as f64 / u64::MAX as f64;
-        SPREAD.mul_f64(part.powf(FEW_EARLY))
+    fn start_delay(&self) -> Duration {
+        let part = hash(&[self.id.name.as_bytes()]) as f64 / u64::MAX as f64;
+        START_SPREAD.mul_f64(part.powf(START_EXPONENT))
     }
 
     /// The map, if there is one that can be read, and where its topic ends.
     async fn read_map(&self) -> Result<(Option<CellMap>, u64), StoreError> {
-        let (items, end) = self.store.newest_all(MAP, MAP_LIMIT).await?;
-        let Some(item) = items.iter().find(|item| *item.key == *KEY) else {
+        let (items, end) = self.store.newest_all(MAP_PART, READ_TIMEOUT).await?;
+        let Some(item) = items.iter().find(|item| *item.key == *MAP_KEY) else {
             return Ok((None, end));
         };
         match postcard::from_bytes(&item.value) {
@@ -136,25 +139,25 @@
 
 /// The number of workers that are listed, over time.
 #[derive(Debug)]
-struct Counted {
+struct WorkerCount {
     last: usize,
-    looks: u32,
+    attempts: u32,
     /// None were listed so far.
-    is_first: bool,
+    delay_pending: bool,
 }
 
-impl Counted {
+impl WorkerCount {
     fn new() -> Self {
-        Self { last: 0, looks: 0, is_first: true }
+        Self { last: 0, attempts: 0, delay_pending: true }
     }
 
     /// Whether so many workers are all that will list themselves, as far as can be told.
-    fn is_final(&mut self, count: usize) -> bool {
-        let stands_still = std::mem::replace(&mut self.last, count) == count;
+    fn is_complete(&mut self, count: usize) -> bool {
+        let is_unchanged = std::mem::replace(&mut self.last, count) == count;
         if count == 0 {
             return false;
         }
-        self.looks += 1;
-        stands_still || self.looks >= MOST_LOOKS
+        self.attempts += 1;
+        is_unchanged || self.attempts >= MAX_COUNTS
     }
 }
--- /dev/null
+++ b/src/node/connection.rs
@@ -0,0 +1,476 @@
+//! The connection from an entry to the owner of the cell, and the owner's side of it.
+
+use crate::cell::owner::election::Leader;
+use crate::clock::Millis;
+use crate::id::Name;
+use crate::node::frame::{FrameReader, FrameSender, IDLE_TIMEOUT, encode, write_frames};
+use crate::node::msg::{EntryMessage, Frame, OwnerMessage, RefusalReason};
+use crate::node::owner::Owner;
+use crate::node::view::CellView;
+use crate::node::{Node, lock};
+use crate::workload::JobKey;
+use std::collections::HashMap;
+use std::io;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc, oneshot};
+
+/// Time between two pings. A silent connection is given up after [`IDLE_TIMEOUT`].
+const PING_INTERVAL: Millis = Millis(150);
+/// The most time beyond [`PING_INTERVAL`] between two pings from one owner to another: they tell each other what
+/// their cells have to do.
+const MAX_OWNER_PING_DELAY: Millis = Millis(450);
+/// After this time without a frame nothing new is sent: a caller whose request may have been sent
+/// and is not answered cannot be told that it was not run.
+const MAX_SILENCE: Millis = Millis(350);
+/// The longest wait for the answer to a question that changes nothing: 40 times the way to another
+/// failure domain and back, as long as an owner whose processor is shared may stand still.
+const CHECK_TIMEOUT: Millis = Millis(80);
+/// The most time for opening a connection: a hundred times the way between failure domains.
+const CONNECT_TIMEOUT: Millis = Millis(300);
+/// Time between attempts to reach an owner.
+const RETRY_DELAY: Millis = Millis(60);
+/// The number of answers to pings, which no question has.
+const PONG_ID: u64 = u64::MAX;
+/// FrameReader that may wait to be written; a slower peer loses its connection.
+const QUEUE_CAPACITY: usize = 4_096;
+
+/// An open connection to an owner.
+#[derive(Debug)]
+pub(super) struct OwnerConnection {
+    frames: FrameSender,
+    waiting: Mutex<HashMap<u64, oneshot::Sender<OwnerMessage>>>,
+    next_id: AtomicU64,
+    /// When the last frame came, in milliseconds.
+    heard: AtomicU64,
+    /// The owner takes new jobs, by its last answer to a ping.
+    accepts_jobs: AtomicBool,
+    is_closed: AtomicBool,
+    /// The time between two pings beyond [`PING_INTERVAL`].
+    ping_delay: Millis,
+}
+
+/// Why a question got no answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ConnectionError {
+    /// It was not sent.
+    Unsent,
+    /// It may have reached the owner.
+    Broken,
+}
+
+impl OwnerConnection {
+    /// Whether the owner was heard a moment ago.
+    pub fn is_live(&self, now: Millis) -> bool {
+        now.since(Millis(self.heard.load(Ordering::Relaxed))) < MAX_SILENCE + self.ping_delay
+    }
+
+    /// Whether the owner was heard a moment ago and takes new jobs. An entry beside an owner that a
+    /// cut keeps from the store would be ready, and refuse its callers until the cut heals instead of having them
+    /// sent to other failure domains.
+    pub fn accepts_jobs(&self, now: Millis) -> bool {
+        self.is_live(now) && self.accepts_jobs.load(Ordering::Relaxed)
+    }
+
+    /// Asks and waits for the answer.
+    ///
+    /// # Errors
+    /// [`ConnectionError::Unsent`] only if surely nothing was sent.
+    pub async fn request(&self, message: EntryMessage) -> Result<OwnerMessage, ConnectionError> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
+        let frame = encode(id, message).map_err(|err| {
+            log::error!("event=message-not-encoded error={err:?}");
+            ConnectionError::Unsent
+        })?;
+        let (tx, rx) = oneshot::channel();
+        lock(&self.waiting).insert(id, tx);
+        if self.is_closed.load(Ordering::Relaxed) {
+            lock(&self.waiting).remove(&id);
+            return Err(ConnectionError::Unsent);
+        }
+        if let Err(err) = self.frames.try_send(frame) {
+            // The owner reads too slowly or is gone: nothing left, so the question may be repeated.
+            log::info!("event=question-not-sent no={id} error={err}");
+            lock(&self.waiting).remove(&id);
+            return Err(ConnectionError::Unsent);
+        }
+        rx.await.map_err(|_| {
+            log::debug!("event=question-unanswered no={id}");
+            ConnectionError::Broken
+        })
+    }
+
+    /// Asks for the state of a job that is to be submitted. Only an owner that answers is sent the
+    /// job: behind a cut its caller can still be told truthfully that it was not run. Else each
+    /// cut of a failure domain leaves jobs in doubt, whose callers do not come back.
+    ///
+    /// # Errors
+    /// [`ConnectionError::Unsent`]: there was no answer, and the job was not sent.
+    pub async fn check_owner(&self, job: JobKey) -> Result<(), ConnectionError> {
+        let state = self.request(EntryMessage::State { job, workspace: None });
+        match tokio::time::timeout(CHECK_TIMEOUT.duration(), state).await {
+            Ok(Ok(_)) => Ok(()),
+            Ok(Err(_)) | Err(_) => {
+                log::debug!("event=owner-silent job={job}");
+                Err(ConnectionError::Unsent)
+            }
+        }
+    }
+
+    fn resolve(&self, frame: Frame<OwnerMessage>) {
+        if let Some(waiter) = lock(&self.waiting).remove(&frame.id) {
+            if waiter.send(frame.body).is_err() {
+                // Its caller went away, and does not read the answer.
+                log::debug!("event=answer-unread no={}", frame.id);
+            }
+        }
+    }
+}
+
+/// Ends all questions of a connection when it is over, also when its task is dropped because
+/// another entry owns the cell: they are asked again there.
+struct CloseGuard(Arc<OwnerConnection>);
+
+impl Drop for CloseGuard {
+    fn drop(&mut self) {
+        self.0.is_closed.store(true, Ordering::Relaxed);
+        lock(&self.0.waiting).clear();
+    }
+}
+
+impl CellView {
+    /// Keeps a connection to whoever owns the cell.
+    pub(super) async fn keep_connection(self: Arc<Self>) {
+        let mut leaders = self.leader.subscribe();
+        loop {
+            let leader = leaders.borrow_and_update().clone();
+            let other = leader.filter(|leader| leader.owner != self.node.id);
+            let Some(leader) = other else {
+                if leaders.changed().await.is_err() {
+                    return;
+                }
+                continue;
+            };
+            tokio::select! {
+                () = self.connect_to(&leader) => tokio::time::sleep(RETRY_DELAY.duration()).await,
+                changed = leaders.changed() => match changed {
+                    Ok(()) => {}
+                    Err(_) => return,
+                },
+            }
+            self.connection.send_replace(None);
+            self.set_follows_claims(true);
+        }
+    }
+
+    /// Connects to an owner and stays until the connection ends.
+    async fn connect_to(self: &Arc<Self>, leader: &Leader) {
+        let connecting = TcpStream::connect(&*leader.addr);
+        let stream = match tokio::time::timeout(CONNECT_TIMEOUT.duration(), connecting).await {
+            Err(_) => return,
+            Ok(Err(err)) => {
+                log::debug!("event=owner-unreachable owner={} error={err:?}", leader.owner);
+                if err.kind() == io::ErrorKind::ConnectionRefused {
+                    lock(&self.election).miss(leader.epoch);
+                    self.claim_wake.notify_one();
+                }
+                return;
+            }
+            Ok(Ok(stream)) => stream,
+        };
+        if let Err(err) = self.run_connection(stream, leader).await {
+            log::info!(
+                "event=owner-lost owner={} epoch={} error={err:?}",
+                leader.owner,
+                leader.epoch
+            );
+        }
+    }
+
+    async fn run_connection(
+        self: &Arc<Self>,
+        stream: TcpStream,
+        leader: &Leader,
+    ) -> io::Result<()> {
+        stream.set_nodelay(true)?;
+        let (read, half) = stream.into_split();
+        let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
+        let connection = Arc::new(OwnerConnection {
+            frames: sender.clone(),
+            waiting: Mutex::default(),
+            next_id: AtomicU64::new(0),
+            heard: AtomicU64::new(self.now().0),
+            accepts_jobs: AtomicBool::new(true),
+            is_closed: AtomicBool::new(false),
+            ping_delay: self.extra_ping_delay(),
+        });
+        let (entry, cpu) = (self.entry_name().clone(), self.node.settings.cpu);
+        let (cell, epoch) = (self.cell, leader.epoch);
+        let (is_home, history) = (self.is_home, self.log_history());
+        let hello = EntryMessage::Hello { entry, cell, epoch, cpu, is_home, history };
+        sender.try_send(encode(0, hello)?).map_err(io::Error::other)?;
+        let _closer = CloseGuard(connection.clone());
+        let frames =
+            FrameReader::new(read, IDLE_TIMEOUT + connection.ping_delay + connection.ping_delay);
+        let read = self.read_owner_messages(frames, connection.clone(), leader);
+        tokio::select! {
+            result = write_frames(half, queue) => result,
+            result = read => result,
+            result = self.ping(&connection) => result,
+        }
+    }
+
+    async fn read_owner_messages(
+        self: &Arc<Self>,
+        mut frames: FrameReader,
+        connection: Arc<OwnerConnection>,
+        leader: &Leader,
+    ) -> io::Result<()> {
+        while let Some(frame) = frames.next::<OwnerMessage>().await? {
+            connection.heard.store(self.now().0, Ordering::Relaxed);
+            self.set_follows_claims(false);
+            match frame {
+                Frame { id: 0, body: OwnerMessage::Ack } => {
+                    // The owner greets: it is at work.
+                    log::info!(
+                        "event=owner-found cell={} owner={} epoch={}",
+                        self.cell,
+                        leader.owner,
+                        leader.epoch
+                    );
+                    self.connection.send_replace(Some(connection.clone()));
+                }
+                Frame { id: 0, body: OwnerMessage::Refused(_) } => {
+                    lock(&self.election).miss(leader.epoch);
+                    self.claim_wake.notify_one();
+                    tokio::time::sleep(RETRY_DELAY.duration()).await;
+                    return Ok(());
+                }
+                Frame { id: 0, body: OwnerMessage::ProbeLog } => {
+                    let (node, sender) = (self.node.clone(), connection.frames.clone());
+                    tokio::spawn(async move {
+                        let readable = node.probe_log().await;
+                        let sent = encode(0, EntryMessage::LogProbed { readable })
+                            .map(|frame| sender.try_send(frame));
+                        if !matches!(sent, Ok(Ok(()))) {
+                            log::info!("event=probe-lost readable={readable}");
+                        }
+                    });
+                }
+                Frame { id: 0, body: OwnerMessage::SteppedDown { epoch } } => {
+                    log::info!("event=owner-stepped-down owner={} epoch={epoch}", leader.owner);
+                    lock(&self.election).step_down(epoch);
+                    self.claim_wake.notify_one();
+                }
+                Frame { id: 0, body: OwnerMessage::AskAdvice { step, workers, cost } } => {
+                    let (node, connection) = (self.node.clone(), connection.clone());
+                    tokio::spawn(async move {
+                        let answer = node.advise(step, &workers, cost).await;
+                        let sent = connection
+                            .request(EntryMessage::Advice { step, candidates: workers, answer })
+                            .await;
+                        if let Err(err) = sent {
+                            log::info!("event=advice-lost step={step} error={err:?}");
+                        }
+                    });
+                }
+                Frame { id: PONG_ID, body } => {
+                    let OwnerMessage::Pong { accepts_jobs, loads, entry_count } = body else {
+                        continue;
+                    };
+                    self.entry_count.store(entry_count, Ordering::Relaxed);
+                    connection.accepts_jobs.store(accepts_jobs, Ordering::Relaxed);
+                    *lock(&self.loads) = (self.now(), loads);
+                }
+                frame => connection.resolve(frame),
+            }
+        }
+        Ok(())
+    }
+
+    /// How much more time than at home passes between two pings to the owner of another cell: so an
+    /// owner hears some 200 pings a second however many entries and cells there are.
+    fn extra_ping_delay(&self) -> Millis {
+        match self.is_home {
+            true => Millis(0),
+            false => Millis(PING_INTERVAL.0 * u64::from(self.cell_count.saturating_sub(1))),
+        }
+    }
+
+    /// Pings the owner. While it is suspected of being lost, or the store cannot be read, that is done
+    /// as often as at home: then the owner needs this entry's history, or this entry another owner.
+    async fn ping(&self, connection: &OwnerConnection) -> io::Result<()> {
+        let mut follows_claims = self.follows_claims.subscribe();
+        loop {
+            tokio::time::sleep(PING_INTERVAL.duration()).await;
+            let log_readable = !self.node.is_log_lost();
+            if log_readable && !*follows_claims.borrow_and_update() {
+                let pause = match self.node.is_owner() {
+                    true => connection.ping_delay.min(MAX_OWNER_PING_DELAY),
+                    false => connection.ping_delay,
+                };
+                tokio::select! {
+                    () = tokio::time::sleep(pause.duration()) => {}
+                    changed = follows_claims.changed() => changed.map_err(io::Error::other)?,
+                }
+            }
+            let log_readable = !self.node.is_log_lost();
+            if !log_readable {
+                lock(&self.node.history).note_lost(self.now());
+            }
+            connection
+                .frames
+                .try_send(encode(0, EntryMessage::Ping { log_readable })?)
+                .map_err(io::Error::other)?;
+            let heard = Millis(connection.heard.load(Ordering::Relaxed));
+            if *follows_claims.borrow()
+                && !self.is_home
+                && self.now().since(heard) >= IDLE_TIMEOUT + connection.ping_delay
+            {
+                return Err(io::Error::other("the owner is silent"));
+            }
+        }
+    }
+}
+
+impl Node {
+    /// Whether the platform's log can be read now.
+    async fn probe_log(&self) -> bool {
+        let home = self.cells().and_then(|cells| cells.home().cloned());
+        match home {
+            Some(home) => home.probe_log().await,
+            None => false,
+        }
+    }
+
+    /// Takes connections of other entries.
+    pub(super) async fn serve_peers(self: Arc<Self>, listener: tokio::net::TcpListener) {
+        loop {
+            match listener.accept().await {
+                Ok((stream, from)) => {
+                    let node = self.clone();
+                    tokio::spawn(async move {
+                        if let Err(err) = node.serve_peer(stream).await {
+                            log::debug!("event=peer-lost from={from} error={err:?}");
+                        }
+                    });
+                }
+                Err(err) => {
+                    log::warn!("event=accept-failed at=peer error={err:?}");
+                    tokio::time::sleep(RETRY_DELAY.duration()).await;
+                }
+            }
+        }
+    }
+
+    async fn serve_peer(self: Arc<Self>, stream: TcpStream) -> io::Result<()> {
+        stream.set_nodelay(true)?;
+        let (read, half) = stream.into_split();
+        let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
+        let writer = write_frames(half, queue);
+        let reader = self.serve_entry(FrameReader::new(read, IDLE_TIMEOUT), sender);
+        tokio::select! {
+            result = writer => result,
+            result = reader => result,
+        }
+    }
+
+    async fn serve_entry(
+        self: &Arc<Self>,
+        mut frames: FrameReader,
+        sender: FrameSender,
+    ) -> io::Result<()> {
+        let Some(Frame {
+            body: EntryMessage::Hello { entry, cell, epoch, cpu, is_home, history },
+            ..
+        }) = frames.next().await?
+        else {
+            return Ok(());
+        };
+        let cells = self.cells();
+        let view = cells.as_ref().and_then(|cells| cells.get(cell));
+        let owner = match view {
+            Some(view) => view.wait_for_owner(epoch).await,
+            None => None,
+        };
+        let (Some(view), Some(owner)) = (view, owner) else {
+            let refused = OwnerMessage::Refused(RefusalReason::NotOwner);
+            sender.try_send(encode(0, refused)?).map_err(io::Error::other)?;
+            // The refusal has to leave before the connection closes.
+            tokio::time::sleep(RETRY_DELAY.duration()).await;
+            return Ok(());
+        };
+        sender.try_send(encode(0, OwnerMessage::Ack)?).map_err(io::Error::other)?;
+        if !is_home {
+            frames.set_idle_timeout(
+                Millis(PING_INTERVAL.0 * u64::from(view.cell_count)) + IDLE_TIMEOUT,
+            );
+        }
+        owner.add_peer(entry.clone(), cpu, is_home, sender.clone());
+        owner.add_log_history(&entry, history);
+        let result = self.serve_requests(&owner, &entry, &mut frames, &sender).await;
+        owner.remove_peer(&entry, &sender);
+        result
+    }
+
+    async fn serve_requests(
+        self: &Arc<Self>,
+        owner: &Arc<Owner>,
+        entry: &Name,
+        frames: &mut FrameReader,
+        sender: &FrameSender,
+    ) -> io::Result<()> {
+        while let Some(Frame { id, body }) = frames.next::<EntryMessage>().await? {
+            if owner.has_ended() {
+                return Ok(());
+            }
+            match body {
+                EntryMessage::Ping { log_readable } => {
+                    owner.handle_ping(entry, log_readable);
+                    let (accepts_jobs, entry_count) = (owner.is_serving(), owner.entry_count());
+                    let pong =
+                        OwnerMessage::Pong { accepts_jobs, loads: owner.loads(), entry_count };
+                    sender.try_send(encode(PONG_ID, pong)?).map_err(io::Error::other)?;
+                }
+                EntryMessage::LogProbed { readable } => owner.handle_log_probe(entry, readable),
+                body => {
+                    let (owner, entry, sender) = (owner.clone(), entry.clone(), sender.clone());
+                    tokio::spawn(async move {
+                        let message = owner.handle_request(&entry, body).await;
+                        let sent = encode(id, message).map(|frame| sender.try_send(frame));
+                        if !matches!(sent, Ok(Ok(()))) {
+                            log::info!("event=answer-lost entry={entry}");
+                        }
+                    });
+                }
+            }
+        }
+        Ok(())
+    }
+}
+
+impl CellView {
+    /// The owner of an epoch, once it has taken over; `None`: this process will not be it.
+    async fn wait_for_owner(&self, epoch: u64) -> Option<Arc<Owner>> {
+        let mut owners = self.owner.subscribe();
+        let mut leaders = self.leader.subscribe();
+        loop {
+            owners.borrow_and_update();
+            leaders.borrow_and_update();
+            if let Some(owner) = self.local_owner_in(epoch) {
+                return Some(owner);
+            }
+            let is_claimed =
+                lock(&self.election).leader().is_some_and(|leader| leader.epoch >= epoch);
+            if is_claimed && !self.is_leader(epoch) {
+                return None;
+            }
+            tokio::select! {
+                changed = owners.changed() => changed.ok()?,
+                changed = leaders.changed() => changed.ok()?,
+                () = tokio::time::sleep(IDLE_TIMEOUT.duration()) => {}
+            }
+        }
+    }
+}
--- a/src/node/frame.rs
+++ b/src/node/frame.rs
@@ -1,7 +1,7 @@
-//! Frames between entries: a length in front, then a message in `postcard`.
+//! FrameReader between entries: a length in front, then a message in `postcard`.
 
 use crate::clock::Millis;
-use crate::node::msg::{Frame, MAX_FRAME};
+use crate::node::msg::{Frame, MAX_FRAME_BYTES};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use serde::Serialize;
@@ -12,17 +12,17 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 /// A connection on which nothing came for this long is given up: three pings may be late.
-pub(super) const SILENT: Millis = Millis(700);
+pub(super) const IDLE_TIMEOUT: Millis = Millis(700);
 
-/// Frames on their way out.
-pub(super) type Out = mpsc::Sender<Bytes>;
+/// FrameReader on their way out.
+pub(super) type FrameSender = mpsc::Sender<Bytes>;
 
 /// A frame as bytes.
 ///
 /// # Errors
 /// It cannot be encoded.
-pub(super) fn encode<T: Serialize>(no: u64, body: T) -> io::Result<Bytes> {
-    let bytes = postcard::to_stdvec(&Frame { no, body });
+pub(super) fn encode<T: Serialize>(id: u64, body: T) -> io::Result<Bytes> {
+    let bytes = postcard::to_stdvec(&Frame { id, body });
     bytes.map(Bytes::from).map_err(io::Error::other)
 }
 
@@ -31,18 +31,18 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 /// Writes frames until the channel or the connection closes; what waits goes out together.
-pub(super) async fn write(
+pub(super) async fn write_frames(
     half: OwnedWriteHalf,
-    mut frames: mpsc::Receiver<Bytes>,
+    mut queue: mpsc::Receiver<Bytes>,
 ) -> io::Result<()> {
     let mut sink = FramedWrite::new(half, codec());
-    while let Some(frame) = frames.recv().await {
+    while let Some(frame) = queue.recv().await {
         sink.feed(frame).await?;
-        while let Ok(more) = frames.try_recv() {
+        while let Ok(more) = queue.try_recv() {
             sink.feed(more).await?;
         }
         SinkExt::<Bytes>::flush(&mut sink).await?;
@@ -51,20 +51,20 @@
 }
 
 /// The frames of a connection.
-pub(super) struct Frames {
+pub(super) struct FrameReader {
     read: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    silent: Millis,
+    idle_timeout: Millis,
 }
 
-impl Frames {
-    /// Reads from a connection that is given up once nothing came for `silent`.
-    pub fn new(half: OwnedReadHalf, silent: Millis) -> Self {
-        Self { read: FramedRead::new(half, codec()), silent }
+impl FrameReader {
+    /// Reads from a connection that is given up once nothing came for `idle_timeout`.
+    pub fn new(half: OwnedReadHalf, idle_timeout: Millis) -> Self {
+        Self { read: FramedRead::new(half, codec()), idle_timeout }
     }
 
     /// The connection is given up only after this time.
-    pub fn wait_longer(&mut self, silent: Millis) {
-        self.silent = silent;
+    pub fn set_idle_timeout(&mut self, idle_timeout: Millis) {
+        self.idle_timeout = idle_timeout;
     }
 
     /// The next frame; `None`: the peer closed, or said nothing for too long.
@@ -72,7 +72,7 @@
     /// # Errors
     /// The connection broke, or the frame cannot be read.
     pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<Option<Frame<T>>> {
-        match tokio::time::timeout(self.silent.duration(), self.read.next()).await {
+        match tokio::time::timeout(self.idle_timeout.duration(), self.read.next()).await {
             Err(_) | Ok(None) => Ok(None),
             Ok(Some(bytes)) => decode(&bytes?).map(Some),
         }
--- a/src/node/front.rs
+++ b/src/node/http_server.rs
@@ -4,7 +4,7 @@
 use crate::cell::owner::admission::LEAST;
 use crate::clock::Millis;
 use crate::node::Node;
-use crate::node::call::{Call, pending};
+use crate::node::job_call::{JobCall, pending};
 use crate::platform::config::{Policy, Route};
 use crate::platform::front::{Reply, deadline, host, key};
 use crate::workload::JobKey;
@@ -22,18 +22,18 @@
 use tokio::sync::watch;
 
 /// What is left of a caller's time for the answer's way back.
-const ANSWER_SPARE: Millis = Millis(40);
+const ANSWER_MARGIN: Millis = Millis(40);
 /// The most time that a caller waits who does not say.
-const USUAL_WAIT: Millis = Millis(3_000);
+const DEFAULT_TIMEOUT: Millis = Millis(3_000);
 /// Pause after a failure to accept a connection.
-const ACCEPT_PAUSE: Millis = Millis(20);
+const ACCEPT_RETRY_DELAY: Millis = Millis(20);
 
 /// Takes connections until `stop` closes or says so, and serves each by `answer`.
-pub(super) async fn accept<F, R>(
+pub(super) async fn serve<F, R>(
     listener: TcpListener,
     node: Arc<Node>,
     mut stop: watch::Receiver<bool>,
-    answer: F,
+    handler: F,
 ) where
     F: Fn(Arc<Node>, Request<Incoming>) -> R + Copy + Send + 'static,
     R: Future<Output = Response<Full<Bytes>>> + Send + 'static,
@@ -41,29 +41,33 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = closing(&mut stop) => return,
+            () = wait_for_stop(&mut stop) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(serve(stream, node.clone(), stop.clone(), answer));
+                tokio::spawn(serve_connection(stream, node.clone(), stop.clone(), handler));
             }
             Err(err) => {
                 log::warn!("event=accept-failed at=front error={err:?}");
-                tokio::time::sleep(ACCEPT_PAUSE.duration()).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY.duration()).await;
             }
         }
     }
 }
 
 /// Ready when the channel says stop, or closes.
-async fn closing(stop: &mut watch::Receiver<bool>) {
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
         log::debug!("event=listener-closes");
     }
 }
 
-async fn serve<F, R>(stream: TcpStream, node: Arc<Node>, mut stop: watch::Receiver<bool>, answer: F)
-where
+async fn serve_connection<F, R>(
+    stream: TcpStream,
+    node: Arc<Node>,
+    mut stop: watch::Receiver<bool>,
+    handler: F,
+) where
     F: Fn(Arc<Node>, Request<Incoming>) -> R + Copy + Send + 'static,
     R: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
@@ -73,7 +77,7 @@
     let limits = node.policy().limits;
     let service = service_fn(move |request| {
         let node = node.clone();
-        async move { Ok::<_, Infallible>(answer(node, request).await) }
+        async move { Ok::<_, Infallible>(handler(node, request).await) }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder
@@ -82,36 +86,39 @@
         .max_buf_size(limits.head.max(8_192));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
+    let result = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = closing(&mut stop) => {
+        () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(err) = ended {
+    if let Err(err) = result {
         log::debug!("event=connection-ended error={err:?}");
     }
 }
 
 /// Answers a caller.
-pub(super) async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let begun = node.now();
-    let (call, reply) = reply(&node, request, begun).await;
+pub(super) async fn handle_job_call(
+    node: Arc<Node>,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let started = node.now();
+    let (call, reply) = route_call(&node, request, started).await;
     let mut response = reply.response();
     if matches!(reply, Reply::Busy { .. }) && !node.is_ready() {
         // Behind a cut the balancer sends new connections elsewhere, but an open one stays here.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     let status = response.status().as_u16();
-    node.metrics.called(call, status, node.now().since(begun));
+    node.metrics.observe_call(call, status, node.now().since(started));
     response
 }
 
-async fn reply(
+async fn route_call(
     node: &Arc<Node>,
     request: Request<Incoming>,
-    begun: Millis,
+    started: Millis,
 ) -> (&'static str, Reply) {
     let policy = node.policy();
     if policy.version == 0 {
@@ -143,18 +150,18 @@
     let Some(cells) = node.cells() else {
         return ("none", Reply::Busy { after: LEAST });
     };
-    let given = deadline(&request).unwrap_or(USUAL_WAIT);
-    let wait = if route.timeout.0 > 0 { given.min(route.timeout) } else { given };
-    let until = begun + (wait - ANSWER_SPARE);
+    let requested = deadline(&request).unwrap_or(DEFAULT_TIMEOUT);
+    let wait = if route.timeout.0 > 0 { requested.min(route.timeout) } else { requested };
+    let deadline = started + (wait - ANSWER_MARGIN);
     let rest = path.get(route.prefix.len()..).unwrap_or_default();
     match (request.method().clone(), rest) {
-        (Method::GET, "") => ("pending", pending(&cells, route, until).await),
+        (Method::GET, "") => ("pending", pending(&cells, route, deadline).await),
         (Method::POST | Method::GET | Method::DELETE, rest) => match rest.parse::<JobKey>() {
             Ok(job) => {
                 let Some(view) = cells.of_job(job, workspace.as_ref()) else {
                     return ("none", Reply::NoQueue);
                 };
-                let call = Call { view, policy: &policy, route, job, workspace, until };
+                let call = JobCall { view, policy: &policy, route, job, workspace, deadline };
                 call.reply(request).await
             }
             Err(err) => ("none", Reply::Malformed(err.to_string())),
@@ -175,7 +182,7 @@
 }
 
 /// Answers the balancer: whether new callers may come.
-pub(super) async fn ready(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
+pub(super) async fn handle_ready(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.is_ready() {
         true => Reply::Accepted.response(),
         false => Reply::Busy { after: LEAST }.response(),
@@ -183,8 +190,8 @@
 }
 
 /// Answers whoever collects metrics.
-pub(super) async fn metrics(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
-    match node.metrics.text(crate::logs::dropped()) {
+pub(super) async fn handle_metrics(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
+    match node.metrics.render(crate::logs::dropped()) {
         Ok(text) => Response::new(Full::from(text)),
         Err(err) => {
             log::warn!("event=metrics-failed error={err:?}");
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -7,7 +7,8 @@
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
 /// Upper bounds of the buckets for times, in seconds.
-const BUCKETS: [f64; 11] = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
+const BUCKETS_SECONDS: [f64; 11] =
+    [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
 
 /// The metrics.
 #[derive(Debug)]
@@ -19,16 +20,16 @@
     order_time: Histogram,
     append_time: Histogram,
     advice_time: Histogram,
-    dropped: IntGauge,
-    jobs: IntGauge,
+    dropped_lines: IntGauge,
+    open_jobs: IntGauge,
     runs: IntGauge,
-    ready: IntGauge,
+    waiting_steps: IntGauge,
     workers: IntGauge,
-    heard: IntGauge,
-    crashed: IntGauge,
-    given_up: IntGauge,
-    restarted: IntGauge,
-    expired: IntGauge,
+    heard_workers: IntGauge,
+    crashed_workers: IntGauge,
+    abandoned_jobs: IntGauge,
+    restarted_workers: IntGauge,
+    expired_waits: IntGauge,
     /// Takeovers by this entry.
     pub takeovers: IntCounter,
 }
@@ -43,7 +44,7 @@
         let counts =
             |name: &str, help: &str, labels: &[&str]| registry.counters(name, help, labels);
         let gauge = |name: &str, help: &str| registry.gauge(name, help);
-        let times = |name: &str, help: &str| registry.times(name, help, &BUCKETS);
+        let times = |name: &str, help: &str| registry.times(name, help, &BUCKETS_SECONDS);
         Ok(Self {
             requests: counts("sprucerudder_calls_total", "Callers' calls", &["call", "status"])?,
             request_time: times("sprucerudder_call_seconds", "Time of callers' calls")?,
@@ -55,25 +56,31 @@
             order_time: times("sprucerudder_order_seconds", "Time of orders to workers")?,
             append_time: times("sprucerudder_append_seconds", "Time of appends to the store")?,
             advice_time: times("sprucerudder_advice_seconds", "Time of questions for advice")?,
-            dropped: gauge("sprucerudder_log_lines_dropped", "Log lines that found no room")?,
-            jobs: gauge("sprucerudder_jobs_open", "Open jobs at the owner")?,
+            dropped_lines: gauge("sprucerudder_log_lines_dropped", "Log lines that found no room")?,
+            open_jobs: gauge("sprucerudder_jobs_open", "Open jobs at the owner")?,
             runs: gauge("sprucerudder_runs", "Runs whose room is taken")?,
-            ready: gauge("sprucerudder_steps_waiting", "Steps with tasks that need a worker")?,
+            waiting_steps: gauge(
+                "sprucerudder_steps_waiting",
+                "Steps with tasks that need a worker",
+            )?,
             workers: gauge("sprucerudder_workers", "Workers in use")?,
-            heard: gauge("sprucerudder_workers_heard", "Workers that answered their last call")?,
-            crashed: gauge(
+            heard_workers: gauge(
+                "sprucerudder_workers_heard",
+                "Workers that answered their last call",
+            )?,
+            crashed_workers: gauge(
                 "sprucerudder_workers_crashed",
                 "Workers that crashed with something running, since the takeover",
             )?,
-            given_up: gauge(
+            abandoned_jobs: gauge(
                 "sprucerudder_jobs_given_up",
                 "Jobs given up for crashes under a task, since the takeover",
             )?,
-            restarted: gauge(
+            restarted_workers: gauge(
                 "sprucerudder_workers_restarted",
                 "Workers that started again under their ids, since the takeover",
             )?,
-            expired: gauge(
+            expired_waits: gauge(
                 "sprucerudder_waits_expired",
                 "Waits that a deadline ended and not the event, since the takeover",
             )?,
@@ -83,13 +90,13 @@
     }
 
     /// A caller got its answer.
-    pub fn called(&self, call: &str, status: u16, took: Millis) {
+    pub fn observe_call(&self, call: &str, status: u16, took: Millis) {
         self.requests.with_label_values(&[call, &status.to_string()]).inc();
         self.request_time.observe(seconds(took));
     }
 
     /// An order to a worker came to an end.
-    pub fn ordered(&self, start: bool, outcome: &Outcome, took: Millis) {
+    pub fn observe_order(&self, is_start: bool, outcome: &Outcome, took: Millis) {
         let outcome = match outcome {
             Outcome::Done(_) => "done",
             Outcome::Refused(_) => "refused",
@@ -97,40 +104,40 @@
             Outcome::Withheld => "withheld",
             Outcome::Unknown => "unknown",
         };
-        let order = if start { "start" } else { "stop" };
+        let order = if is_start { "start" } else { "stop" };
         self.orders.with_label_values(&[order, outcome]).inc();
         self.order_time.observe(seconds(took));
     }
 
     /// A batch is in the store.
-    pub fn appended(&self, took: Millis) {
+    pub fn observe_append(&self, took: Millis) {
         self.append_time.observe(seconds(took));
     }
 
     /// The advice service answered.
-    pub fn advised(&self, took: Millis) {
+    pub fn observe_advice(&self, took: Millis) {
         self.advice_time.observe(seconds(took));
     }
 
     /// What the owner holds.
-    pub fn loaded(&self, load: &Load) {
-        self.jobs.set(load.jobs as i64);
+    pub fn set_load(&self, load: &Load) {
+        self.open_jobs.set(load.jobs as i64);
         self.runs.set(load.runs as i64);
-        self.ready.set(load.ready as i64);
+        self.waiting_steps.set(load.ready as i64);
         self.workers.set(load.workers as i64);
-        self.heard.set(load.heard as i64);
-        self.crashed.set(load.counts.crashed as i64);
-        self.given_up.set(load.counts.given_up as i64);
-        self.restarted.set(load.counts.restarted as i64);
-        self.expired.set(load.expired_waits as i64);
+        self.heard_workers.set(load.heard as i64);
+        self.crashed_workers.set(load.counts.crashed as i64);
+        self.abandoned_jobs.set(load.counts.given_up as i64);
+        self.restarted_workers.set(load.counts.restarted as i64);
+        self.expired_waits.set(load.expired_waits as i64);
     }
 
     /// All metrics as text; `dropped`: log lines that found no room.
     ///
     /// # Errors
     /// They cannot be written.
-    pub fn text(&self, dropped: u64) -> prometheus::Result<Vec<u8>> {
-        self.dropped.set(dropped as i64);
+    pub fn render(&self, dropped: u64) -> prometheus::Result<Vec<u8>> {
+        self.dropped_lines.set(dropped as i64);
         self.registry.text()
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,11 +1,11 @@
 //! One entry on the platform: the tasks, timers and sockets around the decisions in `cell`.
 
-mod call;
 mod cells;
 mod claims;
+mod connection;
 mod frame;
-mod front;
-mod link;
+mod http_server;
+mod job_call;
 mod metrics;
 mod msg;
 mod owner;
@@ -34,11 +34,11 @@
 
 /// How long runs go on without a renewal: longer than a takeover and a restart of the owner
 /// together, short enough that tasks of a lost worker start elsewhere within seconds.
-const LEASE: Millis = Millis(6_000);
+const RUN_LEASE: Millis = Millis(6_000);
 /// How much longer than reckoned an answer of the advice service may take.
-const ADVICE_SPARE: Millis = Millis(700);
+const ADVICE_MARGIN: Millis = Millis(700);
 /// Time between attempts after a failure of the store: 25 times its usual answer.
-const STORE_RETRY: Millis = Millis(100);
+const STORE_RETRY_DELAY: Millis = Millis(100);
 
 /// Why an entry cannot serve.
 #[derive(Debug, Error)]
@@ -54,7 +54,7 @@
 /// An entry.
 #[derive(Debug)]
 pub struct Node {
-    me: EntryId,
+    id: EntryId,
     settings: Settings,
     clock: Clock,
     http: Http,
@@ -63,7 +63,7 @@
     metrics: Metrics,
     policy: watch::Sender<Arc<Policy>>,
     /// When the policy was last known to be the operators' newest.
-    policy_read: Mutex<Millis>,
+    policy_read_at: Mutex<Millis>,
     /// The cells; `None`: it is not known yet how workers are dealt to them.
     cells: watch::Sender<Option<Arc<Cells>>>,
     stopping: AtomicBool,
@@ -91,7 +91,7 @@
     /// # Errors
     /// See [`NodeError`].
     pub async fn run(settings: Settings, stop: watch::Receiver<bool>) -> Result<(), NodeError> {
-        let me = EntryId { name: settings.name.clone(), inc: Millis::now().0 };
+        let id = EntryId { name: settings.name.clone(), inc: Millis::now().0 };
         let http = Http::default();
         let clock = Clock::default();
         let node = Arc::new(Self {
@@ -100,12 +100,12 @@
             adviser: settings.advice.clone().map(|addr| Adviser::new(http.clone(), addr)),
             metrics: Metrics::new()?,
             policy: watch::channel(Arc::new(Policy::default())).0,
-            policy_read: Mutex::default(),
+            policy_read_at: Mutex::default(),
             cells: watch::channel(None).0,
             stopping: AtomicBool::new(false),
             clock,
             http,
-            me,
+            id,
             settings,
         });
         node.serve(stop).await
@@ -118,22 +118,27 @@
         let metrics = listen(&self.settings.metrics).await?;
         log::info!(
             "event=up entry={} domain={} front={} store={}",
-            self.me,
+            self.id,
             self.settings.domain,
             self.settings.front,
             self.settings.store
         );
         let (close, closed) = watch::channel(false);
-        let (never, open) = watch::channel(false);
-        tokio::spawn(front::accept(front, self.clone(), closed, front::answer));
-        tokio::spawn(front::accept(ready, self.clone(), open.clone(), front::ready));
-        tokio::spawn(front::accept(metrics, self.clone(), open, front::metrics));
+        let (stay_open, open) = watch::channel(false);
+        tokio::spawn(http_server::serve(front, self.clone(), closed, http_server::handle_job_call));
+        tokio::spawn(http_server::serve(
+            ready,
+            self.clone(),
+            open.clone(),
+            http_server::handle_ready,
+        ));
+        tokio::spawn(http_server::serve(metrics, self.clone(), open, http_server::handle_metrics));
         tokio::spawn(self.clone().serve_peers(peer));
         tokio::spawn(self.clone().follow_policy());
-        tokio::spawn(self.clone().find_cells());
-        self.wait_for_stop(stop, close).await;
-        drop(never);
-        log::info!("event=down entry={}", self.me);
+        tokio::spawn(self.clone().discover_cells());
+        self.shut_down_on_signal(stop, close).await;
+        drop(stay_open);
+        log::info!("event=down entry={}", self.id);
         Ok(())
     }
 
@@ -143,7 +148,7 @@
     }
 
     fn lease(&self) -> Millis {
-        LEASE.min(self.settings.lease_max)
+        RUN_LEASE.min(self.settings.lease_max)
     }
 
     fn policy(&self) -> Arc<Policy> {
@@ -152,7 +157,7 @@
 
     /// How long ago the policy was known to be the operators' newest.
     fn policy_age(&self) -> Millis {
-        self.now().since(*lock(&self.policy_read))
+        self.now().since(*lock(&self.policy_read_at))
     }
 
     fn cells(&self) -> Option<Arc<Cells>> {
@@ -162,14 +167,14 @@
     /// Whether new callers may come: there is a policy, and owners that can be asked.
     fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
-        let accepts = self.cells.borrow().as_ref().is_some_and(|cells| cells.accept());
+        let accepts = self.cells.borrow().as_ref().is_some_and(|cells| cells.accept_jobs());
         !stopping && self.policy.borrow().version > 0 && accepts
     }
 
     /// Whether this entry owns a cell.
     fn is_owner(&self) -> bool {
         let cells = self.cells();
-        cells.is_some_and(|cells| cells.views.iter().any(|view| view.living_owner().is_some()))
+        cells.is_some_and(|cells| cells.views.iter().any(|view| view.local_owner().is_some()))
     }
 
     /// Whether waiting for an owner is of no use: the log cannot be read, so nobody can claim.
@@ -181,11 +186,11 @@
     /// Asks the advice service for the owner.
     async fn advise(&self, step: StepKey, workers: &[Name], cost: Millis) -> Option<Cleared> {
         let adviser = self.adviser.as_ref()?;
-        let begun = self.now();
-        let limit = cost + cost + ADVICE_SPARE;
-        match adviser.ask(step, workers, limit).await {
+        let started = self.now();
+        let timeout = cost + cost + ADVICE_MARGIN;
+        match adviser.ask(step, workers, timeout).await {
             Ok(cleared) => {
-                self.metrics.advised(self.now().since(begun));
+                self.metrics.observe_advice(self.now().since(started));
                 Some(cleared)
             }
             Err(err) => {
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -16,9 +16,9 @@
 use crate::cell::{Action, Bounds, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::node::frame::{Out, encode};
-use crate::node::msg::{Ask, Refused, Tell};
-use crate::node::view::View;
+use crate::node::frame::{FrameSender, encode};
+use crate::node::msg::{EntryMessage, OwnerMessage, RefusalReason};
+use crate::node::view::CellView;
 use crate::node::{Node, lock};
 use crate::workload::{JobKey, Work};
 use std::collections::HashMap;
@@ -28,50 +28,50 @@
 
 /// Without a heartbeat in the log for this long no job is accepted: it could not be kept in time.
 /// With a store 60 times slower than usual heartbeats take up to 900 ms.
-const STORE_FRESH: Millis = Millis(1_000);
+const HEARTBEAT_MAX_AGE: Millis = Millis(1_000);
 
 /// Time between two looks at whether all is written.
-const SETTLE_LOOK: Millis = Millis(20);
+const FLUSH_POLL_INTERVAL: Millis = Millis(20);
 /// The owner.
 #[derive(Debug)]
 pub(super) struct Owner {
     node: Arc<Node>,
-    view: Arc<View>,
+    view: Arc<CellView>,
     epoch: u64,
     cell: Mutex<Cell>,
     /// The batch up to which all is in the store.
-    kept: watch::Sender<u64>,
+    stored_batch: watch::Sender<u64>,
     /// There may be something to do or to write.
-    wake: Notify,
-    write: Notify,
+    schedule_wake: Notify,
+    write_wake: Notify,
     /// It is not the owner any more.
-    over: watch::Sender<bool>,
+    ended: watch::Sender<bool>,
     /// The other entries that ask this owner.
-    peers: Mutex<HashMap<Name, Out>>,
+    peers: Mutex<HashMap<Name, FrameSender>>,
     authority: Mutex<Authority>,
     /// What the other entries know of the time before.
     witnesses: Mutex<Witnesses>,
     lag: Mutex<Lag>,
     /// Pauses of the process that the cell knows of.
-    pauses: AtomicU64,
+    known_pauses: AtomicU64,
     /// No heartbeat has been confirmed since the last pause.
-    woke: AtomicBool,
+    is_unconfirmed: AtomicBool,
     /// The store takes records.
-    store: AtomicBool,
+    store_up: AtomicBool,
     /// Wakes the watch of a worker for a report at once.
-    looks: Mutex<HashMap<Name, Arc<Notify>>>,
+    report_wakes: Mutex<HashMap<Name, Arc<Notify>>>,
     /// What the cell has to do, as of the last tick.
     loads: Mutex<Vec<Load>>,
     /// Bounds how many orders each worker is given at once.
-    gates: Mutex<HashMap<Name, Arc<Semaphore>>>,
+    order_permits: Mutex<HashMap<Name, Arc<Semaphore>>>,
 }
 
-impl View {
+impl CellView {
     /// Takes the cell over and owns it until another entry does, or this one is released.
-    pub(super) async fn own(self: Arc<Self>, epoch: u64) {
-        let begun = self.now();
+    pub(super) async fn run_owner(self: Arc<Self>, epoch: u64) {
+        let started = self.now();
         let Some((snapshot, listed)) = self.recover(epoch).await else {
-            self.given_up.fetch_max(epoch, Ordering::Relaxed);
+            self.ended_epoch.fetch_max(epoch, Ordering::Relaxed);
             return;
         };
         let doubt = !lock(&self.election).is_steady(self.now());
@@ -81,7 +81,7 @@
             snapshot.jobs.len(),
             snapshot.roster.len(),
             listed.len(),
-            self.now().since(begun)
+            self.now().since(started)
         );
         let node = &self.node;
         let (lease, keep, off) = (node.lease(), node.settings.keep, node.settings.off);
@@ -91,39 +91,39 @@
         cell.set_workspaces(policy.workspaces.clone());
         cell.set_workers(self.now(), listed);
         if node.adviser.is_some() {
-            cell.join(self.me().clone(), self.is_home);
+            cell.join(self.entry_name().clone(), self.is_home);
         }
         let mut authority = Authority::new(self.now());
-        authority.expect(self.now(), self.entries.load(Ordering::Relaxed));
+        authority.expect(self.now(), self.entry_count.load(Ordering::Relaxed));
         let owner = Arc::new(Owner {
             epoch,
             cell: Mutex::new(cell),
-            kept: watch::channel(0).0,
-            wake: Notify::new(),
-            write: Notify::new(),
-            over: watch::channel(false).0,
+            stored_batch: watch::channel(0).0,
+            schedule_wake: Notify::new(),
+            write_wake: Notify::new(),
+            ended: watch::channel(false).0,
             peers: Mutex::default(),
             authority: Mutex::new(authority),
             witnesses: Mutex::default(),
             lag: Mutex::new(Lag::new(self.now())),
-            pauses: AtomicU64::new(node.clock.pauses()),
-            woke: AtomicBool::new(false),
-            store: AtomicBool::new(true),
-            looks: Mutex::default(),
+            known_pauses: AtomicU64::new(node.clock.pauses()),
+            is_unconfirmed: AtomicBool::new(false),
+            store_up: AtomicBool::new(true),
+            report_wakes: Mutex::default(),
             loads: Mutex::default(),
-            gates: Mutex::default(),
+            order_permits: Mutex::default(),
             node: node.clone(),
             view: self.clone(),
         });
         self.owner.send_replace(Some(owner.clone()));
         owner.clone().run().await;
-        self.given_up.fetch_max(epoch, Ordering::Relaxed);
+        self.ended_epoch.fetch_max(epoch, Ordering::Relaxed);
         self.owner.send_if_modified(|current| {
-            let is_this = current.as_ref().is_some_and(|current| current.epoch == epoch);
-            if is_this {
+            let is_same = current.as_ref().is_some_and(|current| current.epoch == epoch);
+            if is_same {
                 *current = None;
             }
-            is_this
+            is_same
         });
         log::info!("event=owner-over cell={} epoch={epoch}", self.cell);
     }
@@ -136,138 +136,138 @@
     }
 
     /// Whether another entry owns the cell by now, or this one gave it up.
-    pub fn is_over(&self) -> bool {
-        *self.over.borrow()
+    pub fn has_ended(&self) -> bool {
+        *self.ended.borrow()
     }
 
     /// Gives the cell up: nothing is ordered or written any more.
     pub fn end(&self) {
-        self.over.send_replace(true);
+        self.ended.send_replace(true);
     }
 
     async fn run(self: Arc<Self>) {
-        let mut over = self.over.subscribe();
-        self.wake.notify_one();
+        let mut ended = self.ended.subscribe();
+        self.schedule_wake.notify_one();
         tokio::select! {
-            () = self.clone().pump() => {}
+            () = self.clone().run_actions() => {}
             () = self.clone().write_batches() => {}
             () = self.clone().tick() => {}
             () = self.clone().follow_workers() => {}
             () = self.clone().follow_policy() => {}
-            () = self.clone().transfer_when_slow() => {}
-            _ = over.wait_for(|over| *over) => {}
+            () = self.clone().watch_for_transfer() => {}
+            _ = ended.wait_for(|ended| *ended) => {}
         }
         self.end();
     }
 
     /// A heartbeat that was sent at `sent` is in the log.
-    pub fn confirm(&self, sent: Millis) {
+    pub fn confirm_heartbeat(&self, sent: Millis) {
         lock(&self.authority).confirm(sent);
         if self.node.now().since(sent) < SILENCE {
-            self.woke.store(false, Ordering::Relaxed);
+            self.is_unconfirmed.store(false, Ordering::Relaxed);
         }
         // Without jobs there may be no batch that shows that the store takes records again.
-        if !self.store.swap(true, Ordering::Relaxed) {
+        if !self.store_up.swap(true, Ordering::Relaxed) {
             log::info!("event=store-back epoch={}", self.epoch);
-            self.write.notify_one();
+            self.write_wake.notify_one();
         }
     }
 
     /// Whether orders may go out: no other entry can have claimed the cell.
-    fn may_order(&self) -> bool {
+    fn has_authority(&self) -> bool {
         let now = self.node.now();
-        self.notice_pause(now);
+        self.check_for_pause(now);
         lock(&self.authority).holds(now)
     }
 
     /// After a pause of the process or its machine, what the cell believes of workers is too old: nothing
     /// starts before the list of them is read again, and each has reported.
-    fn notice_pause(&self, now: Millis) {
+    fn check_for_pause(&self, now: Millis) {
         let pauses = self.node.clock.pauses();
-        if self.pauses.swap(pauses, Ordering::Relaxed) != pauses {
-            self.woke.store(true, Ordering::Relaxed);
+        if self.known_pauses.swap(pauses, Ordering::Relaxed) != pauses {
+            self.is_unconfirmed.store(true, Ordering::Relaxed);
             lock(&self.cell).wake(now);
         }
     }
 
     /// Whether callers may come: this surely is the owner, and the store takes records.
-    pub fn is_sure(&self) -> bool {
-        !self.is_over() && self.may_accept() && self.may_order()
+    pub fn is_serving(&self) -> bool {
+        !self.has_ended() && self.can_accept_jobs() && self.has_authority()
     }
 
     /// Does what the cell decides.
-    async fn pump(self: Arc<Self>) {
+    async fn run_actions(self: Arc<Self>) {
         loop {
-            self.wake.notified().await;
+            self.schedule_wake.notified().await;
             let actions = {
-                let may_order = self.may_order();
+                let has_authority = self.has_authority();
                 let mut cell = lock(&self.cell);
                 let now = self.node.now();
-                match may_order {
+                match has_authority {
                     true => cell.schedule(now),
                     false => cell.withhold_starts("no-authority"),
                 }
                 if lock(&self.authority).rests_on_peers(now) {
                     cell.send_unkept(now);
-                    self.note_rest(now);
+                    self.note_unlogged_starts(now);
                 }
                 cell.take_actions()
             };
             for action in actions {
-                self.act(action);
+                self.execute(action);
             }
-            self.write.notify_one();
+            self.write_wake.notify_one();
         }
     }
 
-    fn act(self: &Arc<Self>, action: Action) {
+    fn execute(self: &Arc<Self>, action: Action) {
         match action {
             Action::Deposed => {
                 log::info!("event=deposed epoch={} by=fence", self.epoch);
                 self.end();
             }
-            Action::Watch(listed) => drop(tokio::spawn(self.clone().watch(listed))),
+            Action::Watch(listed) => drop(tokio::spawn(self.clone().watch_worker(listed))),
             Action::Unwatch(worker) => {
                 // The watching task ends by itself: the cell does not know the worker any more.
-                if let Some(look) = lock(&self.looks).remove(&worker) {
-                    look.notify_one();
+                if let Some(report_wake) = lock(&self.report_wakes).remove(&worker) {
+                    report_wake.notify_one();
                 }
-                lock(&self.gates).remove(&worker);
+                lock(&self.order_permits).remove(&worker);
             }
             Action::Look(worker) => {
-                if let Some(look) = lock(&self.looks).get(&worker) {
-                    look.notify_one();
+                if let Some(report_wake) = lock(&self.report_wakes).get(&worker) {
+                    report_wake.notify_one();
                 }
             }
-            Action::Ask { entry, question } => self.ask(entry, question),
-            Action::Forgotten(job, workspace) => self.forget_at_home(job, workspace.as_ref()),
-            order => drop(tokio::spawn(self.clone().order(order))),
+            Action::Ask { entry, question } => self.request_advice(entry, question),
+            Action::Forgotten(job, workspace) => self.forget_at_home_cell(job, workspace.as_ref()),
+            order => drop(tokio::spawn(self.clone().send_order(order))),
         }
     }
 
     /// Has an entry, maybe this one, ask the advice service.
-    fn ask(self: &Arc<Self>, entry: Name, question: Question) {
+    fn request_advice(self: &Arc<Self>, entry: Name, question: Question) {
         let Question { step, workers, cost, .. } = question;
-        if entry == self.node.me.name {
+        if entry == self.node.id.name {
             let owner = self.clone();
             tokio::spawn(async move {
                 let answer = owner.node.advise(step, &workers, cost).await;
                 let now = owner.node.now();
                 lock(&owner.cell).advised(now, &entry, step, &workers, answer);
-                owner.wake.notify_one();
+                owner.schedule_wake.notify_one();
             });
             return;
         }
-        let out = lock(&self.peers).get(&entry).cloned();
-        let frame = encode(0, Tell::Question { step, workers, cost });
-        let sent = match (out, frame) {
-            (Some(out), Ok(frame)) => out.try_send(frame).is_ok(),
+        let sender = lock(&self.peers).get(&entry).cloned();
+        let frame = encode(0, OwnerMessage::AskAdvice { step, workers, cost });
+        let sent = match (sender, frame) {
+            (Some(sender), Ok(frame)) => sender.try_send(frame).is_ok(),
             _ => false,
         };
         if !sent {
             log::info!("event=question-lost entry={entry} step={step}");
             lock(&self.cell).leave(&entry);
-            self.wake.notify_one();
+            self.schedule_wake.notify_one();
         }
     }
 
@@ -277,25 +277,25 @@
         loop {
             timer.tick().await;
             let now = self.node.now();
-            let is_late = self.note_lag(now);
+            let is_shedding = self.update_lag(now);
             let load = {
                 let mut cell = lock(&self.cell);
-                cell.set_late(is_late);
+                cell.set_late(is_shedding);
                 cell.tick(now, Millis::now());
                 *lock(&self.loads) = cell.loads();
                 cell.load()
             };
-            self.node.metrics.loaded(&load);
-            self.wake.notify_one();
+            self.node.metrics.set_load(&load);
+            self.schedule_wake.notify_one();
         }
     }
 
     /// Takes note of a tick; whether the processor does not keep up.
-    fn note_lag(&self, now: Millis) -> bool {
+    fn update_lag(&self, now: Millis) -> bool {
         let mut lag = lock(&self.lag);
-        let before = lag.sheds();
+        let was_shedding = lag.sheds();
         lag.tick(now, TICK);
-        if lag.sheds() != before {
+        if lag.sheds() != was_shedding {
             let (cell, epoch) = (self.view.cell, self.epoch);
             log::info!("event=overload cell={cell} epoch={epoch} sheds={}", lag.sheds());
         }
@@ -311,7 +311,7 @@
                 cell.set_queues(policy.queues.clone());
                 cell.set_workspaces(policy.workspaces.clone());
             }
-            self.wake.notify_one();
+            self.schedule_wake.notify_one();
             if policies.changed().await.is_err() {
                 return;
             }
@@ -319,87 +319,97 @@
     }
 
     /// Another entry asks this owner from now on.
-    pub fn join(&self, entry: Name, cpu: u32, is_home: bool, out: Out) {
+    pub fn add_peer(&self, entry: Name, cpu: u32, is_home: bool, sender: FrameSender) {
         log::info!("event=entry-joined cell={} entry={entry} epoch={}", self.view.cell, self.epoch);
-        lock(&self.peers).insert(entry.clone(), out);
+        lock(&self.peers).insert(entry.clone(), sender);
         // The cell is handed only to entries that belong to it.
         let cpu = if is_home { cpu } else { 0 };
         lock(&self.authority).join(self.node.now(), &entry, cpu);
         if self.node.adviser.is_some() {
             lock(&self.cell).join(entry, is_home);
         }
-        self.wake.notify_one();
+        self.schedule_wake.notify_one();
     }
 
     /// Its connection ended, unless it has a newer one.
-    pub fn leave(&self, entry: &Name, out: &Out) {
+    pub fn remove_peer(&self, entry: &Name, sender: &FrameSender) {
         let mut peers = lock(&self.peers);
-        if peers.get(entry).is_some_and(|known| known.same_channel(out)) {
+        if peers.get(entry).is_some_and(|known| known.same_channel(sender)) {
             let (cell, epoch) = (self.view.cell, self.epoch);
             log::info!("event=entry-left cell={cell} entry={entry} epoch={epoch}");
             peers.remove(entry);
             drop(peers);
             lock(&self.cell).leave(entry);
-            self.wake.notify_one();
+            self.schedule_wake.notify_one();
         }
     }
 
     /// An entry says whether it can read the log.
-    pub fn pinged(&self, entry: &Name, store: bool) {
-        lock(&self.authority).hear(self.node.now(), entry, store);
+    pub fn handle_ping(&self, entry: &Name, log_readable: bool) {
+        lock(&self.authority).hear(self.node.now(), entry, log_readable);
     }
 
     /// Answers an entry.
-    pub async fn answer(self: &Arc<Self>, entry: &Name, ask: Ask) -> Tell {
-        self.notice_pause(self.node.now());
+    pub async fn handle_request(
+        self: &Arc<Self>,
+        entry: &Name,
+        message: EntryMessage,
+    ) -> OwnerMessage {
+        self.check_for_pause(self.node.now());
         // Another entry may own the cell by now, and know more of its jobs. What entries tell is taken in all
         // the same: an answer of the advice service that was turned away left its step waiting for good.
-        let is_late = ask.is_callers() && self.woke.load(Ordering::Relaxed);
-        if self.is_over() || is_late {
-            return Tell::Refused(Refused::NotOwner);
+        let is_stale = message.is_from_caller() && self.is_unconfirmed.load(Ordering::Relaxed);
+        if self.has_ended() || is_stale {
+            return OwnerMessage::Refused(RefusalReason::NotOwner);
         }
-        match ask {
-            Ask::Hello { .. } | Ask::Ping { .. } | Ask::Probed { .. } => Tell::Done,
-            Ask::Submit { job, queue, work, workspace, stay } => {
-                if !stay
-                    && let Err(refused) =
-                        self.send_elsewhere(job, &queue, &work, workspace.as_ref())
+        match message {
+            EntryMessage::Hello { .. }
+            | EntryMessage::Ping { .. }
+            | EntryMessage::LogProbed { .. } => OwnerMessage::Ack,
+            EntryMessage::Submit { job, queue, work, workspace, is_forwarded } => {
+                if !is_forwarded
+                    && let Err(refused) = self.forward_job(job, &queue, &work, workspace.as_ref())
                 {
-                    return Tell::Refused(refused);
+                    return OwnerMessage::Refused(refused);
                 }
                 self.submit(job, &queue, work, workspace).await
             }
-            Ask::State { job, .. } | Ask::Cancel { job, .. } if self.forwarded(job).is_some() => {
-                self.forwarded(job).map_or(Tell::InDoubt, |cell| Tell::Moved { cell })
+            EntryMessage::State { job, .. } | EntryMessage::Cancel { job, .. }
+                if self.forwarded_to(job).is_some() =>
+            {
+                self.forwarded_to(job)
+                    .map_or(OwnerMessage::InDoubt, |cell| OwnerMessage::Moved { cell })
             }
-            Ask::Forget { job } => {
+            EntryMessage::Forget { job } => {
                 lock(&self.cell).forget_forwarded(job);
-                self.write.notify_one();
-                Tell::Done
+                self.write_wake.notify_one();
+                OwnerMessage::Ack
             }
-            Ask::State { job, workspace } => {
+            EntryMessage::State { job, workspace } => {
                 let cell = lock(&self.cell);
                 let is_visible = cell.is_visible(job, workspace.as_ref());
-                Tell::State(cell.state(job).filter(|_| is_visible))
+                OwnerMessage::State(cell.state(job).filter(|_| is_visible))
+            }
+            EntryMessage::Pending { queue } => {
+                OwnerMessage::Pending(lock(&self.cell).pending(&queue))
             }
-            Ask::Pending { queue } => Tell::Pending(lock(&self.cell).pending(&queue)),
-            Ask::Cancel { job, workspace } => {
+            EntryMessage::Cancel { job, workspace } => {
                 let batch = {
                     let mut cell = lock(&self.cell);
                     let is_visible = cell.is_visible(job, workspace.as_ref());
                     is_visible.then(|| cell.cancel(self.node.now(), job)).flatten()
                 };
-                self.wake.notify_one();
+                self.schedule_wake.notify_one();
                 match batch {
-                    None => Tell::Cancelled(false),
-                    Some(batch) if self.is_kept(batch).await => Tell::Cancelled(true),
-                    Some(_) => Tell::InDoubt,
+                    None => OwnerMessage::Cancelled(false),
+                    Some(batch) if self.wait_stored(batch).await => OwnerMessage::Cancelled(true),
+                    Some(_) => OwnerMessage::InDoubt,
                 }
             }
-            Ask::Advised { step, named, answer } => {
-                lock(&self.cell).advised(self.node.now(), entry, step, &named, answer);
-                self.wake.notify_one();
-                Tell::Done
+            EntryMessage::Advice { step, candidates, answer } => {
+                lock(&self.cell).advised(self.node.now(), entry, step, &candidates, answer);
+                self.schedule_wake.notify_one();
+                OwnerMessage::Ack
             }
         }
     }
@@ -410,24 +420,24 @@
         queue: &str,
         work: Arc<Work>,
         workspace: Option<Name>,
-    ) -> Tell {
+    ) -> OwnerMessage {
         let batch = {
             let mut cell = lock(&self.cell);
             if !cell.is_visible(job, workspace.as_ref()) {
                 log::warn!("event=refused job={job} why=another-workspace epoch={}", self.epoch);
-                return Tell::Refused(Refused::NotYours);
+                return OwnerMessage::Refused(RefusalReason::OtherWorkspace);
             }
-            if !cell.knows(job) && !self.may_accept() {
+            if !cell.knows(job) && !self.can_accept_jobs() {
                 let age = lock(&self.authority).age(self.node.now());
                 log::info!(
                     "event=refused job={job} why=no-store epoch={} beat_ms={age}",
                     self.epoch
                 );
-                return Tell::Refused(Refused::NoStore);
+                return OwnerMessage::Refused(RefusalReason::StoreUnavailable);
             }
             if !cell.knows(job) && lock(&self.lag).sheds() {
                 log::info!("event=refused job={job} why=overload epoch={}", self.epoch);
-                return Tell::Refused(Refused::Overload);
+                return OwnerMessage::Refused(RefusalReason::Overload);
             }
             match cell.batch_of(job) {
                 Some(batch) => Some(batch),
@@ -435,49 +445,50 @@
             }
         };
         if batch.is_none() {
-            return Tell::Refused(Refused::NoQueue);
+            return OwnerMessage::Refused(RefusalReason::UnknownQueue);
         }
-        self.write.notify_one();
-        let mut kept = self.kept.subscribe();
-        let mut over = self.over.subscribe();
+        self.write_wake.notify_one();
+        let mut stored = self.stored_batch.subscribe();
+        let mut ended = self.ended.subscribe();
         loop {
             let known = lock(&self.cell).batch_of(job);
             match known {
-                None => return Tell::Refused(Refused::NoStore),
-                Some(batch) if batch <= *kept.borrow_and_update() => {
-                    let cell = self.forwarded(job);
-                    return cell.map_or(Tell::Accepted, |cell| Tell::Moved { cell });
+                None => return OwnerMessage::Refused(RefusalReason::StoreUnavailable),
+                Some(batch) if batch <= *stored.borrow_and_update() => {
+                    let cell = self.forwarded_to(job);
+                    return cell
+                        .map_or(OwnerMessage::Accepted, |cell| OwnerMessage::Moved { cell });
                 }
                 Some(_) => {}
             }
             tokio::select! {
-                changed = kept.changed() => if changed.is_err() { return Tell::InDoubt },
-                _ = over.wait_for(|over| *over) => return Tell::InDoubt,
+                changed = stored.changed() => if changed.is_err() { return OwnerMessage::InDoubt },
+                _ = ended.wait_for(|ended| *ended) => return OwnerMessage::InDoubt,
             }
         }
     }
 
     /// Whether new jobs are taken: the store took the last batch, and a heartbeat a moment ago.
-    fn may_accept(&self) -> bool {
-        let heard = lock(&self.authority).age(self.node.now()) < STORE_FRESH;
-        heard && self.store.load(Ordering::Relaxed)
+    fn can_accept_jobs(&self) -> bool {
+        let is_fresh = lock(&self.authority).age(self.node.now()) < HEARTBEAT_MAX_AGE;
+        is_fresh && self.store_up.load(Ordering::Relaxed)
     }
 
     /// Waits until a batch is in the store; `false`: this is not the owner any more.
-    async fn is_kept(&self, batch: u64) -> bool {
-        let mut kept = self.kept.subscribe();
-        let mut over = self.over.subscribe();
+    async fn wait_stored(&self, batch: u64) -> bool {
+        let mut stored = self.stored_batch.subscribe();
+        let mut ended = self.ended.subscribe();
         tokio::select! {
-            kept = kept.wait_for(|kept| *kept >= batch) => kept.is_ok(),
-            _ = over.wait_for(|over| *over) => false,
+            stored = stored.wait_for(|stored| *stored >= batch) => stored.is_ok(),
+            _ = ended.wait_for(|ended| *ended) => false,
         }
     }
 
-    /// Writes what is left, as well as the store allows within `limit`.
-    pub async fn settle(&self, limit: Millis) {
-        let until = self.node.now() + limit;
-        while self.node.now() < until && lock(&self.cell).is_unkept() {
-            tokio::time::sleep(SETTLE_LOOK.duration()).await;
+    /// Writes what is left, as well as the store allows within `timeout`.
+    pub async fn flush(&self, timeout: Millis) {
+        let deadline = self.node.now() + timeout;
+        while self.node.now() < deadline && lock(&self.cell).is_unkept() {
+            tokio::time::sleep(FLUSH_POLL_INTERVAL.duration()).await;
         }
     }
 }
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -3,8 +3,8 @@
 use crate::cell::records::journal::{Batch, Snapshot, job_of};
 use crate::clock::Millis;
 use crate::node::owner::Owner;
-use crate::node::view::View;
-use crate::node::{STORE_RETRY, lock};
+use crate::node::view::CellView;
+use crate::node::{STORE_RETRY_DELAY, lock};
 use crate::order::Listed;
 use crate::platform::store::{Guard, StoreError, put_keyed};
 use bytes::{Bytes, BytesMut};
@@ -17,31 +17,31 @@
 const PRODUCER: &str = "cell";
 /// The least time between two appends of an owner: what comes meanwhile goes together. An append
 /// costs as much as 35 KB in the store, and a job's objective has at least 250 ms to spare.
-const APPEND_GAP: Millis = Millis(20);
+const MIN_APPEND_INTERVAL: Millis = Millis(20);
 /// The longest wait for an append's answer: the slowest store of the platform's contract takes 60
 /// times its usual 4 ms.
-const APPEND_LIMIT: Millis = Millis(600);
+const APPEND_TIMEOUT: Millis = Millis(600);
 /// The longest wait for a read's answer.
-pub(super) const READ_LIMIT: Millis = Millis(2_000);
+pub(super) const READ_TIMEOUT: Millis = Millis(2_000);
 /// An append without an answer for this long is overdue: the slowest store of the platform's
 /// contract answers within 240 ms.
-const OVERDUE: Millis = Millis(300);
+const OVERDUE_AFTER: Millis = Millis(300);
 /// New jobs whose batch is refused this long are given back to their callers: a store that is
 /// merely asked too often takes them before.
-const GIVE_BACK: Millis = Millis(600);
+const WITHDRAW_AFTER: Millis = Millis(600);
 
 /// What became of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Written {
+enum WriteOutcome {
     /// The store has it.
-    Done,
+    Stored,
     /// It held nothing but new jobs, which were given back.
     Withdrawn,
     /// Another entry owns the cell.
     Deposed,
 }
 
-fn body(records: &[&(String, Vec<u8>)]) -> Bytes {
+fn encode_records(records: &[&(String, Vec<u8>)]) -> Bytes {
     let mut body = BytesMut::new();
     for (key, value) in records {
         put_keyed(&mut body, key, value);
@@ -49,7 +49,7 @@
     body.freeze()
 }
 
-impl View {
+impl CellView {
     /// Fences earlier owners off the store, and reads what it holds; `None`: deposed meanwhile.
     pub(super) async fn recover(&self, epoch: u64) -> Option<(Snapshot, Vec<Listed>)> {
         loop {
@@ -61,7 +61,7 @@
                 Err(StoreError::Fenced) => return None,
                 Err(err) => {
                     log::info!("event=takeover-waits epoch={epoch} error={err:?}");
-                    tokio::time::sleep(STORE_RETRY.duration()).await;
+                    tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
                 }
             }
         }
@@ -70,15 +70,15 @@
     async fn try_recover(&self, epoch: u64) -> Result<(Snapshot, Vec<Listed>), StoreError> {
         let guard = Guard::Producer { name: PRODUCER, epoch, seq: 0 };
         let mut topic = TOPIC.to_string();
-        let part = self.part(&mut topic);
+        let part = self.partition(&mut topic);
         let store = &self.node.store;
-        match store.append(part, guard, Bytes::new(), APPEND_LIMIT).await {
+        match store.append(part, guard, Bytes::new(), APPEND_TIMEOUT).await {
             // The fence is there already: its first answer was lost. A later epoch would be
             // `Fenced`. Without this the takeover waited for good.
             Ok(_) | Err(StoreError::Sequence) => {}
             Err(err) => return Err(err),
         }
-        let (items, _) = store.newest_all(part, READ_LIMIT).await?;
+        let (items, _) = store.newest_all(part, READ_TIMEOUT).await?;
         let mut snapshot = Snapshot::default();
         for item in items {
             if let Err(err) = snapshot.add(&item.key, &item.value) {
@@ -95,90 +95,92 @@
     pub(super) async fn write_batches(self: Arc<Self>) {
         let mut seq = 0;
         loop {
-            let (batch, kept) = {
+            let (batch, stored) = {
                 let mut cell = lock(&self.cell);
                 (cell.take_batch(self.node.now()), cell.kept())
             };
             let Some(batch) = batch else {
-                self.kept.send_replace(kept);
-                self.write.notified().await;
+                self.stored_batch.send_replace(stored);
+                self.write_wake.notified().await;
                 continue;
             };
-            let begun = tokio::time::Instant::now();
+            let started = tokio::time::Instant::now();
             match self.write_batch(&batch, seq + 1).await {
-                Written::Done => seq += 1,
-                Written::Withdrawn => {}
-                Written::Deposed => return,
+                WriteOutcome::Stored => seq += 1,
+                WriteOutcome::Withdrawn => {}
+                WriteOutcome::Deposed => return,
             }
             lock(&self.cell).keep(self.node.now(), batch.no);
-            self.kept.send_replace(batch.no);
-            self.wake.notify_one();
+            self.stored_batch.send_replace(batch.no);
+            self.schedule_wake.notify_one();
             // A store that is slow makes the pause by itself.
-            tokio::time::sleep_until(begun + APPEND_GAP.duration()).await;
+            tokio::time::sleep_until(started + MIN_APPEND_INTERVAL.duration()).await;
         }
     }
 
     /// Waits for the answer to an append. Once it is overdue, no more jobs are taken, and those that
     /// wait for a later batch are given back: their callers are told at once, and truthfully, that
     /// they were not run. An owner behind a cut would leave them in doubt.
-    async fn watch_append<T>(&self, batch: u64, append: impl Future<Output = T>) -> T {
+    async fn append_or_withdraw<T>(&self, batch: u64, append: impl Future<Output = T>) -> T {
         tokio::pin!(append);
-        let overdue = tokio::time::sleep(OVERDUE.duration());
+        let overdue = tokio::time::sleep(OVERDUE_AFTER.duration());
         tokio::select! {
             done = &mut append => return done,
             () = overdue => {}
         }
-        self.store.store(false, Ordering::Relaxed);
-        let gone = lock(&self.cell).withdraw_after(batch);
-        log::info!("event=append-overdue batch={batch} withdrawn={}", gone.len());
-        // Callers that wait look again.
-        self.kept.send_modify(|_| {});
+        self.store_up.store(false, Ordering::Relaxed);
+        let withdrawn = lock(&self.cell).withdraw_after(batch);
+        log::info!("event=append-overdue batch={batch} withdrawn={}", withdrawn.len());
+        // Callers that wait report_wake again.
+        self.stored_batch.send_modify(|_| {});
         append.await
     }
 
     /// Appends one batch, however long that takes. While the store surely has not taken it, its new
     /// jobs are given back, so that their callers are told at once that they were not run.
-    async fn write_batch(&self, batch: &Batch, seq: u64) -> Written {
+    async fn write_batch(&self, batch: &Batch, seq: u64) -> WriteOutcome {
         let mut records: Vec<&(String, Vec<u8>)> = batch.records.iter().collect();
-        let mut may_be_there = false;
-        let begun = self.node.now();
+        let mut may_be_stored = false;
+        let started = self.node.now();
         loop {
             let guard = Guard::Producer { name: PRODUCER, epoch: self.epoch, seq };
-            let body = body(&records);
+            let body = encode_records(&records);
             let mut topic = TOPIC.to_string();
-            let part = self.view.part(&mut topic);
-            let append = self.node.store.append(part, guard, body, APPEND_LIMIT);
-            let err = match self.watch_append(batch.no, append).await {
+            let part = self.view.partition(&mut topic);
+            let append = self.node.store.append(part, guard, body, APPEND_TIMEOUT);
+            let err = match self.append_or_withdraw(batch.no, append).await {
                 Ok(_) => {
-                    if !self.store.swap(true, Ordering::Relaxed) {
+                    if !self.store_up.swap(true, Ordering::Relaxed) {
                         log::info!("event=store-back batch={}", batch.no);
                     }
                     lock(&self.authority).recover();
-                    self.node.metrics.appended(self.node.now().since(begun));
-                    return Written::Done;
+                    self.node.metrics.observe_append(self.node.now().since(started));
+                    return WriteOutcome::Stored;
                 }
                 Err(StoreError::Fenced) => {
                     log::info!("event=deposed epoch={} by=store", self.epoch);
-                    return Written::Deposed;
+                    return WriteOutcome::Deposed;
                 }
                 Err(err) => err,
             };
-            if self.store.swap(false, Ordering::Relaxed) {
+            if self.store_up.swap(false, Ordering::Relaxed) {
                 log::info!("event=store-lost batch={} error={err:?}", batch.no);
             }
             self.store_failed();
-            may_be_there = may_be_there || !matches!(err, StoreError::Refused(_));
-            if !may_be_there && self.node.now().since(begun) >= GIVE_BACK {
-                let gone = lock(&self.cell).withdraw(batch.no);
+            may_be_stored = may_be_stored || !matches!(err, StoreError::Refused(_));
+            if !may_be_stored && self.node.now().since(started) >= WITHDRAW_AFTER {
+                let withdrawn = lock(&self.cell).withdraw(batch.no);
                 // All that is of them: a binding that stayed would be taken for one of the same job, submitted again.
-                records.retain(|(key, _)| !job_of(key).is_some_and(|(job, _)| gone.contains(&job)));
-                // Callers that wait look again.
-                self.kept.send_modify(|_| {});
+                records.retain(|(key, _)| {
+                    !job_of(key).is_some_and(|(job, _)| withdrawn.contains(&job))
+                });
+                // Callers that wait report_wake again.
+                self.stored_batch.send_modify(|_| {});
                 if records.is_empty() {
-                    return Written::Withdrawn;
+                    return WriteOutcome::Withdrawn;
                 }
             }
-            tokio::time::sleep(STORE_RETRY.duration()).await;
+            tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
         }
     }
 }
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -4,8 +4,8 @@
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::owner::Owner;
-use crate::node::owner::store::READ_LIMIT;
-use crate::node::view::View;
+use crate::node::owner::store::READ_TIMEOUT;
+use crate::node::view::CellView;
 use crate::node::{Node, lock};
 use crate::order::{Listed, Outcome};
 use crate::platform::store::{Part, StoreError, split_keyed};
@@ -15,41 +15,41 @@
 use tokio::sync::Semaphore;
 
 /// The topic in which workers list themselves.
-const WORKERS: Part<'static> = Part { topic: worker::TOPIC, part: 0 };
+const WORKERS_PART: Part<'static> = Part { topic: worker::TOPIC, part: 0 };
 /// Time between two looks at the list of workers. Each worker rewrites its entry every 1.5 s, so
 /// waiting for the next record would return at once.
-const LIST_EVERY: Millis = Millis(400);
-/// Workers whose entries went away are looked up again this much later: the list is read whole.
-const LIST_WHOLE: Millis = Millis(5_000);
+const READ_INTERVAL: Millis = Millis(400);
+/// Workers whose entries went away are looked up again this much later: the list is read read_all_at.
+const FULL_READ_INTERVAL: Millis = Millis(5_000);
 /// How long a report waits for an end at the worker. If the answer is lost, ends there are not
 /// known for this long and longer; a shorter wait costs more reports.
-const HOLD_WAIT: Millis = Millis(800);
+const REPORT_WAIT: Millis = Millis(800);
 /// Time between two reports of a worker that does not answer.
-const HOLD_RETRY: Millis = Millis(250);
+const REPORT_RETRY_DELAY: Millis = Millis(250);
 /// Ends are confirmed with the next report; it waits this long at the most for the store to have them, twice what
 /// that usually takes. With a store that is slow, later ends at the worker would not be known until then.
-const KEEP_WAIT: Millis = Millis(60);
+const CONFIRM_WAIT: Millis = Millis(60);
 /// A start is not sent this long after it was decided: the worker's room may have shrunk, or another entry
 /// may own the cell. Starts wait for each other for 1.2 s at the most where a worker answers none.
-const ORDER_FRESH: Millis = Millis(2_000);
+const ORDER_MAX_AGE: Millis = Millis(2_000);
 /// Orders that a worker is given at once. An order takes some 2 ms; each more at once opens another
 /// connection, which is dear. With half as many, orders wait behind ones that get no answer.
-const ORDERS_AT_ONCE: usize = 6;
+const MAX_WORKER_ORDERS: usize = 6;
 
-fn new_gate() -> Arc<Semaphore> {
-    Arc::new(Semaphore::new(ORDERS_AT_ONCE))
+fn new_order_permits() -> Arc<Semaphore> {
+    Arc::new(Semaphore::new(MAX_WORKER_ORDERS))
 }
 
 impl Node {
     /// Reads the whole list of workers, and where it ends.
     pub(in crate::node) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
-        let (items, end) = self.store.newest_all(WORKERS, READ_LIMIT).await?;
+        let (items, end) = self.store.newest_all(WORKERS_PART, READ_TIMEOUT).await?;
         let items = items.into_iter().filter(|item| !item.value.is_empty());
-        Ok((items.filter_map(|item| read_worker(item.key, &item.value)).collect(), end))
+        Ok((items.filter_map(|item| parse_worker(item.key, &item.value)).collect(), end))
     }
 }
 
-fn read_worker(id: Name, value: &[u8]) -> Option<Listed> {
+fn parse_worker(id: Name, value: &[u8]) -> Option<Listed> {
     match worker::parse_listed(id.clone(), value) {
         Ok(listed) => Some(listed),
         Err(err) => {
@@ -59,16 +59,16 @@
     }
 }
 
-impl View {
+impl CellView {
     /// As [`Node::list_workers`], but only the workers of this cell.
     pub(super) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
         let (mut listed, end) = self.node.list_workers().await?;
-        listed.retain(|worker| self.has(worker));
+        listed.retain(|worker| self.contains(worker));
         Ok((listed, end))
     }
 
     /// Whether a worker belongs to the cell, and to a service that the policy names.
-    fn has(&self, worker: &Listed) -> bool {
+    fn contains(&self, worker: &Listed) -> bool {
         let is_named = self.node.policy.borrow().services.contains(&worker.service);
         let cells = self.node.cells();
         is_named && cells.is_none_or(|cells| cells.map.of_worker(worker) == self.cell)
@@ -77,40 +77,43 @@
 
 impl Owner {
     /// Sends an order and tells the cell what became of it.
-    pub(super) async fn order(self: Arc<Self>, action: Action) {
+    pub(super) async fn send_order(self: Arc<Self>, action: Action) {
         let name = match &action {
             Action::Start { worker, .. }
             | Action::Stop { worker, .. }
             | Action::Pace { worker, .. } => worker.clone(),
             _ => return,
         };
-        let Some(client) = self.client(&name) else { return };
+        let Some(client) = self.worker_client(&name) else { return };
         let decided = self.node.now();
         let Some(life) = lock(&self.cell).life(&name) else { return };
-        let gate = lock(&self.gates).entry(name.clone()).or_insert_with(new_gate).clone();
+        let permits =
+            lock(&self.order_permits).entry(name.clone()).or_insert_with(new_order_permits).clone();
         // A closed gate would only mean that the worker is gone, and orders to it fail by themselves.
-        let _passed = gate.acquire().await;
+        let _permit = permits.acquire().await;
         let sent = self.node.now();
-        let limit = lock(&self.lag).timeouts().order;
+        let timeout = lock(&self.lag).timeouts().order;
         // Where it waited for its turn, another entry may own the cell by now.
-        let may_order = self.may_order();
+        let has_authority = self.has_authority();
         // Another life refuses nothing that this one would: it has seen no fence and no stop.
-        let is_other = || lock(&self.cell).has_restarted(&life);
-        let is_old = !may_order || sent.since(decided) >= ORDER_FRESH || is_other();
-        if is_other() && !matches!(action, Action::Start { .. }) {
+        let has_restarted = || lock(&self.cell).has_restarted(&life);
+        let is_withheld = !has_authority || sent.since(decided) >= ORDER_MAX_AGE || has_restarted();
+        if has_restarted() && !matches!(action, Action::Start { .. }) {
             return log::debug!("event=order-withheld worker={name} why=restarted");
         }
         let (task, run, outcome) = match &action {
-            Action::Start { start, .. } if is_old => {
+            Action::Start { start, .. } if is_withheld => {
                 log::info!("event=start-withheld task={} worker={name}", start.task);
                 (start.task, start.run, Outcome::Withheld)
             }
             Action::Start { start, until, .. } => {
-                (start.task, start.run, client.start(start, *until, limit).await)
+                (start.task, start.run, client.start(start, *until, timeout).await)
+            }
+            Action::Stop { task, run, .. } => {
+                (*task, *run, client.stop(*task, *run, timeout).await)
             }
-            Action::Stop { task, run, .. } => (*task, *run, client.stop(*task, *run, limit).await),
             Action::Pace { task, run, percent, .. } => {
-                let outcome = client.pace(*task, *run, *percent, limit).await;
+                let outcome = client.pace(*task, *run, *percent, timeout).await;
                 if !matches!(outcome, Outcome::Done(_)) {
                     log::info!("event=pace-failed task={task} worker={name} outcome={outcome:?}");
                 }
@@ -119,60 +122,60 @@
             _ => return,
         };
         let now = self.node.now();
-        let start = matches!(action, Action::Start { .. });
-        self.node.metrics.ordered(start, &outcome, now.since(sent));
+        let is_start = matches!(action, Action::Start { .. });
+        self.node.metrics.observe_order(is_start, &outcome, now.since(sent));
         // Which of the two lives answered is not known.
-        let outcome = if is_other() { Outcome::Unknown } else { outcome };
+        let outcome = if has_restarted() { Outcome::Unknown } else { outcome };
         {
             let mut cell = lock(&self.cell);
-            match start {
+            match is_start {
                 true => cell.started(now, &name, task, run, outcome),
                 false => cell.stopped(now, &name, task, run, outcome),
             }
         }
-        self.wake.notify_one();
+        self.schedule_wake.notify_one();
     }
 
-    fn client(&self, name: &Name) -> Option<Worker> {
+    fn worker_client(&self, name: &Name) -> Option<Worker> {
         let addr = lock(&self.cell).addr(name)?;
         Some(Worker::new(self.node.http.clone(), addr, name.clone(), self.epoch))
     }
 
     /// Asks a worker for reports as long as the cell knows it.
-    pub(super) async fn watch(self: Arc<Self>, listed: Listed) {
+    pub(super) async fn watch_worker(self: Arc<Self>, listed: Listed) {
         let name = listed.id;
-        let look = lock(&self.looks).entry(name.clone()).or_default().clone();
+        let report_wake = lock(&self.report_wakes).entry(name.clone()).or_default().clone();
         // The first report only tells what runs, and the clock: the lease needs that.
         let mut wait = Millis(0);
-        while !self.is_over() {
-            self.wait_kept(&name).await;
-            let renew = self.may_order();
+        while !self.has_ended() {
+            self.wait_for_ends(&name).await;
+            let can_renew = self.has_authority();
             let sent = self.node.now();
-            let Some(hold) = lock(&self.cell).hold(sent, &name, renew) else { return };
+            let Some(hold) = lock(&self.cell).hold(sent, &name, can_renew) else { return };
             // Its next life may be at another address.
-            let Some(client) = self.client(&name) else { return };
+            let Some(client) = self.worker_client(&name) else { return };
             let timeouts = lock(&self.lag).timeouts();
-            let held = tokio::select! {
-                held = client.hold(hold.seen, hold.until, wait, wait + timeouts.report) => held,
-                () = look.notified() => {
+            let result = tokio::select! {
+                report = client.hold(hold.seen, hold.until, wait, wait + timeouts.report) => report,
+                () = report_wake.notified() => {
                     wait = Millis(0);
                     continue;
                 }
             };
             let now = self.node.now();
-            let pause = match &held {
+            let pause = match &result {
                 Ok(report) => {
                     lock(&self.cell).held(now, sent, &name, report);
-                    wait = if hold.until.is_some() { HOLD_WAIT } else { Millis(0) };
-                    hold.until.is_none() && !renew
+                    wait = if hold.until.is_some() { REPORT_WAIT } else { Millis(0) };
+                    hold.until.is_none() && !can_renew
                 }
                 Err(err) => {
                     wait = Millis(0);
                     lock(&self.cell).unheld(now, &name, err)
                 }
             };
-            self.wake.notify_one();
-            let pause = if pause { HOLD_RETRY } else { timeouts.pause };
+            self.schedule_wake.notify_one();
+            let pause = if pause { REPORT_RETRY_DELAY } else { timeouts.pause };
             if pause > Millis(0) {
                 tokio::time::sleep(pause.duration()).await;
             }
@@ -181,11 +184,11 @@
 
     /// Waits until the store has the ends that a worker listed last, so that the next report
     /// confirms them.
-    async fn wait_kept(&self, name: &Name) {
+    async fn wait_for_ends(&self, name: &Name) {
         let Some(batch) = lock(&self.cell).awaited(name) else { return };
-        let mut kept = self.kept.subscribe();
-        let wait = kept.wait_for(|kept| *kept >= batch);
-        if tokio::time::timeout(KEEP_WAIT.duration(), wait).await.is_err() {
+        let mut stored = self.stored_batch.subscribe();
+        let wait = stored.wait_for(|stored| *stored >= batch);
+        if tokio::time::timeout(CONFIRM_WAIT.duration(), wait).await.is_err() {
             log::debug!("event=ends-not-kept worker={name} batch={batch}");
         }
     }
@@ -193,39 +196,40 @@
     /// Follows the list of workers.
     pub(super) async fn follow_workers(self: Arc<Self>) {
         let mut known: HashMap<Name, Listed> = HashMap::new();
-        let mut next = 0;
-        let mut whole = Millis(0);
+        let mut next_offset = 0;
+        let mut read_all_at = Millis(0);
         loop {
             let now = self.node.now();
             let pauses = self.node.clock.pauses();
-            let result = if whole == Millis(0) || now.since(whole) >= LIST_WHOLE {
+            let result = if read_all_at == Millis(0) || now.since(read_all_at) >= FULL_READ_INTERVAL
+            {
                 self.view.list_workers().await.map(|(listed, end)| {
-                    (whole, next) = (now, end);
+                    (read_all_at, next_offset) = (now, end);
                     known = listed.into_iter().map(|one| (one.id.clone(), one)).collect();
                     true
                 })
             } else {
-                self.read_changes(&mut known, &mut next).await
+                self.read_changes(&mut known, &mut next_offset).await
             };
-            self.notice_pause(self.node.now());
+            self.check_for_pause(self.node.now());
             match result {
                 // It may have been read before the pause.
                 _ if self.node.clock.pauses() != pauses => {
-                    whole = Millis(0);
+                    read_all_at = Millis(0);
                     continue;
                 }
                 Ok(true) => {
                     lock(&self.cell)
                         .set_workers(self.node.now(), known.values().cloned().collect());
-                    self.wake.notify_one();
+                    self.schedule_wake.notify_one();
                 }
                 Ok(false) => {}
                 Err(err) => {
-                    whole = Millis(0);
+                    read_all_at = Millis(0);
                     log::debug!("event=workers-unread error={err:?}");
                 }
             }
-            tokio::time::sleep(LIST_EVERY.duration()).await;
+            tokio::time::sleep(READ_INTERVAL.duration()).await;
         }
     }
 
@@ -233,16 +237,19 @@
     async fn read_changes(
         &self,
         known: &mut HashMap<Name, Listed>,
-        next: &mut u64,
+        next_offset: &mut u64,
     ) -> Result<bool, StoreError> {
-        let read = self.node.store.read(WORKERS, *next, Millis(0), READ_LIMIT).await?;
+        let read =
+            self.node.store.read(WORKERS_PART, *next_offset, Millis(0), READ_TIMEOUT).await?;
         let mut changed = false;
         for (offset, record) in read.records {
-            *next = offset + 1;
+            *next_offset = offset + 1;
             let Some((id, value)) = split_keyed(&record) else { continue };
             let listed = match value.is_empty() {
                 true => None,
-                false => read_worker(id.clone(), &value).filter(|listed| self.view.has(listed)),
+                false => {
+                    parse_worker(id.clone(), &value).filter(|listed| self.view.contains(listed))
+                }
             };
             changed |= match listed {
                 Some(listed) => known.insert(id, listed.clone()).as_ref() != Some(&listed),
--- a/src/node/policy.rs
+++ b/src/node/policy.rs
@@ -1,18 +1,18 @@
 //! The operators' policy, as an entry follows it in the platform's store.
 
 use crate::clock::Millis;
-use crate::node::{Node, STORE_RETRY, lock};
+use crate::node::{Node, STORE_RETRY_DELAY, lock};
 use crate::platform::config::{KEY, Policy, TOPIC};
 use crate::platform::store::{Part, StoreError, split_keyed};
 use std::sync::Arc;
 
 /// The operators' records.
-const OPERATORS: Part<'static> = Part { topic: TOPIC, part: 0 };
+const POLICY_PART: Part<'static> = Part { topic: TOPIC, part: 0 };
 /// How long a read waits for the next record of the operators: a silent connection is noticed
 /// within this time, and a change must be in force within two seconds.
-const POLICY_WAIT: Millis = Millis(1_000);
+const READ_WAIT: Millis = Millis(1_000);
 /// How much longer an answer may take.
-const READ_SPARE: Millis = Millis(500);
+const READ_MARGIN: Millis = Millis(500);
 
 impl Node {
     /// Keeps the policy as the operators published it last.
@@ -21,18 +21,18 @@
         loop {
             let result = match next {
                 None => self.read_policy().await,
-                Some(from) => self.await_policy(from).await,
+                Some(from) => self.wait_for_policy(from).await,
             };
             match result {
                 Ok(end) => {
-                    *lock(&self.policy_read) = self.now();
+                    *lock(&self.policy_read_at) = self.now();
                     next = Some(end);
                 }
                 Err(StoreError::Gone(_)) => next = None,
                 Err(err) => {
                     log::debug!("event=policy-unread error={err:?}");
                     next = None;
-                    tokio::time::sleep(STORE_RETRY.duration()).await;
+                    tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
                 }
             }
         }
@@ -40,7 +40,7 @@
 
     /// Reads the newest policy.
     async fn read_policy(&self) -> Result<u64, StoreError> {
-        let (items, end) = self.store.newest_all(OPERATORS, POLICY_WAIT + READ_SPARE).await?;
+        let (items, end) = self.store.newest_all(POLICY_PART, READ_WAIT + READ_MARGIN).await?;
         if let Some(item) = items.iter().find(|item| *item.key == *KEY) {
             self.set_policy(&item.value);
         }
@@ -48,9 +48,9 @@
     }
 
     /// Waits for the next records of the operators.
-    async fn await_policy(&self, from: u64) -> Result<u64, StoreError> {
-        let limit = POLICY_WAIT + READ_SPARE;
-        let read = self.store.read(OPERATORS, from, POLICY_WAIT, limit).await?;
+    async fn wait_for_policy(&self, from: u64) -> Result<u64, StoreError> {
+        let timeout = READ_WAIT + READ_MARGIN;
+        let read = self.store.read(POLICY_PART, from, READ_WAIT, timeout).await?;
         let end = read.records.last().map_or(from, |(offset, _)| offset + 1);
         let keyed = read.records.iter().filter_map(|(_, record)| split_keyed(record));
         if let Some((_, value)) = keyed.filter(|(key, _)| **key == *KEY).last() {
