--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -4,17 +4,17 @@
 
 impl World {
     /// Once all jobs came to an end, the rest of the time is short: it shows what starts though nothing should.
-    pub(super) fn note_calm(&mut self) {
+    pub(super) fn end_when_settled(&mut self) {
         let Some(owner) = self.owners.last() else { return };
         let is_over = |job: &JobKey| matches!(owner.cell.state(*job), Some(State::Closed(_)));
         let mut ending = self.accepted.iter().filter(|job| !self.is_lasting(**job));
         let all = self.accepted.len() == self.works.len() && ending.all(is_over);
-        if self.now > CALM && all {
-            self.end = self.end.min(self.now + self.rest());
+        if self.now > FAULTS_END_MS && all {
+            self.run_end = self.run_end.min(self.now + self.settle_time());
         }
     }
 
-    pub(super) fn check_ends(&mut self) {
+    pub(super) fn check_all_ended(&mut self) {
         let states: Vec<(JobKey, Option<State>)> = {
             let Some(owner) = self.owners.last() else { return };
             let ending = self.accepted.iter().filter(|job| !self.is_lasting(**job));
@@ -23,7 +23,7 @@
         for (job, state) in states {
             match state {
                 Some(State::Closed(_)) => {}
-                other => self.fault(format!("job {job} did not end: {other:?}")),
+                other => self.record_violation(format!("job {job} did not end: {other:?}")),
             }
         }
     }
@@ -31,36 +31,39 @@
     /// Nothing waits for longer than the platform's contract allows while a worker has room for it twice over
     /// and less than half of all room is in use: 3 s, with 4 s of calm before them.
     pub(super) fn check_waits(&mut self, owner: usize) {
-        let is_owner = owner + 1 == self.owners.len() && !self.owners[owner].deposed;
-        if !is_owner {
+        let is_current = owner + 1 == self.owners.len() && !self.owners[owner].deposed;
+        if !is_current {
             return;
         }
-        let calm_from = CALM.max(self.crashed_at) + CALM_BEFORE;
-        if self.now < calm_from {
-            self.idle.clear();
+        let check_from = FAULTS_END_MS.max(self.last_disruption) + WAIT_GRACE_MS;
+        if self.now < check_from {
+            self.waiting_since.clear();
             return;
         }
         let waits: Vec<_> = self.owners[owner].cell.waiting().collect();
         let is_idle = |(step, why): &(StepKey, Why)| {
-            *why != Why::Crashes && self.has_room(*step) && !self.has_half(step.job)
+            *why != Why::Crashes && self.could_run(*step) && !self.uses_half_limit(step.job)
         };
         let idle: Vec<(StepKey, Why)> = waits.into_iter().filter(is_idle).collect();
-        self.idle.retain(|step, _| idle.iter().any(|(other, _)| other == step));
+        self.waiting_since.retain(|step, _| idle.iter().any(|(other, _)| other == step));
         for (step, why) in idle {
-            let since = *self.idle.entry(step).or_insert(self.now);
-            if self.now - since > WAIT_LIMIT {
-                self.fault(format!("step {step} waits though there is room: {}", why.name()));
+            let since = *self.waiting_since.entry(step).or_insert(self.now);
+            if self.now - since > MAX_WAIT_MS {
+                self.record_violation(format!(
+                    "step {step} waits though there is room: {}",
+                    why.name()
+                ));
             }
         }
     }
 
     /// Whether nothing of a step's job runs, though a worker has room for a task of it twice over and less than
     /// half of all room is in use.
-    pub(super) fn has_room(&self, step: StepKey) -> bool {
+    pub(super) fn could_run(&self, step: StepKey) -> bool {
         let spec = &self.works[&step.job].steps[usize::from(step.step)];
         let charge = spec.charge();
         let alive = || self.workers.values().filter(|worker| worker.alive);
-        let used = |worker: &FakeWorker| -> Room {
+        let used = |worker: &SimWorker| -> Room {
             worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge))
         };
         let runs =
@@ -68,27 +71,30 @@
         let all: u64 = alive().map(|worker| worker.listed.room.cpu).sum();
         let taken: u64 = alive().map(|worker| used(worker).cpu).sum();
         let twice = charge.plus(&charge);
-        let is_free = |worker: &FakeWorker| {
-            let is_cut = worker.cut_until + CALM_BEFORE > self.now;
+        let has_spare_room = |worker: &SimWorker| {
+            let is_partitioned = worker.partitioned_until + WAIT_GRACE_MS > self.now;
             let may_run = self.is_cleared(step, &worker.listed.id);
-            !is_cut && may_run && worker.listed.room.less(&used(worker)).holds(&twice)
+            !is_partitioned && may_run && worker.listed.room.less(&used(worker)).holds(&twice)
         };
         // A gang needs room for all of it at once.
-        !spec.gang && !runs && taken * 2 < all && alive().any(is_free)
+        !spec.gang && !runs && taken * 2 < all && alive().any(has_spare_room)
     }
 
     /// Owners in touch start a task that crashes its workers twice more, after three crashed under it.
     pub(super) fn check_crashes(&mut self, owner: Option<usize>, task: TaskKey) {
         let Some(owner) = owner else { return };
-        let crashed = self.bad.get(&task).map_or(0, BTreeSet::len);
-        let was_paused = self.paused.get(&owner).is_some_and(|until| *until + CONTACT > self.now);
+        let crashed = self.crash_tasks.get(&task).map_or(0, BTreeSet::len);
+        let was_paused =
+            self.pause_ends.get(&owner).is_some_and(|until| *until + CONTACT_MS > self.now);
         if crashed < 3 || was_paused || owner + 1 != self.owners.len() {
             return;
         }
-        let more = self.more.entry(task).or_default();
-        *more += 1;
-        if *more >= 3 {
-            self.fault(format!("{task} started three times more after {crashed} crashes"));
+        let extra = self.extra_starts.entry(task).or_default();
+        *extra += 1;
+        if *extra >= 3 {
+            self.record_violation(format!(
+                "{task} started three times more after {crashed} crashes"
+            ));
         }
     }
 
@@ -98,48 +104,48 @@
         let worker = &self.workers[name];
         let used = worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge));
         let wanted = used.plus(&spec.charge());
-        let before = worker.rooms.iter().filter(|(until, _)| *until >= self.now);
-        let mut rooms = before.map(|(_, room)| *room).chain([worker.listed.room]);
-        let over = !rooms.any(|room| room.holds(&wanted));
+        let before = worker.old_rooms.iter().filter(|(until, _)| *until >= self.now);
+        let mut allowed = before.map(|(_, room)| *room).chain([worker.listed.room]);
+        let overcommitted = !allowed.any(|room| room.holds(&wanted));
         let here = worker.running.keys().filter(|other| other.step == task.step).count() as u32;
-        let crowded = spec.apart > 0 && here >= spec.apart;
-        let elsewhere =
+        let is_crowded = spec.apart > 0 && here >= spec.apart;
+        let duplicate =
             self.workers.values().any(|worker| worker.alive && worker.running.contains_key(&task));
-        let early = spec.after.iter().any(|after| {
+        let is_early = spec.after.iter().any(|after| {
             let count = self.works[&job].steps[usize::from(*after)].count;
             let step = StepKey { step: *after, ..task.step };
             (0..count).any(|index| !self.done.contains_key(&TaskKey { step, index }))
         });
-        let confirmed = self.done.get(&task).copied().unwrap_or(false);
-        let failed = self.fails.get(&task).map_or(0, Vec::len);
-        self.lasting.note_start(task, spec);
+        let is_done = self.done.get(&task).copied().unwrap_or(false);
+        let failure_count = self.failures.get(&task).map_or(0, Vec::len);
+        self.lasting.record_start(task, spec);
         let faults = [
-            (over, "a worker is given more than it has"),
-            (crowded, "more tasks of a step on one worker than allowed"),
-            (elsewhere && !spec.copies, "a task runs twice at once"),
-            (early, "a task starts before what it depends on is done"),
-            (confirmed && !spec.copies, "a task starts again after its end was confirmed"),
+            (overcommitted, "a worker is given more than it has"),
+            (is_crowded, "more tasks of a step on one worker than allowed"),
+            (duplicate && !spec.copies, "a task runs twice at once"),
+            (is_early, "a task starts before what it depends on is done"),
+            (is_done && !spec.copies, "a task starts again after its end was confirmed"),
         ];
         for (wrong, what) in faults {
             if wrong {
-                self.fault(format!("{what}: {task} on {name}"));
+                self.record_violation(format!("{what}: {task} on {name}"));
             }
         }
-        if failed >= self.queue_row.attempts as usize && !spec.lasting {
-            self.excess.push((task, failed));
-            self.check_excess();
+        if failure_count >= self.base_queue.attempts as usize && !spec.lasting {
+            self.excess_starts.push((task, failure_count));
+            self.check_attempts();
         }
     }
 
     /// Ends that are lost with their worker before anybody confirmed them do not count.
-    pub(super) fn check_excess(&mut self) {
-        let allowed = self.queue_row.attempts as usize;
-        let wrong = self.excess.iter().find(|(task, failed)| {
-            let ends = self.fails.get(task).map(Vec::as_slice).unwrap_or_default();
+    pub(super) fn check_attempts(&mut self) {
+        let allowed = self.base_queue.attempts as usize;
+        let wrong = self.excess_starts.iter().find(|(task, failed)| {
+            let ends = self.failures.get(task).map(Vec::as_slice).unwrap_or_default();
             ends.iter().take(*failed).filter(|(.., confirmed)| *confirmed).count() >= allowed
         });
         if let Some((task, _)) = wrong.copied() {
-            self.fault(format!("a task started once more than it may: {task}"));
+            self.record_violation(format!("a task started once more than it may: {task}"));
         }
     }
 }
--- a/tests/cellworld/faults.rs
+++ b/tests/cellworld/faults.rs
@@ -3,22 +3,22 @@
 use super::*;
 
 impl World {
-    pub(super) fn resize(&mut self) {
+    pub(super) fn resize_worker(&mut self) {
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let name = names[self.pick(names.len() as u64) as usize].clone();
         let cpu = 400 + self.pick(1_800);
-        self.say(format!("{name} has {cpu} from now on"));
-        self.resized += 1;
-        let until = self.now + CONTACT + WORKER_BEAT;
+        self.log_event(format!("{name} has {cpu} from now on"));
+        self.resize_count += 1;
+        let until = self.now + CONTACT_MS + HEARTBEAT_MS;
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.rooms.push((until, worker.listed.room));
+            worker.old_rooms.push((until, worker.listed.room));
             worker.listed.room = room(cpu);
         }
         // The worker says so with its next entry, and each owner reads that by itself.
-        let told = self.pick(WORKER_BEAT);
+        let announced = self.pick(HEARTBEAT_MS);
         for owner in 0..self.owners.len() {
-            let delay = told + self.pick(LIST_EVERY);
-            self.after(delay, Event::Relist { owner });
+            let delay = announced + self.pick(LIST_INTERVAL_MS);
+            self.schedule_after(delay, Event::ReadList { owner });
         }
     }
 
@@ -27,130 +27,131 @@
         if worker.running.get(&task).is_none_or(|running| running.run != run) {
             return;
         }
-        let away = 300 + self.pick(7_000);
-        self.say(format!("{name} crashes under {task} run {run} for {away} ms"));
-        self.crash(name, away);
+        let downtime = 300 + self.pick(7_000);
+        self.log_event(format!("{name} crashes under {task} run {run} for {downtime} ms"));
+        self.crash(name, downtime);
     }
 
     /// Waits are judged by the contract from 4 s after `until` on.
-    pub(super) fn calm_after(&mut self, until: u64) {
-        self.crashed_at = self.crashed_at.max(until);
+    pub(super) fn note_disruption(&mut self, until: u64) {
+        self.last_disruption = self.last_disruption.max(until);
     }
 
     /// A worker crashes by itself, and is back at once or seconds later.
-    pub(super) fn fall(&mut self, name: &Name) {
+    pub(super) fn crash_at_random(&mut self, name: &Name) {
         if !self.workers.get(name).is_some_and(|worker| worker.alive) {
             return;
         }
-        let away = self.pick(1_000) * (1 + 4 * self.pick(2));
-        self.say(format!("{name} crashes for {away} ms"));
-        self.crash(name, away);
+        let downtime = self.pick(1_000) * (1 + 4 * self.pick(2));
+        self.log_event(format!("{name} crashes for {downtime} ms"));
+        self.crash(name, downtime);
     }
 
     /// Everything stops at the same moment, and is back within the same second.
-    pub(super) fn lose_power(&mut self) {
-        self.say("power is lost everywhere".to_string());
+    pub(super) fn cut_power(&mut self) {
+        self.log_event("power is lost everywhere".to_string());
         for owner in &mut self.owners {
             owner.alive = false;
         }
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         for name in names {
             if self.workers[&name].alive {
-                let away = self.pick(1_000);
-                self.crash(&name, away);
+                let downtime = self.pick(1_000);
+                self.crash(&name, downtime);
             }
         }
-        self.outages += 1;
+        self.power_losses += 1;
         let at = self.now + self.pick(1_000);
-        self.at(at, Event::Elect);
+        self.schedule_at(at, Event::Elect);
     }
 
-    pub(super) fn crash(&mut self, name: &Name, away: u64) {
-        self.crashed_at = self.now + away;
-        self.note_trouble(self.now);
-        let under: Vec<TaskKey> = self.workers[name].running.keys().copied().collect();
+    pub(super) fn crash(&mut self, name: &Name, downtime: u64) {
+        self.last_disruption = self.now + downtime;
+        self.note_fault(self.now);
+        let running: Vec<TaskKey> = self.workers[name].running.keys().copied().collect();
         let life = self.workers[name].life();
-        for task in under {
-            if let Some(lives) = self.bad.get_mut(&task) {
+        for task in running {
+            if let Some(lives) = self.crash_tasks.get_mut(&task) {
                 lives.insert(life.clone());
             }
         }
-        let until = self.now + away;
+        let until = self.now + downtime;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.alive = false;
-            worker.is_stale = true;
-            worker.away_until = until;
+            worker.still_listed = true;
+            worker.down_until = until;
             worker.running.clear();
         }
         let worker = name.clone();
-        self.after(away, Event::Back { worker: worker.clone() });
-        let stale = 1_000 + self.pick(3_500);
-        self.after(stale, Event::Unlist { worker });
+        self.schedule_after(downtime, Event::RestartWorker { worker: worker.clone() });
+        let listed_for = 1_000 + self.pick(3_500);
+        self.schedule_after(listed_for, Event::RemoveEntry { worker });
     }
 
-    pub(super) fn come_back(&mut self, name: &Name) {
-        self.lives += 1;
+    pub(super) fn restart_worker(&mut self, name: &Name) {
+        self.restart_count += 1;
         let old = self.workers[name].listed.clone();
-        if self.keeping && self.pick(4) > 0 {
-            return self.come_back_as(name);
+        if self.keeps_ids && self.pick(4) > 0 {
+            return self.restart_same_id(name);
         }
-        let id: Name = format!("{}+{}", old.addr, self.lives).into();
+        let id: Name = format!("{}+{}", old.addr, self.restart_count).into();
         self.add_worker(id.clone(), 0);
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.listed = Listed { id, ..old };
         }
-        self.list();
+        self.publish_list();
     }
 
     /// The next life of a worker under its id: it knows nothing of before, and may have other room.
-    pub(super) fn come_back_as(&mut self, name: &Name) {
-        self.kept_ids += 1;
+    pub(super) fn restart_same_id(&mut self, name: &Name) {
+        self.id_reuses += 1;
         let (base, cpu) = (self.pick(3_000_000), 1_200 + self.pick(1_000));
         // Its time of day may have been stepped back.
-        let born = Millis(1_000_000 * self.lives + self.pick(10) + self.now - self.pick(self.now));
-        self.say(format!("{name} is back under its id, born at {born}"));
+        let born =
+            Millis(1_000_000 * self.restart_count + self.pick(10) + self.now - self.pick(self.now));
+        self.log_event(format!("{name} is back under its id, born at {born}"));
         let old = self.workers[name].listed.clone();
-        let slow = self.workers[name].slow;
+        let clock_drift = self.workers[name].clock_drift;
         // By the platform's contract a room that has shrunk counts that much later, so also in the next life.
-        let until = self.now + CONTACT + WORKER_BEAT;
+        let until = self.now + CONTACT_MS + HEARTBEAT_MS;
         self.add_worker(name.clone(), 0);
         if let Some(worker) = self.workers.get_mut(name) {
-            (worker.base, worker.slow) = (base, slow);
-            worker.rooms.push((until, old.room));
+            (worker.clock_base, worker.clock_drift) = (base, clock_drift);
+            worker.old_rooms.push((until, old.room));
             worker.listed = Listed { born: Some(born), room: room(cpu), ..old };
         }
-        self.list();
+        self.publish_list();
     }
 
     /// The owner does nothing until then, and another takes over meanwhile.
     pub(super) fn pause_owner(&mut self, until: u64) {
         let Some(owner) = self.owners.len().checked_sub(1) else { return };
-        self.say(format!("owner {owner} is paused until {until}"));
+        self.log_event(format!("owner {owner} is paused until {until}"));
         self.owners[owner].paused_until = until;
-        self.note_trouble(until);
-        self.paused.insert(owner, until);
-        self.asleep.insert(owner, until - self.now);
+        self.note_fault(until);
+        self.pause_ends.insert(owner, until);
+        self.unnoticed_pauses.insert(owner, until - self.now);
         let at = self.now + 1_200 + self.pick(400);
-        self.at(at, Event::Elect);
+        self.schedule_at(at, Event::Elect);
     }
 
     /// A worker is gone for good, and another one comes.
-    pub(super) fn vanish(&mut self, name: &Name, next: Name) {
-        self.say(format!("{name} crashes"));
-        self.note_trouble(self.now);
+    pub(super) fn replace_worker(&mut self, name: &Name, next: Name) {
+        self.log_event(format!("{name} crashes"));
+        self.note_fault(self.now);
         let domain = self.pick(2);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.alive = false;
-            let unread: Vec<TaskKey> = worker.ended.iter().map(|row| row.task).collect();
+            let unread_ends: Vec<TaskKey> = worker.ended.iter().map(|row| row.task).collect();
             let tasks = std::mem::take(&mut worker.running).into_keys();
-            self.note_vanished(tasks.chain(unread));
+            self.allow_extra_time(tasks.chain(unread_ends));
         }
         self.add_worker(next, domain);
-        self.list();
+        self.publish_list();
     }
 
     /// Random faults, until it is calm.
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         if !self.chance(4) {
             return;
         }
@@ -159,24 +160,24 @@
         match self.pick(5) {
             0 => {
                 let until = self.now + 200 + self.pick(5_000);
-                self.say(format!("{name} is cut off until {until}"));
-                self.note_trouble(until);
+                self.log_event(format!("{name} is cut off until {until}"));
+                self.note_fault(until);
                 // With its owner on the same side, another takes over on the other side.
                 let with_owner = self.pick(2) == 0;
-                let cut_from = if with_owner { self.owners.len() } else { 0 };
+                let first_unreachable = if with_owner { self.owners.len() } else { 0 };
                 if let Some(worker) = self.workers.get_mut(&name) {
-                    worker.cut_until = until;
-                    worker.cut_from = cut_from;
+                    worker.partitioned_until = until;
+                    worker.first_unreachable = first_unreachable;
                 }
                 if with_owner {
                     let at = self.now + 1_200 + self.pick(300);
-                    self.at(at, Event::Elect);
+                    self.schedule_at(at, Event::Elect);
                 }
             }
-            1 if self.gone_works < 2 && self.workers[&name].alive => {
-                self.gone_works += 1;
-                let next = format!("{name}.{}", self.gone_works).into();
-                self.vanish(&name, next);
+            1 if self.replaced_count < 2 && self.workers[&name].alive => {
+                self.replaced_count += 1;
+                let next = format!("{name}.{}", self.replaced_count).into();
+                self.replace_worker(&name, next);
             }
             2 => {
                 let until = self.now + 500 + self.pick(4_000);
@@ -184,15 +185,15 @@
             }
             3 => {
                 let Some(owner) = self.owners.len().checked_sub(1) else { return };
-                self.say(format!("owner {owner} dies"));
-                self.note_trouble(self.now);
+                self.log_event(format!("owner {owner} dies"));
+                self.note_fault(self.now);
                 self.owners[owner].alive = false;
                 let at = self.now + 600 + self.pick(600);
-                self.at(at, Event::Elect);
+                self.schedule_at(at, Event::Elect);
             }
             _ => {
                 let at = self.now;
-                self.at(at, Event::Elect);
+                self.schedule_at(at, Event::Elect);
             }
         }
     }
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -9,83 +9,83 @@
 use sprucerudder::workload::Advice;
 
 /// How long a lasting task may be without a run.
-const RUN_LIMIT: u64 = 9_000;
+const MAX_IDLE_MS: u64 = 9_000;
 /// How long it has to have been calm then.
-const CALM_LIMIT: u64 = 7_000;
+const FAULT_FREE_MS: u64 = 7_000;
 /// Workers of ten that the advice service clears for a step.
-const CLEARED: u64 = 6;
+const CLEARED_TENTHS: u64 = 6;
 /// A question takes as long as on the deployment with the slowest advice.
 const ADVICE: Advice = Advice { base: Millis(560), each: 8_000, valid: Millis(2_000) };
-const ENTRIES: usize = 9;
+const ENTRY_COUNT: usize = 9;
 
 /// What the world knows of lasting jobs.
 #[derive(Debug, Default)]
-pub struct Lasting {
-    is_on: bool,
+pub struct LastingJobs {
+    enabled: bool,
     /// Tasks that vanish with their worker are judged, too.
-    pub judges_vanished: bool,
+    pub checks_replaced: bool,
     /// Workers that fail all they start, until then.
-    grey: BTreeMap<Name, u64>,
+    failing_until: BTreeMap<Name, u64>,
     /// Tasks that have begun once.
-    begun: BTreeSet<TaskKey>,
+    started: BTreeSet<TaskKey>,
     /// Tasks that may be without a run for so much longer.
-    longer: BTreeMap<TaskKey, u64>,
+    extra_time: BTreeMap<TaskKey, u64>,
     /// Tasks without a run.
-    idle: BTreeMap<TaskKey, Idle>,
+    idle: BTreeMap<TaskKey, IdleTask>,
     /// When the last trouble ended or will end.
-    trouble: u64,
+    last_fault: u64,
     /// Tasks that lost a run.
     pub lost_runs: usize,
 }
 
 /// A task without a run.
 #[derive(Debug)]
-struct Idle {
+struct IdleTask {
     since: u64,
     /// Since when a worker has had room for it all the time.
-    place_since: Option<u64>,
+    room_since: Option<u64>,
 }
 
-impl Lasting {
+impl LastingJobs {
     /// Whether what starts at a worker fails.
-    pub fn fails_at(&self, worker: &Name, now: u64) -> bool {
-        self.grey.get(worker).is_some_and(|until| *until > now)
+    pub fn fails_runs(&self, worker: &Name, now: u64) -> bool {
+        self.failing_until.get(worker).is_some_and(|until| *until > now)
     }
 
     /// A task starts.
-    pub fn note_start(&mut self, task: TaskKey, spec: &Step) {
+    pub fn record_start(&mut self, task: TaskKey, spec: &Step) {
         if spec.lasting {
-            self.begun.insert(task);
+            self.started.insert(task);
         }
     }
 
     /// Whether a task lasts and has begun.
-    pub fn has_begun(&self, task: TaskKey) -> bool {
-        self.begun.contains(&task)
+    pub fn has_started(&self, task: TaskKey) -> bool {
+        self.started.contains(&task)
     }
 }
 
 /// Whether the advice service clears a worker for a step: it says the same each time.
-fn is_cleared(step: StepKey, worker: &Name) -> bool {
-    hash(&[step.to_string().as_bytes(), worker.as_bytes()]) % 10 < CLEARED
+fn advice_clears(step: StepKey, worker: &Name) -> bool {
+    hash(&[step.to_string().as_bytes(), worker.as_bytes()]) % 10 < CLEARED_TENTHS
 }
 
-fn entry(no: usize) -> Name {
-    format!("e{no}").into()
+fn entry_name(index: usize) -> Name {
+    format!("e{index}").into()
 }
 
 impl World {
     /// Every other job lasts, and entries ask the advice service about them. Workers tell when they started, or do not.
-    pub(super) fn make_lasting(&mut self, keeping: bool) {
-        self.lasting.is_on = true;
-        self.keeping = keeping;
+    pub(super) fn add_lasting_jobs(&mut self, keeps_ids: bool) {
+        self.lasting.enabled = true;
+        self.keeps_ids = keeps_ids;
         for worker in self.workers.values_mut() {
-            worker.listed.born = keeping.then_some(Millis(7));
+            worker.listed.born = keeps_ids.then_some(Millis(7));
         }
-        for no in 4..10 {
-            self.add_worker(format!("w{no}").into(), no % 2);
+        for index in 4..10 {
+            self.add_worker(format!("w{index}").into(), index % 2);
         }
-        self.list();
+        self.publish_list();
         let mut jobs: Vec<JobKey> = self.works.keys().copied().collect();
         jobs.retain(|job| self.is_lasting(*job));
         for job in jobs {
@@ -103,41 +103,41 @@
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         for name in names {
             if self.pick(3) == 0 {
-                let until = CALM - self.pick(2_000);
-                self.lasting.grey.insert(name.clone(), until);
-                self.note_trouble(until);
+                let until = FAULTS_END_MS - self.pick(2_000);
+                self.lasting.failing_until.insert(name.clone(), until);
+                self.note_fault(until);
             }
         }
         self.replace_owners();
         self.connect_entries(0);
-        self.drive(0);
+        self.advance_owner(0);
     }
 
     /// Owners are replaced two or three times in a row, and a worker vanishes meanwhile.
     fn replace_owners(&mut self) {
-        let mut at = CALM - 4_000 + self.pick(2_000);
+        let mut at = FAULTS_END_MS - 4_000 + self.pick(2_000);
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let worker = names[self.pick(names.len() as u64) as usize].clone();
         let gone = at + self.pick(1_500);
-        self.at(gone, Event::Vanish { worker });
+        self.schedule_at(gone, Event::ReplaceWorker { worker });
         for _ in 0..2 + self.pick(2) {
-            self.at(at, Event::Elect);
+            self.schedule_at(at, Event::Elect);
             at += 300 + self.pick(1_700);
         }
     }
 
     /// The lease of the deployments with the longest.
-    pub(super) fn lease(&self) -> u64 {
-        if self.lasting.is_on { 2 * LEASE } else { LEASE }
+    pub(super) fn lease_time(&self) -> u64 {
+        if self.lasting.enabled { 2 * LEASE_MS } else { LEASE_MS }
     }
 
     /// How long a run goes on once all jobs that end have ended.
-    pub(super) fn rest(&self) -> u64 {
-        if self.lasting.is_on { 2 * RUN_LIMIT } else { REST }
+    pub(super) fn settle_time(&self) -> u64 {
+        if self.lasting.enabled { 2 * MAX_IDLE_MS } else { SETTLE_MS }
     }
 
     pub(super) fn is_lasting(&self, job: JobKey) -> bool {
-        self.lasting.is_on && job.0 % 2 == 0
+        self.lasting.enabled && job.0 % 2 == 0
     }
 
     pub(super) fn lasting_queue(&self) -> Queue {
@@ -145,47 +145,47 @@
             name: "lasts".into(),
             priority: 1,
             advice: Some(ADVICE),
-            ..(*self.queue_row).clone()
+            ..(*self.base_queue).clone()
         }
     }
 
-    pub(super) fn note_trouble(&mut self, until: u64) {
-        self.lasting.trouble = self.lasting.trouble.max(until);
+    pub(super) fn note_fault(&mut self, until: u64) {
+        self.lasting.last_fault = self.lasting.last_fault.max(until);
     }
 
     /// A worker vanishes with these tasks: they ran there, or nobody has read their ends. Where workers start again under their ids, its next life may hold a lease by the
     /// clock of the life before, up to the longest, and nobody may start its tasks before that is over.
-    pub(super) fn note_vanished(&mut self, tasks: impl Iterator<Item = TaskKey>) {
-        let longer = match self.lasting.judges_vanished {
-            true if self.keeping => LEASE_MAX - 2 * LEASE,
+    pub(super) fn allow_extra_time(&mut self, tasks: impl Iterator<Item = TaskKey>) {
+        let extra_time = match self.lasting.checks_replaced {
+            true if self.keeps_ids => MAX_LEASE_MS - 2 * LEASE_MS,
             true => 0,
-            false => END,
+            false => DEADLINE_MS,
         };
-        self.lasting.longer.extend(tasks.map(|task| (task, longer)));
+        self.lasting.extra_time.extend(tasks.map(|task| (task, extra_time)));
     }
 
     /// All entries connect to a new owner.
     pub(super) fn connect_entries(&mut self, owner: usize) {
-        if !self.lasting.is_on {
+        if !self.lasting.enabled {
             return;
         }
-        for no in 0..ENTRIES {
-            self.owners[owner].cell.join(entry(no), true);
+        for index in 0..ENTRY_COUNT {
+            self.owners[owner].cell.join(entry_name(index), true);
         }
     }
 
     /// An entry asks the advice service for an owner.
-    pub(super) fn ask(&mut self, owner: usize, entry: Name, question: Question) {
+    pub(super) fn ask_advice(&mut self, owner: usize, entry: Name, question: Question) {
         let length = question.cost.0 * (90 + self.pick(20)) / 100;
         let lost = self.chance(12);
         if lost && self.pick(2) == 0 {
             let (delay, entry) = (self.pick(length), entry.clone());
-            self.after(delay, Event::Reconnect { owner, entry });
+            self.schedule_after(delay, Event::Reconnect { owner, entry });
         }
-        self.after(length, Event::Advice { owner, entry, question, lost });
+        self.schedule_after(length, Event::AdviceAnswered { owner, entry, question, lost });
     }
 
-    pub(super) fn answer_question(
+    pub(super) fn answer_advice(
         &mut self,
         owner: usize,
         entry: &Name,
@@ -193,62 +193,65 @@
         lost: bool,
     ) {
         if lost {
-            return self.say(format!("{entry}'s answer about {} is lost", question.step));
+            return self.log_event(format!("{entry}'s answer about {} is lost", question.step));
         }
-        let good = question.workers.iter().filter(|name| is_cleared(question.step, name));
-        let rows = good.map(|name| (name.clone(), "ticket".into())).collect();
+        let cleared = question.workers.iter().filter(|name| advice_clears(question.step, name));
+        let rows = cleared.map(|name| (name.clone(), "ticket".into())).collect();
         let answer = Some(Cleared { rows, valid: None });
         let cell = &mut self.owners[owner].cell;
         cell.advised(Millis(self.now), entry, question.step, &question.workers, answer);
-        self.drive(owner);
+        self.advance_owner(owner);
     }
 
     pub(super) fn reconnect(&mut self, owner: usize, entry: Name) {
-        self.say(format!("{entry} connects to owner {owner} again"));
+        self.log_event(format!("{entry} connects to owner {owner} again"));
         self.owners[owner].cell.leave(&entry);
         self.owners[owner].cell.join(entry, true);
-        self.drive(owner);
+        self.advance_owner(owner);
     }
 
     /// No task that lasts is without a run for longer than the contract allows.
     pub(super) fn check_lasting(&mut self) {
-        if !self.lasting.is_on {
+        if !self.lasting.enabled {
             return;
         }
         let alive = self.workers.values().filter(|worker| worker.alive);
         let running: BTreeSet<TaskKey> =
             alive.flat_map(|worker| worker.running.keys().copied()).collect();
         let idle: Vec<TaskKey> =
-            self.lasting.begun.iter().filter(|task| !running.contains(task)).copied().collect();
+            self.lasting.started.iter().filter(|task| !running.contains(task)).copied().collect();
         self.lasting.idle.retain(|task, _| !running.contains(task));
-        self.lasting.longer.retain(|task, _| !running.contains(task));
+        self.lasting.extra_time.retain(|task, _| !running.contains(task));
         for task in idle {
-            let (now, has_place) = (self.now, self.has_place(task));
+            let (now, has_candidate) = (self.now, self.has_candidate(task));
             let before = self.lasting.idle.len();
-            let new = || Idle { since: now, place_since: None };
+            let new = || IdleTask { since: now, room_since: None };
             let idle = self.lasting.idle.entry(task).or_insert_with(new);
-            idle.place_since = idle.place_since.filter(|_| has_place).or(has_place.then_some(now));
-            let had_place = idle.place_since.is_some_and(|since| now - since > WAIT_LIMIT);
+            idle.room_since =
+                idle.room_since.filter(|_| has_candidate).or(has_candidate.then_some(now));
+            let had_candidate = idle.room_since.is_some_and(|since| now - since > MAX_WAIT_MS);
             let since = idle.since;
             self.lasting.lost_runs += self.lasting.idle.len() - before;
-            let is_calm = now >= self.lasting.trouble + CALM_LIMIT;
-            let is_long = is_calm && now - since > RUN_LIMIT && had_place;
-            if self.now > CALM && self.may_run_unseen(task) {
-                self.note_vanished([task].into_iter());
-            } else if is_long && now - since > self.limit(task) {
-                self.fault(format!("lasting task {task} is without a run since {since}"));
+            let is_fault_free = now >= self.lasting.last_fault + FAULT_FREE_MS;
+            let is_long = is_fault_free && now - since > MAX_IDLE_MS && had_candidate;
+            if self.now > FAULTS_END_MS && self.is_bound_to_lost_worker(task) {
+                self.allow_extra_time([task].into_iter());
+            } else if is_long && now - since > self.idle_limit(task) {
+                self.record_violation(format!(
+                    "lasting task {task} is without a run since {since}"
+                ));
             }
         }
     }
 
     /// How long a task may be without a run.
-    fn limit(&self, task: TaskKey) -> u64 {
-        RUN_LIMIT + self.lasting.longer.get(&task).copied().unwrap_or(0)
+    fn idle_limit(&self, task: TaskKey) -> u64 {
+        MAX_IDLE_MS + self.lasting.extra_time.get(&task).copied().unwrap_or(0)
     }
 
     /// Whether the store binds a task to a worker that vanished: nobody can know that it never began there. That ends with
     /// the longest lease.
-    fn may_run_unseen(&self, task: TaskKey) -> bool {
+    fn is_bound_to_lost_worker(&self, task: TaskKey) -> bool {
         let mut snapshot = Snapshot::default();
         let of_job = task.step.job.to_string();
         for (key, value) in self.store.iter().filter(|(key, _)| key.starts_with(&of_job)) {
@@ -264,24 +267,24 @@
 
     /// Whether a worker may run a step: the advice service is asked about jobs that last.
     pub(super) fn is_cleared(&self, step: StepKey, worker: &Name) -> bool {
-        !self.is_lasting(step.job) || is_cleared(step, worker)
+        !self.is_lasting(step.job) || advice_clears(step, worker)
     }
 
     /// Whether a sound worker has room for a task twice over, and takes one more of its step.
-    fn has_place(&self, task: TaskKey) -> bool {
+    fn has_candidate(&self, task: TaskKey) -> bool {
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
         let charge = spec.charge();
         let twice = charge.plus(&charge);
-        let used = |worker: &FakeWorker| -> Room {
+        let used = |worker: &SimWorker| -> Room {
             worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge))
         };
-        let takes = |worker: &FakeWorker| {
+        let takes = |worker: &SimWorker| {
             let here = worker.running.keys().filter(|other| other.step == task.step).count();
             spec.apart == 0 || here < spec.apart as usize
         };
         self.workers.iter().any(|(name, worker)| {
             let has_room = worker.listed.room.less(&used(worker)).holds(&twice);
-            worker.alive && is_cleared(task.step, name) && has_room && takes(worker)
+            worker.alive && advice_clears(task.step, name) && has_room && takes(worker)
         })
     }
 }
--- a/tests/cellworld/bounds.rs
+++ b/tests/cellworld/limits.rs
@@ -6,47 +6,47 @@
 use sprucerudder::workspace::{Workspace, Workspaces};
 
 /// The workspaces with bounds; jobs of a third kind belong to none.
-const NAMES: [&str; 2] = ["one", "two"];
+const WORKSPACES: [&str; 2] = ["one", "two"];
 /// Bounds, in thousandths of a core: the least holds the widest gang, the most leaves part of all room to others.
-const LEAST: u64 = 4_000;
-const SPREAD: u64 = 3_000;
+const MIN_LIMIT: u64 = 4_000;
+const LIMIT_RANGE: u64 = 3_000;
 /// How long an owner may go by an earlier bound, by the platform's contract.
-const IN_FORCE: u64 = 3_000;
+const LIMIT_GRACE_MS: u64 = 3_000;
 /// How long it takes until an owner hears of a bound.
-const HEARD: u64 = 1_500;
+const LIMIT_DELAY_MS: u64 = 1_500;
 
 /// The bounds over time: since when, and how much, for each workspace.
-pub(super) type Limits = BTreeMap<Name, Vec<(u64, u64)>>;
+pub(super) type LimitHistory = BTreeMap<Name, Vec<(u64, u64)>>;
 
 impl World {
     /// Jobs belong to workspaces, whose bounds change some times.
-    pub(super) fn bound(&mut self) {
-        self.bounded = true;
-        for name in NAMES {
-            let mut limits = vec![(0, LEAST + self.pick(SPREAD))];
+    pub(super) fn add_limits(&mut self) {
+        self.has_limits = true;
+        for name in WORKSPACES {
+            let mut limits = vec![(0, MIN_LIMIT + self.pick(LIMIT_RANGE))];
             for _ in 0..self.pick(4) {
-                let (at, limit) = (self.pick(CALM), LEAST + self.pick(SPREAD));
+                let (at, limit) = (self.pick(FAULTS_END_MS), MIN_LIMIT + self.pick(LIMIT_RANGE));
                 limits.push((at, limit));
-                let heard = at + self.pick(HEARD);
-                self.at(heard, Event::Rebound);
+                let announced = at + self.pick(LIMIT_DELAY_MS);
+                self.schedule_at(announced, Event::UpdateLimits);
             }
             limits.sort_unstable();
             self.limits.insert(name.into(), limits);
         }
-        self.rebound();
+        self.publish_limits();
     }
 
     /// Owners hear of the bounds as they are now.
-    pub(super) fn rebound(&mut self) {
-        let workspaces = self.workspaces();
+    pub(super) fn publish_limits(&mut self) {
+        let workspaces = self.current_workspaces();
         for owner in &mut self.owners {
             owner.cell.set_workspaces(workspaces.clone());
         }
     }
 
-    pub(super) fn workspaces(&self) -> Workspaces {
+    pub(super) fn current_workspaces(&self) -> Workspaces {
         let mut all = Workspaces::default();
-        if self.without == Without::Bounds {
+        if self.disabled == Disabled::Limits {
             return all;
         }
         for (name, limits) in &self.limits {
@@ -58,57 +58,59 @@
         all
     }
 
-    pub(super) fn workspace(&self, job: JobKey) -> Option<Name> {
-        let name = NAMES.get((job.0 % 3) as usize).filter(|_| self.bounded);
+    pub(super) fn workspace_of(&self, job: JobKey) -> Option<Name> {
+        let name = WORKSPACES.get((job.0 % 3) as usize).filter(|_| self.has_limits);
         name.map(|name| Name::from(*name))
     }
 
     /// What runs of a workspace, in thousandths of a core.
-    fn used(&self, workspace: &Name) -> u64 {
+    fn cpu_in_use(&self, workspace: &Name) -> u64 {
         let alive = self.workers.values().filter(|worker| worker.alive);
         let running = alive.flat_map(|worker| &worker.running);
-        let of_it =
-            running.filter(|(task, _)| self.workspace(task.step.job).as_ref() == Some(workspace));
-        of_it.map(|(_, run)| run.charge.cpu).sum()
+        let in_workspace = running
+            .filter(|(task, _)| self.workspace_of(task.step.job).as_ref() == Some(workspace));
+        in_workspace.map(|(_, run)| run.charge.cpu).sum()
     }
 
     /// A start takes a workspace past the highest bound that may be in force, and it had something running.
-    pub(super) fn check_bound(&mut self, task: TaskKey, spec: &Step) {
-        let Some(workspace) = self.workspace(task.step.job) else { return };
+    pub(super) fn check_limit(&mut self, task: TaskKey, spec: &Step) {
+        let Some(workspace) = self.workspace_of(task.step.job) else { return };
         let limits = &self.limits[&workspace];
-        let since = self.now.saturating_sub(IN_FORCE);
+        let since = self.now.saturating_sub(LIMIT_GRACE_MS);
         // The one in force at that time, and all later ones.
         let first = limits.iter().rposition(|(at, _)| *at <= since).unwrap_or(0);
         let in_force = limits[first..].iter().filter(|(at, _)| *at <= self.now);
         let most = in_force.map(|(_, limit)| *limit).max();
-        let used = self.used(&workspace);
+        let used = self.cpu_in_use(&workspace);
         let wanted = used + spec.room.cpu;
         if most.is_none_or(|most| wanted > most) && used > 0 {
-            self.fault(format!("{task} takes workspace {workspace} to {wanted} of {most:?}"));
+            self.record_violation(format!(
+                "{task} takes workspace {workspace} to {wanted} of {most:?}"
+            ));
         }
-        self.peak = self.peak.max(wanted);
+        self.peak_cpu = self.peak_cpu.max(wanted);
     }
 
     /// Whether a job's workspace has half of its bound running: then the contract lets a job wait.
-    pub(super) fn has_half(&self, job: JobKey) -> bool {
-        let Some(workspace) = self.workspace(job) else { return false };
+    pub(super) fn uses_half_limit(&self, job: JobKey) -> bool {
+        let Some(workspace) = self.workspace_of(job) else { return false };
         let now = self.limits[&workspace].iter().rfind(|(at, _)| *at <= self.now);
-        now.is_some_and(|(_, limit)| self.used(&workspace) * 2 >= *limit)
+        now.is_some_and(|(_, limit)| self.cpu_in_use(&workspace) * 2 >= *limit)
     }
 
     /// The store refuses a batch for good: its new jobs are given back, and the rest is written without them.
-    pub(super) fn give_back(&mut self, owner: usize, batch: &Batch) -> Batch {
-        let gone = self.owners[owner].cell.withdraw(batch.no);
-        self.given_back += gone.len();
-        let stays = |key: &str| !job_of(key).is_some_and(|(job, _)| gone.contains(&job));
+    pub(super) fn withdraw_jobs(&mut self, owner: usize, batch: &Batch) -> Batch {
+        let withdrawn = self.owners[owner].cell.withdraw(batch.no);
+        self.withdrawn_jobs += withdrawn.len();
+        let stays = |key: &str| !job_of(key).is_some_and(|(job, _)| withdrawn.contains(&job));
         let records = batch.records.iter().filter(|(key, _)| stays(key)).cloned().collect();
         Batch { no: batch.no, records }
     }
 
     /// Nothing of a job that is given back starts, and nothing of it is in the store.
-    pub(super) fn check_known(&mut self, task: TaskKey) {
-        if self.bounded && !self.store.contains_key(&task.step.job.to_string()) {
-            self.fault(format!("{task} starts, and its job is not in the store"));
+    pub(super) fn check_recorded(&mut self, task: TaskKey) {
+        if self.has_limits && !self.store.contains_key(&task.step.job.to_string()) {
+            self.record_violation(format!("{task} starts, and its job is not in the store"));
         }
     }
 }
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -3,16 +3,16 @@
 
 #![allow(dead_code)]
 
-mod bounds;
 mod checks;
 mod faults;
 mod lasting;
+mod limits;
+mod network;
 mod outage;
 #[path = "../rows/mod.rs"]
 mod rows;
 mod search;
 mod suspended;
-mod wire;
 mod worker;
 
 pub use search::*;
@@ -33,106 +33,106 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-pub const LEASE: u64 = 3_000;
+pub const LEASE_MS: u64 = 3_000;
 /// The longest lease that a worker grants.
-pub const LEASE_MAX: u64 = 10_000;
+pub const MAX_LEASE_MS: u64 = 10_000;
 /// After this time there are no more faults, and everything has to come to an end.
-pub const CALM: u64 = 12_000;
+pub const FAULTS_END_MS: u64 = 12_000;
 /// Three steps, three starts each of up to 13 s, and a lease: no job may take longer.
-pub const END: u64 = 180_000;
+pub const DEADLINE_MS: u64 = 180_000;
 /// How long a run goes on once all jobs have ended: longer than a lease and a late order.
-const REST: u64 = 8_000;
+const SETTLE_MS: u64 = 8_000;
 /// How long a step may wait though there is room, and how long it has to be calm before, by the platform's
 /// contract.
-const WAIT_LIMIT: u64 = 3_000;
-const CALM_BEFORE: u64 = 4_000;
+const MAX_WAIT_MS: u64 = 3_000;
+const WAIT_GRACE_MS: u64 = 4_000;
 /// The longest time that a stop takes.
-const STOP: u64 = 700;
-const TICK: u64 = 100;
-const HOLD_WAIT: u64 = 400;
-const LOST_AFTER: u64 = 300;
+const MAX_STOP_MS: u64 = 700;
+const TICK_MS: u64 = 100;
+const MAX_POLL_MS: u64 = 400;
+const CALL_TIMEOUT_MS: u64 = 300;
 /// An owner is in touch if it was not paused for so long.
-const CONTACT: u64 = 3_000;
+const CONTACT_MS: u64 = 3_000;
 /// Time between two entries of a worker in the list.
-const WORKER_BEAT: u64 = 1_500;
+const HEARTBEAT_MS: u64 = 1_500;
 /// Time between two looks of an owner at the list.
-const LIST_EVERY: u64 = 500;
+const LIST_INTERVAL_MS: u64 = 500;
 /// A pause that an owner notices, as `clock` has it.
-const PAUSE: u64 = 2_500;
+const NOTICED_PAUSE_MS: u64 = 2_500;
 /// The age from which a start is withheld, as the owner's shell has it.
-const ORDER_FRESH: u64 = 2_000;
+const MAX_ORDER_AGE_MS: u64 = 2_000;
 
 /// A mechanism that is taken out, to show that the checks need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Without {
+pub enum Disabled {
     Nothing,
     /// Workers take orders with any fence.
-    Fences,
+    Fencing,
     /// Workers forget what was stopped.
-    Stops,
+    StopRecords,
     /// The store takes records of deposed owners.
-    Producers,
+    StoreFencing,
     /// Owners go on giving orders and renewals whatever they hear of the log.
-    Authority,
+    LogAuthority,
     /// Workers run on when their lease is over.
-    Leases,
+    LeaseExpiry,
     /// Owners know of no bounds.
-    Bounds,
+    Limits,
     /// The next owner does not learn which workspace a job belongs to.
-    Workspaces,
+    WorkspaceRecords,
     /// Owners take it that no start was sent without a record.
-    Doubt,
+    UnrecordedStarts,
 }
 
 #[derive(Debug, Clone)]
 struct Running {
     run: u64,
-    until: u64,
+    ends_at: u64,
     charge: Room,
     /// It was told to stop: it stays listed, and its room is free only at its end.
     stopping: bool,
 }
 
 #[derive(Debug)]
-struct FakeWorker {
+struct SimWorker {
     listed: Listed,
     /// What its clock shows when the world's shows nothing.
-    base: u64,
+    clock_base: u64,
     fence: u64,
-    lease: u64,
+    lease_until: u64,
     running: BTreeMap<TaskKey, Running>,
     ended: Vec<EndedRow>,
-    count: u64,
+    end_count: u64,
     barred: BTreeMap<TaskKey, u64>,
     /// Tasks whose end `done` was confirmed.
     alive: bool,
     /// Nothing is at its address until then.
-    away_until: u64,
+    down_until: u64,
     /// It crashed, and is in the list still.
-    is_stale: bool,
-    cut_until: u64,
+    still_listed: bool,
+    partitioned_until: u64,
     /// It does nothing until then.
     suspended_until: u64,
     /// Owners before this one still reach it: they are on its side of the cut.
-    cut_from: usize,
+    first_unreachable: usize,
     /// The last end that was listed when its lease last ran out: ends up to it are not taken note of
     /// afterwards, by the platform's contract.
-    lapsed: u64,
+    last_lapsed: u64,
     /// Rooms that it had before, and until when they count.
-    rooms: Vec<(u64, Room)>,
+    old_rooms: Vec<(u64, Room)>,
     /// Runs slower than the world's clock by this, in thousandths.
-    slow: u64,
+    clock_drift: u64,
 }
 
-impl FakeWorker {
+impl SimWorker {
     fn clock(&self, now: u64) -> u64 {
-        self.base + now * (1_000 - self.slow) / 1_000
+        self.clock_base + now * (1_000 - self.clock_drift) / 1_000
     }
 
     /// A lease never shortens, and a longer one than the contract's longest is cut down to that.
     fn renew(&mut self, now: u64, until: u64) {
-        let most = self.clock(now) + LEASE_MAX;
-        self.lease = self.lease.max(until.min(most));
+        let most = self.clock(now) + MAX_LEASE_MS;
+        self.lease_until = self.lease_until.max(until.min(most));
     }
 
     fn report(&self, now: u64) -> Report {
@@ -156,7 +156,7 @@
     Tick {
         owner: usize,
     },
-    Beat {
+    Heartbeat {
         owner: usize,
     },
     Order {
@@ -165,9 +165,9 @@
         /// The life that it was decided for.
         life: Option<Life>,
         action: Action,
-        answer: Answer,
+        delivery: Delivery,
     },
-    Answered {
+    OrderAnswered {
         owner: usize,
         worker: Name,
         start: bool,
@@ -176,7 +176,7 @@
         life: Option<Life>,
         outcome: Outcome,
     },
-    Hold {
+    ReportCall {
         owner: usize,
         worker: Name,
         seen: u64,
@@ -184,13 +184,13 @@
         sent: u64,
         lost: bool,
     },
-    Held {
+    ReportAnswered {
         owner: usize,
         worker: Name,
         sent: u64,
         result: Result<Report, HoldError>,
     },
-    Watch {
+    PollReport {
         owner: usize,
         worker: Name,
     },
@@ -198,19 +198,19 @@
         owner: usize,
         batch: Batch,
     },
-    Kept {
+    Appended {
         owner: usize,
         batch: u64,
     },
-    Refused {
+    AppendRefused {
         owner: usize,
     },
-    Finish {
+    FinishRun {
         worker: Name,
         task: TaskKey,
         run: u64,
     },
-    Stopped {
+    StopRun {
         worker: Name,
         task: TaskKey,
         run: u64,
@@ -220,40 +220,40 @@
     },
     Elect,
     /// A worker crashes under this run, if it is still there.
-    Crash {
+    CrashUnder {
         worker: Name,
         task: TaskKey,
         run: u64,
     },
     /// Another life of a worker that crashed.
-    Back {
+    RestartWorker {
         worker: Name,
     },
     /// The entry of a life that is over leaves the list.
-    Unlist {
+    RemoveEntry {
         worker: Name,
     },
     /// An owner reads the list of workers.
-    Relist {
+    ReadList {
         owner: usize,
     },
     /// All rooms are as they were at the begin.
-    Regrow,
+    RestoreRooms,
     /// A worker crashes by itself.
-    Fall {
+    CrashWorker {
         worker: Name,
     },
     /// Power is lost everywhere: the owner dies, and all workers crash.
-    Power,
+    PowerLoss,
     /// Owners hear of other bounds of workspaces.
-    Rebound,
+    UpdateLimits,
     /// A failure domain is suspended.
-    Suspend {
+    SuspendDomain {
         domain: u64,
         with_owner: bool,
     },
     /// An entry asked the advice service for an owner; the answer may be lost on its way.
-    Advice {
+    AdviceAnswered {
         owner: usize,
         entry: Name,
         question: Question,
@@ -265,21 +265,21 @@
         entry: Name,
     },
     /// The other entries connect to a new owner.
-    Witness {
+    ConnectPeers {
         owner: usize,
         /// So many in ten of them.
         part: u64,
     },
     /// A worker is gone for good.
-    Vanish {
+    ReplaceWorker {
         worker: Name,
     },
     /// The store is away for so long.
-    Outage {
+    StoreOutage {
         length: u64,
     },
     /// A call for a report that nobody waits for any more.
-    Unanswered {
+    AbandonedCall {
         owner: usize,
         worker: Name,
         life: Name,
@@ -289,16 +289,16 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Answer {
-    Given,
+enum Delivery {
+    Answered,
     /// It is carried out and not answered.
-    Lost,
+    AnswerLost,
     /// It is carried out this much later and not answered.
-    Late(u64),
+    Delayed(u64),
     /// It does not arrive.
-    Never,
+    Lost,
     /// It arrives late, and is not answered.
-    Belated,
+    ArrivesLate,
 }
 
 struct Owner {
@@ -306,70 +306,70 @@
     alive: bool,
     deposed: bool,
     paused_until: u64,
-    confirmed: u64,
+    confirmed_at: u64,
     writing: bool,
-    watched: BTreeSet<Name>,
+    polled: BTreeSet<Name>,
 }
 
 pub struct World {
     rng: Rng,
-    without: Without,
+    disabled: Disabled,
     now: u64,
-    end: u64,
+    run_end: u64,
     seq: u64,
-    queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: HashMap<usize, Event>,
     next_event: usize,
-    workers: BTreeMap<Name, FakeWorker>,
+    workers: BTreeMap<Name, SimWorker>,
     owners: Vec<Owner>,
     /// The store: records by key, and the highest epoch that wrote.
     store: BTreeMap<String, Vec<u8>>,
     epoch: u64,
-    queue_row: Arc<Queue>,
+    base_queue: Arc<Queue>,
     /// Jobs with odd keys go to a less urgent queue, and workers have half the room: tasks are stopped
     /// for more urgent ones.
-    crowded: bool,
-    pub preempted: usize,
+    is_crowded: bool,
+    pub preemptions: usize,
     /// Tasks under which each worker crashes, with the lives that did.
-    bad: BTreeMap<TaskKey, BTreeSet<Name>>,
+    crash_tasks: BTreeMap<TaskKey, BTreeSet<Name>>,
     /// Starts of those after three crashes, by owners in touch.
-    more: BTreeMap<TaskKey, usize>,
+    extra_starts: BTreeMap<TaskKey, usize>,
     /// When an owner's last pause ended.
-    paused: BTreeMap<usize, u64>,
+    pause_ends: BTreeMap<usize, u64>,
     /// Rooms shrink and grow, and owners notice long pauses.
-    resizing: bool,
-    pub resized: usize,
+    resizes_rooms: bool,
+    pub resize_count: usize,
     /// Workers start again under their ids, mostly.
-    keeping: bool,
-    pub kept_ids: usize,
-    pub outages: usize,
-    pub suspensions: usize,
+    keeps_ids: bool,
+    pub id_reuses: usize,
+    pub power_losses: usize,
+    pub suspension_count: usize,
     /// Owners that have not noticed their last pause, with its length.
-    asleep: BTreeMap<usize, u64>,
+    unnoticed_pauses: BTreeMap<usize, u64>,
     /// Jobs belong to workspaces with bounds, and some are given back.
-    bounded: bool,
-    limits: bounds::Limits,
+    has_limits: bool,
+    limits: limits::LimitHistory,
     /// The most that a workspace had running.
-    pub peak: u64,
-    pub given_back: usize,
-    lives: u64,
+    pub peak_cpu: u64,
+    pub withdrawn_jobs: usize,
+    restart_count: u64,
     works: BTreeMap<JobKey, Arc<Work>>,
     accepted: BTreeSet<JobKey>,
     done: BTreeMap<TaskKey, bool>,
     /// Ends `failed` of each task, in order: the worker, the end's number, whether it was confirmed.
-    fails: BTreeMap<TaskKey, Vec<(Name, u64, bool)>>,
+    failures: BTreeMap<TaskKey, Vec<(Name, u64, bool)>>,
     /// Starts after so many failed ends of a task; wrong if as many as allowed are ever confirmed.
-    excess: Vec<(TaskKey, usize)>,
-    gone_works: u32,
+    excess_starts: Vec<(TaskKey, usize)>,
+    replaced_count: u32,
     /// Steps that wait though there is room, and since when.
-    idle: BTreeMap<StepKey, u64>,
+    waiting_since: BTreeMap<StepKey, u64>,
     /// When the last trouble ended after which waits are judged: a worker came back, or went on.
-    crashed_at: u64,
+    last_disruption: u64,
     /// Every other job lasts, the advice service is asked, and some workers fail all that they start.
-    lasting: lasting::Lasting,
+    lasting: lasting::LastingJobs,
     /// The store can be away.
     outage: outage::Outage,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub trace: Vec<String>,
 }
 
@@ -378,8 +378,8 @@
 }
 
 impl World {
-    pub fn new(seed: u64, without: Without) -> Self {
-        let queue_row = Arc::new(Queue {
+    pub fn new(seed: u64, disabled: Disabled) -> Self {
+        let base_queue = Arc::new(Queue {
             name: "q".into(),
             service: "s".into(),
             priority: 0,
@@ -390,62 +390,62 @@
         });
         let mut world = Self {
             rng: Rng::with_seed(seed),
-            without,
+            disabled,
             now: 0,
-            end: END,
+            run_end: DEADLINE_MS,
             seq: 0,
-            queue: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             events: HashMap::new(),
             next_event: 0,
             workers: BTreeMap::new(),
             owners: Vec::new(),
             store: BTreeMap::new(),
             epoch: 0,
-            queue_row,
-            crowded: false,
-            preempted: 0,
-            bad: BTreeMap::new(),
-            more: BTreeMap::new(),
-            paused: BTreeMap::new(),
-            resizing: false,
-            resized: 0,
-            keeping: false,
-            kept_ids: 0,
-            outages: 0,
-            suspensions: 0,
-            asleep: BTreeMap::new(),
-            bounded: false,
+            base_queue,
+            is_crowded: false,
+            preemptions: 0,
+            crash_tasks: BTreeMap::new(),
+            extra_starts: BTreeMap::new(),
+            pause_ends: BTreeMap::new(),
+            resizes_rooms: false,
+            resize_count: 0,
+            keeps_ids: false,
+            id_reuses: 0,
+            power_losses: 0,
+            suspension_count: 0,
+            unnoticed_pauses: BTreeMap::new(),
+            has_limits: false,
             limits: BTreeMap::new(),
-            peak: 0,
-            given_back: 0,
-            lives: 0,
+            peak_cpu: 0,
+            withdrawn_jobs: 0,
+            restart_count: 0,
             works: BTreeMap::new(),
             accepted: BTreeSet::new(),
             done: BTreeMap::new(),
-            fails: BTreeMap::new(),
-            excess: Vec::new(),
-            gone_works: 0,
-            idle: BTreeMap::new(),
-            crashed_at: 0,
-            lasting: lasting::Lasting::default(),
+            failures: BTreeMap::new(),
+            excess_starts: Vec::new(),
+            replaced_count: 0,
+            waiting_since: BTreeMap::new(),
+            last_disruption: 0,
+            lasting: lasting::LastingJobs::default(),
             outage: outage::Outage::default(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             trace: Vec::new(),
         };
-        for no in 0..4 {
-            world.add_worker(format!("w{no}").into(), no % 2);
+        for index in 0..4 {
+            world.add_worker(format!("w{index}").into(), index % 2);
         }
-        world.elect();
-        for no in 0..12 {
-            let at = world.pick(CALM - 1_000);
-            let job = JobKey(no + 1);
-            let work = world.work();
+        world.elect_owner();
+        for index in 0..12 {
+            let at = world.pick(FAULTS_END_MS - 1_000);
+            let job = JobKey(index + 1);
+            let work = world.random_work();
             world.works.insert(job, work);
-            world.at(at, Event::Submit { job });
+            world.schedule_at(at, Event::Submit { job });
         }
         for _ in 0..world.pick(4) {
-            let at = world.pick(CALM);
-            world.at(at, Event::Elect);
+            let at = world.pick(FAULTS_END_MS);
+            world.schedule_at(at, Event::Elect);
         }
         world
     }
@@ -455,13 +455,13 @@
     }
 
     fn chance(&mut self, percent: u64) -> bool {
-        self.now < CALM && self.pick(100) < percent
+        self.now < FAULTS_END_MS && self.pick(100) < percent
     }
 
-    fn work(&mut self) -> Arc<Work> {
+    fn random_work(&mut self) -> Arc<Work> {
         let mut steps = Vec::new();
-        for no in 0..1 + self.pick(3) as u16 {
-            let after = if no > 0 && self.pick(2) == 0 { vec![no - 1] } else { Vec::new() };
+        for index in 0..1 + self.pick(3) as u16 {
+            let after = if index > 0 && self.pick(2) == 0 { vec![index - 1] } else { Vec::new() };
             steps.push(Step {
                 count: 1 + self.pick(4) as u32,
                 room: room(300 + self.pick(700)),
@@ -476,12 +476,12 @@
                 ..Step::default()
             });
         }
-        let steps_fit = |step: &mut Step| {
+        let cap_count = |step: &mut Step| {
             if step.apart == 1 {
                 step.count = step.count.min(2);
             }
         };
-        steps.iter_mut().for_each(steps_fit);
+        steps.iter_mut().for_each(cap_count);
         let spec = "text".into();
         Arc::new(Work { spec, steps, times: 1, first: Millis(0), every: Millis(0) })
     }
@@ -490,7 +490,7 @@
         let listed = Listed {
             id: id.clone(),
             // Workers whose ids are new each time need not tell.
-            born: self.keeping.then_some(Millis(7)),
+            born: self.keeps_ids.then_some(Millis(7)),
             service: "s".into(),
             addr: id.clone(),
             domain: format!("d{domain}").into(),
@@ -498,112 +498,112 @@
             labels: vec!["a".into(), format!("r{domain}").into()],
             leaving: None,
         };
-        let worker = FakeWorker {
+        let worker = SimWorker {
             listed,
-            base: 1_000_000,
+            clock_base: 1_000_000,
             fence: 0,
-            lease: 0,
+            lease_until: 0,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            count: 0,
+            end_count: 0,
             barred: BTreeMap::new(),
             alive: true,
-            away_until: 0,
-            is_stale: false,
-            cut_until: 0,
+            down_until: 0,
+            still_listed: false,
+            partitioned_until: 0,
             suspended_until: 0,
-            cut_from: 0,
-            lapsed: 0,
-            rooms: Vec::new(),
-            slow: self.pick(20),
+            first_unreachable: 0,
+            last_lapsed: 0,
+            old_rooms: Vec::new(),
+            clock_drift: self.pick(20),
         };
         self.workers.insert(id, worker);
     }
 
-    fn at(&mut self, time: u64, event: Event) {
+    fn schedule_at(&mut self, time: u64, event: Event) {
         self.seq += 1;
         self.next_event += 1;
         self.events.insert(self.next_event, event);
-        self.queue.push(Reverse((time.max(self.now), self.seq, self.next_event)));
+        self.event_queue.push(Reverse((time.max(self.now), self.seq, self.next_event)));
     }
 
-    fn after(&mut self, delay: u64, event: Event) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: u64, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn say(&mut self, text: String) {
+    fn log_event(&mut self, text: String) {
         self.trace.push(format!("{:6} {text}", self.now));
     }
 
-    fn fault(&mut self, text: String) {
-        self.say(format!("BROKEN {text}"));
-        self.broken.push(text);
+    fn record_violation(&mut self, text: String) {
+        self.log_event(format!("BROKEN {text}"));
+        self.violations.push(text);
     }
 
     /// Runs to the end and checks that all accepted jobs came to one.
     pub fn run(&mut self) {
-        while let Some(Reverse((time, _, id))) = self.queue.pop() {
-            if time > self.end || !self.broken.is_empty() {
+        while let Some(Reverse((time, _, id))) = self.event_queue.pop() {
+            if time > self.run_end || !self.violations.is_empty() {
                 break;
             }
             self.now = time;
             let Some(event) = self.events.remove(&id) else { continue };
-            if let Some(owner) = owner_of(&event) {
+            if let Some(owner) = handling_owner(&event) {
                 let until = self.owners[owner].paused_until;
                 if !self.owners[owner].alive {
                     continue;
                 }
                 if until > self.now {
-                    self.at(until, event);
+                    self.schedule_at(until, event);
                     continue;
                 }
-                self.wake(owner);
+                self.wake_owner(owner);
             }
-            if let Some(until) = self.suspension(&event) {
-                self.hold_back(until, event);
+            if let Some(until) = self.suspended_until(&event) {
+                self.defer(until, event);
                 continue;
             }
-            self.expire();
+            self.expire_leases();
             self.handle(event);
         }
-        if self.broken.is_empty() {
-            self.check_ends();
+        if self.violations.is_empty() {
+            self.check_all_ended();
         }
     }
 
     /// An owner that was paused for long notices it before anything else.
-    fn wake(&mut self, owner: usize) {
-        let Some(length) = self.asleep.remove(&owner) else { return };
-        if self.resizing && length >= PAUSE {
-            self.say(format!("owner {owner} wakes"));
+    fn wake_owner(&mut self, owner: usize) {
+        let Some(length) = self.unnoticed_pauses.remove(&owner) else { return };
+        if self.resizes_rooms && length >= NOTICED_PAUSE_MS {
+            self.log_event(format!("owner {owner} wakes"));
             self.owners[owner].cell.wake(Millis(self.now));
-            let delay = self.pick(LIST_EVERY);
-            self.after(delay, Event::Relist { owner });
+            let delay = self.pick(LIST_INTERVAL_MS);
+            self.schedule_after(delay, Event::ReadList { owner });
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             // One that is not the owner any more orders nothing, and in calm times draws no faults.
-            Event::Tick { owner } if self.owners[owner].deposed && self.now > CALM => {}
+            Event::Tick { owner } if self.owners[owner].deposed && self.now > FAULTS_END_MS => {}
             Event::Tick { owner } => {
                 let now = Millis(self.now);
-                self.note_calm();
+                self.end_when_settled();
                 self.owners[owner].cell.tick(now, now);
-                self.after(TICK, Event::Tick { owner });
-                self.drive(owner);
+                self.schedule_after(TICK_MS, Event::Tick { owner });
+                self.advance_owner(owner);
                 self.check_waits(owner);
                 self.check_lasting();
-                self.trouble();
-                if self.resizing && self.chance(6) {
-                    self.resize();
+                self.inject_fault();
+                if self.resizes_rooms && self.chance(6) {
+                    self.resize_worker();
                 }
             }
-            Event::Beat { owner } => self.beat(owner),
-            Event::Order { owner, worker, life, action, answer } => {
-                self.send(owner, &worker, life, &action, answer);
+            Event::Heartbeat { owner } => self.send_heartbeat(owner),
+            Event::Order { owner, worker, life, action, delivery } => {
+                self.send_order(owner, &worker, life, &action, delivery);
             }
-            Event::Answered { owner, worker, start, task, run, life, outcome } => {
+            Event::OrderAnswered { owner, worker, start, task, run, life, outcome } => {
                 let now = Millis(self.now);
                 let cell = &mut self.owners[owner].cell;
                 // As the owner's shell does: which of two lives answered is not known.
@@ -613,13 +613,13 @@
                     true => cell.started(now, &worker, task, run, outcome),
                     false => cell.stopped(now, &worker, task, run, outcome),
                 }
-                self.drive(owner);
+                self.advance_owner(owner);
             }
-            Event::Watch { owner, worker } => self.watch(owner, worker),
-            Event::Hold { owner, worker, seen, until, sent, lost } => {
-                self.deliver_hold(owner, worker, seen, until, sent, lost);
+            Event::PollReport { owner, worker } => self.poll_report(owner, worker),
+            Event::ReportCall { owner, worker, seen, until, sent, lost } => {
+                self.deliver_report_call(owner, worker, seen, until, sent, lost);
             }
-            Event::Held { owner, worker, sent, result } => {
+            Event::ReportAnswered { owner, worker, sent, result } => {
                 let now = Millis(self.now);
                 let cell = &mut self.owners[owner].cell;
                 let pause = match &result {
@@ -629,208 +629,212 @@
                     }
                     Err(err) => cell.unheld(now, &worker, err),
                 };
-                self.drive(owner);
+                self.advance_owner(owner);
                 let wait = if pause { 250 } else { 0 };
-                self.after(wait, Event::Watch { owner, worker });
+                self.schedule_after(wait, Event::PollReport { owner, worker });
             }
-            Event::Append { owner, batch } => match self.outage.left(self.now) {
-                Some(left) => self.after(left, Event::Append { owner, batch }),
+            Event::Append { owner, batch } => match self.outage.remaining(self.now) {
+                Some(left) => self.schedule_after(left, Event::Append { owner, batch }),
                 None => self.append(owner, &batch),
             },
-            Event::Advice { owner, entry, question, lost } => {
-                self.answer_question(owner, &entry, &question, lost);
+            Event::AdviceAnswered { owner, entry, question, lost } => {
+                self.answer_advice(owner, &entry, &question, lost);
             }
             Event::Reconnect { owner, entry } => self.reconnect(owner, entry),
-            Event::Witness { owner, part } => self.witness(owner, part),
-            Event::Vanish { worker } if self.workers[&worker].alive => {
+            Event::ConnectPeers { owner, part } => self.connect_peers(owner, part),
+            Event::ReplaceWorker { worker } if self.workers[&worker].alive => {
                 let next = format!("{worker}.x").into();
-                self.vanish(&worker, next);
+                self.replace_worker(&worker, next);
                 // Nothing answers at its address any more.
                 if let Some(worker) = self.workers.get_mut(&worker) {
-                    worker.away_until = u64::MAX;
+                    worker.down_until = u64::MAX;
                 }
             }
-            Event::Vanish { .. } => {}
-            Event::Outage { length } => self.lose_store(length),
-            Event::Kept { owner, batch } => {
+            Event::ReplaceWorker { .. } => {}
+            Event::StoreOutage { length } => self.start_outage(length),
+            Event::Appended { owner, batch } => {
                 self.owners[owner].writing = false;
                 self.owners[owner].cell.keep(Millis(self.now), batch);
-                self.drive(owner);
+                self.advance_owner(owner);
             }
-            Event::Refused { owner } => self.depose(owner),
-            Event::Finish { worker, task, run } => self.finish(&worker, task, run),
-            Event::Stopped { worker, task, run } => {
+            Event::AppendRefused { owner } => self.depose(owner),
+            Event::FinishRun { worker, task, run } => self.finish_run(&worker, task, run),
+            Event::StopRun { worker, task, run } => {
                 let running = self.workers.get(&worker).and_then(|one| one.running.get(&task));
                 if running.is_some_and(|running| running.run == run) {
-                    self.end(&worker, task, End::Stopped);
+                    self.end_run(&worker, task, End::Stopped);
                 }
             }
             Event::Submit { job } => self.submit(job),
-            Event::Elect => self.elect(),
-            Event::Crash { worker, task, run } => self.crash_under(&worker, task, run),
-            Event::Fall { worker } => self.fall(&worker),
-            Event::Power => self.lose_power(),
-            Event::Rebound => self.rebound(),
-            Event::Suspend { domain, with_owner } => self.suspend(domain, with_owner),
-            Event::Unanswered { owner, worker, life, seen, until } => {
-                self.take_unanswered(owner, &worker, &life, seen, until);
+            Event::Elect => self.elect_owner(),
+            Event::CrashUnder { worker, task, run } => self.crash_under(&worker, task, run),
+            Event::CrashWorker { worker } => self.crash_at_random(&worker),
+            Event::PowerLoss => self.cut_power(),
+            Event::UpdateLimits => self.publish_limits(),
+            Event::SuspendDomain { domain, with_owner } => self.suspend_domain(domain, with_owner),
+            Event::AbandonedCall { owner, worker, life, seen, until } => {
+                self.receive_abandoned_call(owner, &worker, &life, seen, until);
             }
-            Event::Back { worker } => self.come_back(&worker),
-            Event::Regrow => {
-                let until = self.now + CONTACT + WORKER_BEAT;
+            Event::RestartWorker { worker } => self.restart_worker(&worker),
+            Event::RestoreRooms => {
+                let until = self.now + CONTACT_MS + HEARTBEAT_MS;
                 for worker in self.workers.values_mut() {
-                    worker.rooms.push((until, worker.listed.room));
+                    worker.old_rooms.push((until, worker.listed.room));
                     worker.listed.room = room(2_000);
                 }
-                self.list();
+                self.publish_list();
             }
-            Event::Relist { owner } => {
-                let listed = self.listed();
+            Event::ReadList { owner } => {
+                let listed = self.listed_workers();
                 self.owners[owner].cell.set_workers(Millis(self.now), listed);
-                self.drive(owner);
+                self.advance_owner(owner);
             }
-            Event::Unlist { worker } => {
+            Event::RemoveEntry { worker } => {
                 if let Some(worker) = self.workers.get_mut(&worker) {
-                    worker.is_stale = false;
+                    worker.still_listed = false;
                 }
-                self.list();
+                self.publish_list();
             }
         }
     }
 
     /// Another entry owns the cell from now on.
-    fn elect(&mut self) {
+    fn elect_owner(&mut self) {
         // Nobody can claim the cell while the store is away.
-        if let Some(left) = self.outage.left(self.now) {
+        if let Some(left) = self.outage.remaining(self.now) {
             let delay = left + self.pick(800);
-            return self.after(delay, Event::Elect);
+            return self.schedule_after(delay, Event::Elect);
         }
-        self.note_trouble(self.now);
+        self.note_fault(self.now);
         self.epoch += 1;
         let epoch = self.epoch;
         let mut snapshot = Snapshot::default();
-        let is_lost = |key: &str| self.without == Without::Workspaces && key.ends_with(".w");
+        let is_lost =
+            |key: &str| self.disabled == Disabled::WorkspaceRecords && key.ends_with(".w");
         for (key, value) in self.store.iter().filter(|(key, _)| !is_lost(key)) {
             snapshot.add(key, value).unwrap();
         }
         let bounds = Bounds {
-            lease: Millis(self.lease()),
-            lease_max: Millis(LEASE_MAX),
+            lease: Millis(self.lease_time()),
+            lease_max: Millis(MAX_LEASE_MS),
             keep: Millis(1_000_000),
             off: Off::default(),
         };
-        let low = Queue { name: "low".into(), priority: 1, ..(*self.queue_row).clone() };
+        let low = Queue { name: "low".into(), priority: 1, ..(*self.base_queue).clone() };
         let mut queues =
-            HashMap::from([("q".into(), self.queue_row.clone()), ("low".into(), Arc::new(low))]);
+            HashMap::from([("q".into(), self.base_queue.clone()), ("low".into(), Arc::new(low))]);
         queues.insert("lasts".into(), Arc::new(self.lasting_queue()));
-        let doubt = self.has_doubt();
+        let doubt = self.doubts_records();
         if doubt {
             let owner = self.owners.len();
             for (delay, part) in [(self.pick(300), 8), (500 + self.pick(1_500), 10)] {
-                self.after(delay, Event::Witness { owner, part });
+                self.schedule_after(delay, Event::ConnectPeers { owner, part });
             }
         }
         let mut cell = Cell::new(epoch, bounds, queues, snapshot, doubt, Millis(self.now));
-        cell.set_workspaces(self.workspaces());
-        cell.set_workers(Millis(self.now), self.listed());
+        cell.set_workspaces(self.current_workspaces());
+        cell.set_workers(Millis(self.now), self.listed_workers());
         let owner = Owner {
             cell,
             alive: true,
             deposed: false,
             paused_until: 0,
-            confirmed: self.now,
+            confirmed_at: self.now,
             writing: false,
-            watched: BTreeSet::new(),
+            polled: BTreeSet::new(),
         };
         self.owners.push(owner);
         let owner = self.owners.len() - 1;
-        self.say(format!("owner {owner} takes over with epoch {epoch}"));
-        self.after(0, Event::Tick { owner });
-        self.after(0, Event::Beat { owner });
+        self.log_event(format!("owner {owner} takes over with epoch {epoch}"));
+        self.schedule_after(0, Event::Tick { owner });
+        self.schedule_after(0, Event::Heartbeat { owner });
         self.connect_entries(owner);
-        self.drive(owner);
+        self.advance_owner(owner);
     }
 
-    fn listed(&self) -> Vec<Listed> {
-        let alive = self.workers.values().filter(|worker| worker.alive || worker.is_stale);
+    fn listed_workers(&self) -> Vec<Listed> {
+        let alive = self.workers.values().filter(|worker| worker.alive || worker.still_listed);
         alive.map(|worker| worker.listed.clone()).collect()
     }
 
     /// Owners learn of new workers.
-    fn list(&mut self) {
-        let listed = self.listed();
+    fn publish_list(&mut self) {
+        let listed = self.listed_workers();
         for owner in 0..self.owners.len() {
-            if self.resizing || self.keeping {
-                let delay = if self.keeping { self.pick(LIST_EVERY) } else { 0 };
-                self.after(delay, Event::Relist { owner });
+            if self.resizes_rooms || self.keeps_ids {
+                let delay = if self.keeps_ids { self.pick(LIST_INTERVAL_MS) } else { 0 };
+                self.schedule_after(delay, Event::ReadList { owner });
             }
         }
-        for owner in self.owners.iter_mut().filter(|_| !self.resizing && !self.keeping) {
+        for owner in self.owners.iter_mut().filter(|_| !self.resizes_rooms && !self.keeps_ids) {
             owner.cell.set_workers(Millis(self.now), listed.clone());
         }
     }
 
-    fn beat(&mut self, owner: usize) {
-        let newest = owner + 1 == self.owners.len();
-        if self.outage.left(self.now).is_some() {
-            return self.after(TICK, Event::Beat { owner });
+    fn send_heartbeat(&mut self, owner: usize) {
+        let is_newest = owner + 1 == self.owners.len();
+        if self.outage.remaining(self.now).is_some() {
+            return self.schedule_after(TICK_MS, Event::Heartbeat { owner });
         }
-        match newest {
-            true => self.owners[owner].confirmed = self.now,
+        match is_newest {
+            true => self.owners[owner].confirmed_at = self.now,
             false => return self.depose(owner),
         }
-        self.after(400, Event::Beat { owner });
+        self.schedule_after(400, Event::Heartbeat { owner });
     }
 
     fn depose(&mut self, owner: usize) {
-        if self.without == Without::Producers || self.without == Without::Authority {
+        if self.disabled == Disabled::StoreFencing || self.disabled == Disabled::LogAuthority {
             return;
         }
         self.owners[owner].deposed = true;
     }
 
-    fn may_order(&self, owner: usize) -> bool {
-        let free = self.without == Without::Authority;
-        free || self.now - self.owners[owner].confirmed < 1_200 || self.rests_on_peers(owner)
+    fn has_authority(&self, owner: usize) -> bool {
+        let free = self.disabled == Disabled::LogAuthority;
+        free || self.now - self.owners[owner].confirmed_at < 1_200 || self.relies_on_peers(owner)
     }
 
-    fn drive(&mut self, owner: usize) {
+    fn advance_owner(&mut self, owner: usize) {
         if self.owners[owner].deposed {
             return;
         }
-        match self.may_order(owner) {
+        match self.has_authority(owner) {
             true => self.owners[owner].cell.schedule(Millis(self.now)),
             false => self.owners[owner].cell.withhold_starts("no-authority"),
         }
-        if self.rests_on_peers(owner) {
+        if self.relies_on_peers(owner) {
             self.owners[owner].cell.send_unkept(Millis(self.now));
         }
         for action in self.owners[owner].cell.take_actions() {
-            self.count_stop(owner, &action);
+            self.count_preemption(owner, &action);
             match action {
                 // A job of another cell: this world has one.
                 Action::Forgotten(..) => {}
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
                     let worker = worker.clone();
-                    let answer = self.answer();
+                    let delivery = self.pick_delivery();
                     let delay = 1 + self.pick(3);
                     // An owner may be paused between deciding and sending.
                     let at = self.now.max(self.owners[owner].paused_until) + delay;
                     let is_start = matches!(action, Action::Start { .. });
-                    if (self.resizing || self.keeping) && is_start && at - self.now >= ORDER_FRESH {
-                        self.withhold(owner, &action, at);
+                    if (self.resizes_rooms || self.keeps_ids)
+                        && is_start
+                        && at - self.now >= MAX_ORDER_AGE_MS
+                    {
+                        self.withhold_start(owner, &action, at);
                         continue;
                     }
                     let life = self.owners[owner].cell.life(&worker);
-                    self.at(at, Event::Order { owner, worker, life, action, answer });
+                    self.schedule_at(at, Event::Order { owner, worker, life, action, delivery });
                 }
                 Action::Watch(listed) => {
-                    if self.owners[owner].watched.insert(listed.id.clone()) {
-                        self.after(0, Event::Watch { owner, worker: listed.id });
+                    if self.owners[owner].polled.insert(listed.id.clone()) {
+                        self.schedule_after(0, Event::PollReport { owner, worker: listed.id });
                     }
                 }
                 Action::Deposed => self.depose(owner),
-                Action::Ask { entry, question } => self.ask(owner, entry, question),
+                Action::Ask { entry, question } => self.ask_advice(owner, entry, question),
                 Action::Pace { .. } | Action::Look(_) | Action::Unwatch(_) => {}
             }
         }
@@ -839,17 +843,17 @@
         {
             self.owners[owner].writing = true;
             let delay = 2 + self.pick(20);
-            self.after(delay, Event::Append { owner, batch });
+            self.schedule_after(delay, Event::Append { owner, batch });
         }
     }
 
     fn append(&mut self, owner: usize, batch: &Batch) {
-        let newest = owner + 1 == self.owners.len();
-        if !newest && self.without != Without::Producers {
-            return self.after(1, Event::Refused { owner });
+        let is_newest = owner + 1 == self.owners.len();
+        if !is_newest && self.disabled != Disabled::StoreFencing {
+            return self.schedule_after(1, Event::AppendRefused { owner });
         }
-        let given_back = self.bounded && self.chance(15);
-        let batch = if given_back { self.give_back(owner, batch) } else { batch.clone() };
+        let is_refused = self.has_limits && self.chance(15);
+        let batch = if is_refused { self.withdraw_jobs(owner, batch) } else { batch.clone() };
         for (key, value) in &batch.records {
             match value.is_empty() {
                 true => drop(self.store.remove(key)),
@@ -857,11 +861,11 @@
             }
         }
         let batch = batch.no;
-        self.after(2, Event::Kept { owner, batch });
+        self.schedule_after(2, Event::Appended { owner, batch });
     }
 
     /// Counts runs that are stopped though their job goes on and no start of theirs was lost.
-    fn count_stop(&mut self, owner: usize, action: &Action) {
+    fn count_preemption(&mut self, owner: usize, action: &Action) {
         let Action::Stop { worker, task, run } = action else { return };
         let known = self.workers.get(worker).and_then(|worker| worker.running.get(task));
         let runs = known.is_some_and(|running| running.run == *run && !running.stopping);
@@ -869,7 +873,7 @@
         let goes_on = self.owners[owner].cell.state(job) == Some(State::Active);
         let gang = self.works[&job].steps[usize::from(task.step.step)].gang;
         if runs && goes_on && !gang && job.0 % 2 == 1 {
-            self.preempted += 1;
+            self.preemptions += 1;
         }
     }
 
@@ -878,52 +882,52 @@
         let usable = self.owners[owner].alive && self.owners[owner].paused_until <= self.now;
         let work = self.works[&job].clone();
         if usable {
-            let queue = if self.crowded && job.0 % 2 == 1 { "low" } else { "q" };
+            let queue = if self.is_crowded && job.0 % 2 == 1 { "low" } else { "q" };
             let queue = if self.is_lasting(job) { "lasts" } else { queue };
-            let workspace = self.workspace(job);
+            let workspace = self.workspace_of(job);
             let cell = &mut self.owners[owner].cell;
             cell.submit_for(Millis(self.now), job, queue, work, workspace);
-            self.drive(owner);
+            self.advance_owner(owner);
         }
         // The caller asks again until the store has the job.
         match self.store.contains_key(&job.to_string()) {
             true => drop(self.accepted.insert(job)),
-            false => self.after(200, Event::Submit { job }),
+            false => self.schedule_after(200, Event::Submit { job }),
         }
     }
 }
 
-fn owner_of(event: &Event) -> Option<usize> {
+fn handling_owner(event: &Event) -> Option<usize> {
     match event {
         Event::Tick { owner }
-        | Event::Beat { owner }
-        | Event::Answered { owner, .. }
-        | Event::Watch { owner, .. }
-        | Event::Held { owner, .. }
-        | Event::Kept { owner, .. }
-        | Event::Relist { owner }
-        | Event::Witness { owner, .. }
-        | Event::Advice { owner, .. }
+        | Event::Heartbeat { owner }
+        | Event::OrderAnswered { owner, .. }
+        | Event::PollReport { owner, .. }
+        | Event::ReportAnswered { owner, .. }
+        | Event::Appended { owner, .. }
+        | Event::ReadList { owner }
+        | Event::ConnectPeers { owner, .. }
+        | Event::AdviceAnswered { owner, .. }
         | Event::Reconnect { owner, .. }
-        | Event::Refused { owner } => Some(*owner),
+        | Event::AppendRefused { owner } => Some(*owner),
         // What is on its way arrives whatever becomes of its sender.
         Event::Order { .. }
-        | Event::Hold { .. }
+        | Event::ReportCall { .. }
         | Event::Append { .. }
-        | Event::Finish { .. }
-        | Event::Stopped { .. }
+        | Event::FinishRun { .. }
+        | Event::StopRun { .. }
         | Event::Submit { .. }
-        | Event::Crash { .. }
-        | Event::Back { .. }
-        | Event::Unlist { .. }
-        | Event::Regrow
-        | Event::Fall { .. }
-        | Event::Power
-        | Event::Rebound
-        | Event::Suspend { .. }
-        | Event::Outage { .. }
-        | Event::Vanish { .. }
-        | Event::Unanswered { .. }
+        | Event::CrashUnder { .. }
+        | Event::RestartWorker { .. }
+        | Event::RemoveEntry { .. }
+        | Event::RestoreRooms
+        | Event::CrashWorker { .. }
+        | Event::PowerLoss
+        | Event::UpdateLimits
+        | Event::SuspendDomain { .. }
+        | Event::StoreOutage { .. }
+        | Event::ReplaceWorker { .. }
+        | Event::AbandonedCall { .. }
         | Event::Elect => None,
     }
 }
--- a/tests/cellworld/suspended.rs
+++ b/tests/cellworld/suspended.rs
@@ -4,14 +4,16 @@
 
 impl World {
     /// All workers of a failure domain stop where they are; with `with_owner`, so does the owner.
-    pub(super) fn suspend(&mut self, domain: u64, with_owner: bool) {
-        let until = self.now + 100 + self.pick(LEASE + LEASE / 2);
+    pub(super) fn suspend_domain(&mut self, domain: u64, with_owner: bool) {
+        let until = self.now + 100 + self.pick(LEASE_MS + LEASE_MS / 2);
         let domain: Name = format!("d{domain}").into();
-        self.say(format!("{domain} is suspended until {until}, with the owner: {with_owner}"));
-        self.suspensions += 1;
+        self.log_event(format!(
+            "{domain} is suspended until {until}, with the owner: {with_owner}"
+        ));
+        self.suspension_count += 1;
         // It is calm again once they go on.
-        self.calm_after(until);
-        let of_domain = |worker: &&mut FakeWorker| worker.listed.domain == domain && worker.alive;
+        self.note_disruption(until);
+        let of_domain = |worker: &&mut SimWorker| worker.listed.domain == domain && worker.alive;
         for worker in self.workers.values_mut().filter(of_domain) {
             worker.suspended_until = worker.suspended_until.max(until);
         }
@@ -21,14 +23,14 @@
     }
 
     /// Until when the worker is suspended that an event is for.
-    pub(super) fn suspension(&self, event: &Event) -> Option<u64> {
+    pub(super) fn suspended_until(&self, event: &Event) -> Option<u64> {
         let worker = match event {
             Event::Order { worker, .. }
-            | Event::Hold { worker, .. }
-            | Event::Unanswered { worker, .. }
-            | Event::Finish { worker, .. }
-            | Event::Stopped { worker, .. }
-            | Event::Crash { worker, .. } => worker,
+            | Event::ReportCall { worker, .. }
+            | Event::AbandonedCall { worker, .. }
+            | Event::FinishRun { worker, .. }
+            | Event::StopRun { worker, .. }
+            | Event::CrashUnder { worker, .. } => worker,
             _ => return None,
         };
         let until = self.workers.get(worker)?.suspended_until;
@@ -36,42 +38,59 @@
     }
 
     /// Something for a suspended worker waits until then, and whoever asked gets no answer.
-    pub(super) fn hold_back(&mut self, until: u64, event: Event) {
+    pub(super) fn defer(&mut self, until: u64, event: Event) {
         let at = until + self.pick(20);
         match event {
-            Event::Order { owner, worker, life, action, answer } if answer != Answer::Belated => {
+            Event::Order { owner, worker, life, action, delivery }
+                if delivery != Delivery::ArrivesLate =>
+            {
                 let (start, task, run) = match &action {
                     Action::Start { start, .. } => (true, start.task, start.run),
                     Action::Stop { task, run, .. } => (false, *task, *run),
                     _ => return,
                 };
-                let (name, outcome, answer) = (worker.clone(), Outcome::Unknown, Answer::Belated);
-                let told = life.clone();
-                self.after(
-                    LOST_AFTER,
-                    Event::Answered { owner, worker, start, task, run, life: told, outcome },
+                let (name, outcome, delivery) =
+                    (worker.clone(), Outcome::Unknown, Delivery::ArrivesLate);
+                let decided_for = life.clone();
+                self.schedule_after(
+                    CALL_TIMEOUT_MS,
+                    Event::OrderAnswered {
+                        owner,
+                        worker,
+                        start,
+                        task,
+                        run,
+                        life: decided_for,
+                        outcome,
+                    },
                 );
                 // One that was not sent any more, or did not get there, is not held there.
                 let is_there = self.workers.get(&name).map(|there| there.listed.life());
-                if self.reaches(owner, &name) && self.may_order(owner) && is_there == life {
-                    self.at(at, Event::Order { owner, worker: name, life, action, answer });
+                if self.can_reach(owner, &name) && self.has_authority(owner) && is_there == life {
+                    self.schedule_at(
+                        at,
+                        Event::Order { owner, worker: name, life, action, delivery },
+                    );
                 }
             }
-            Event::Hold { owner, worker, seen, until, sent, lost } => {
+            Event::ReportCall { owner, worker, seen, until, sent, lost } => {
                 let result = Err(HoldError::Silent("suspended".to_string()));
                 let name = worker.clone();
-                self.after(LOST_AFTER, Event::Held { owner, worker: name, sent, result });
-                let life = self.workers.get(&worker).map(FakeWorker::life);
-                if let Some(life) = life.filter(|_| !lost && self.reaches(owner, &worker)) {
-                    self.at(at, Event::Unanswered { owner, worker, life, seen, until });
+                self.schedule_after(
+                    CALL_TIMEOUT_MS,
+                    Event::ReportAnswered { owner, worker: name, sent, result },
+                );
+                let life = self.workers.get(&worker).map(SimWorker::life);
+                if let Some(life) = life.filter(|_| !lost && self.can_reach(owner, &worker)) {
+                    self.schedule_at(at, Event::AbandonedCall { owner, worker, life, seen, until });
                 }
             }
-            event => self.at(at, event),
+            event => self.schedule_at(at, event),
         }
     }
 
     /// A call for a report that was made before a suspension is taken in after it, and answers nobody.
-    pub(super) fn take_unanswered(
+    pub(super) fn receive_abandoned_call(
         &mut self,
         owner: usize,
         name: &Name,
@@ -81,9 +100,9 @@
     ) {
         let epoch = self.owners[owner].cell.epoch();
         let is_there =
-            |worker: &FakeWorker| worker.alive && worker.life() == *life && epoch >= worker.fence;
+            |worker: &SimWorker| worker.alive && worker.life() == *life && epoch >= worker.fence;
         if self.workers.get(name).is_some_and(is_there) {
-            self.take_hold(name, epoch, seen, until);
+            self.receive_report_call(name, epoch, seen, until);
         }
     }
 }
--- a/tests/cellworld/worker.rs
+++ b/tests/cellworld/worker.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn start(
+    pub(super) fn start_run(
         &mut self,
         owner: Option<usize>,
         name: &Name,
@@ -11,13 +11,13 @@
         until: u64,
         epoch: u64,
     ) -> Outcome {
-        let (now, without) = (self.now, self.without);
+        let (now, disabled) = (self.now, self.disabled);
         let Some(worker) = self.workers.get_mut(name) else { return Outcome::Unsent };
         let task = start.task;
         if !worker.alive {
             return Outcome::Refused(Refusal::OtherLife);
         }
-        if epoch < worker.fence && without != Without::Fences {
+        if epoch < worker.fence && disabled != Disabled::Fencing {
             return Outcome::Refused(Refusal::Fence);
         }
         worker.fence = worker.fence.max(epoch);
@@ -28,44 +28,54 @@
             return Outcome::Done(None);
         }
         let barred = worker.barred.get(&task).is_some_and(|barred| start.run <= *barred);
-        if barred && without != Without::Stops {
+        if barred && disabled != Disabled::StopRecords {
             return Outcome::Refused(Refusal::Old);
         }
         worker.renew(now, until);
         let job = task.step.job;
         let spec = self.works[&job].steps[usize::from(task.step.step)].clone();
         let length = spec.estimate.0 / 2 + self.pick(spec.estimate.0.max(1));
-        let running =
-            Running { run: start.run, until: now + length, charge: spec.charge(), stopping: false };
+        let running = Running {
+            run: start.run,
+            ends_at: now + length,
+            charge: spec.charge(),
+            stopping: false,
+        };
         self.check_start(name, task, &spec);
-        self.check_bound(task, &spec);
-        self.check_known(task);
+        self.check_limit(task, &spec);
+        self.check_recorded(task);
         self.check_crashes(owner, task);
-        if self.bad.contains_key(&task) {
+        if self.crash_tasks.contains_key(&task) {
             let fuse = 1 + self.pick(40);
-            self.after(fuse, Event::Crash { worker: name.clone(), task, run: start.run });
+            self.schedule_after(
+                fuse,
+                Event::CrashUnder { worker: name.clone(), task, run: start.run },
+            );
         }
         if let Some(worker) = self.workers.get_mut(name) {
             worker.running.insert(task, running);
         }
-        self.say(format!("{name} starts {task} run {}", start.run));
-        let length = match self.lasting.fails_at(name, now) {
+        self.log_event(format!("{name} starts {task} run {}", start.run));
+        let length = match self.lasting.fails_runs(name, now) {
             true => Some(20 + self.pick(400)),
             false => (!spec.lasting).then_some(length),
         };
         if let Some(length) = length {
-            self.after(length, Event::Finish { worker: name.clone(), task, run: start.run });
+            self.schedule_after(
+                length,
+                Event::FinishRun { worker: name.clone(), task, run: start.run },
+            );
         }
         Outcome::Done(None)
     }
 
-    pub(super) fn stop(&mut self, name: &Name, task: TaskKey, run: u64, epoch: u64) -> Outcome {
-        let without = self.without;
+    pub(super) fn stop_run(&mut self, name: &Name, task: TaskKey, run: u64, epoch: u64) -> Outcome {
+        let disabled = self.disabled;
         let Some(worker) = self.workers.get_mut(name) else { return Outcome::Unsent };
         if !worker.alive {
             return Outcome::Refused(Refusal::OtherLife);
         }
-        if epoch < worker.fence && without != Without::Fences {
+        if epoch < worker.fence && disabled != Disabled::Fencing {
             return Outcome::Refused(Refusal::Fence);
         }
         worker.fence = worker.fence.max(epoch);
@@ -74,22 +84,22 @@
         let running = worker.running.get_mut(&task).filter(|running| running.run == run);
         if let Some(running) = running.filter(|running| !running.stopping) {
             running.stopping = true;
-            let time = self.pick(STOP);
-            self.after(time, Event::Stopped { worker: name.clone(), task, run });
+            let time = self.pick(MAX_STOP_MS);
+            self.schedule_after(time, Event::StopRun { worker: name.clone(), task, run });
         }
         Outcome::Done(None)
     }
 
-    pub(super) fn finish(&mut self, name: &Name, task: TaskKey, run: u64) {
+    pub(super) fn finish_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         let running = self.workers.get(name).and_then(|worker| worker.running.get(&task));
         if running.is_none_or(|running| running.run != run || running.stopping) {
             return;
         }
         // Some jobs fail every other time, so that tasks come to the last start they may have.
-        let poor = task.step.job.0 % 6 == 0 && self.pick(2) == 0;
-        let is_grey = self.lasting.fails_at(name, self.now);
+        let often_fails = task.step.job.0 % 6 == 0 && self.pick(2) == 0;
+        let is_failing = self.lasting.fails_runs(name, self.now);
         let lasts = self.is_lasting(task.step.job);
-        let failed = self.chance(6) || poor || is_grey || lasts;
+        let failed = self.chance(6) || often_fails || is_failing || lasts;
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
         let (gang, count) = (spec.gang, spec.count as usize);
         if gang {
@@ -97,11 +107,11 @@
         }
         match failed {
             true => {
-                self.end(name, task, End::Failed);
+                self.end_run(name, task, End::Failed);
             }
             false => {
                 self.done.entry(task).or_insert(false);
-                self.end(name, task, End::Done);
+                self.end_run(name, task, End::Done);
             }
         }
     }
@@ -125,54 +135,56 @@
             .map(|(name, (other, _))| (name.clone(), *other))
             .collect();
         if members.len() < count {
-            return self.end(name, task, End::Alone);
+            return self.end_run(name, task, End::Alone);
         }
         for (member, other) in members {
             match failed {
-                true if other == task => self.end(&member, other, End::Failed),
-                true => self.end(&member, other, End::Broken),
+                true if other == task => self.end_run(&member, other, End::Failed),
+                true => self.end_run(&member, other, End::Broken),
                 false => {
                     self.done.entry(other).or_insert(false);
-                    self.end(&member, other, End::Done);
+                    self.end_run(&member, other, End::Done);
                 }
             }
         }
     }
 
-    pub(super) fn end(&mut self, name: &Name, task: TaskKey, end: End) {
+    pub(super) fn end_run(&mut self, name: &Name, task: TaskKey, end: End) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(running) = worker.running.remove(&task) else { return };
-        worker.count += 1;
-        let no = worker.count;
+        worker.end_count += 1;
+        let no = worker.end_count;
         let barred = worker.barred.entry(task).or_default();
         *barred = (*barred).max(running.run);
-        if end == End::Failed && !self.lasting.has_begun(task) {
+        if end == End::Failed && !self.lasting.has_started(task) {
             let life = worker.life();
-            self.fails.entry(task).or_default().push((life, no, false));
+            self.failures.entry(task).or_default().push((life, no, false));
         }
         worker.ended.push(EndedRow { no, task, run: running.run, end, saved: "".into() });
-        self.say(format!("{name} ends {task} run {}: {end:?}", running.run));
+        self.log_event(format!("{name} ends {task} run {}: {end:?}", running.run));
     }
 
     /// Leases run out.
-    pub(super) fn expire(&mut self) {
-        if self.without == Without::Leases {
+    pub(super) fn expire_leases(&mut self) {
+        if self.disabled == Disabled::LeaseExpiry {
             return;
         }
         let now = self.now;
-        for worker in self.workers.values_mut().filter(|worker| worker.clock(now) >= worker.lease) {
-            worker.lapsed = worker.count;
+        for worker in
+            self.workers.values_mut().filter(|worker| worker.clock(now) >= worker.lease_until)
+        {
+            worker.last_lapsed = worker.end_count;
         }
         let over: Vec<(Name, TaskKey)> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.alive && worker.clock(now) >= worker.lease)
+            .filter(|(_, worker)| worker.alive && worker.clock(now) >= worker.lease_until)
             .flat_map(|(name, worker)| {
                 worker.running.keys().map(|task| (name.clone(), *task)).collect::<Vec<_>>()
             })
             .collect();
         for (name, task) in over {
-            self.end(&name, task, End::Lapsed);
+            self.end_run(&name, task, End::Lapsed);
         }
     }
 }
