--- a/tests/cell_search.rs
+++ b/tests/cell_search.rs
@@ -1,5 +1,5 @@
-//! Random runs of the cell's state machine through kills, pauses, cuts and lost, late and swapped
-//! messages; and the same with one mechanism taken out, which has to break a promise.
+//! Randomized simulations of the cell's state machine with crashes, pauses, partitions, and lost,
+//! delayed and reordered messages. With one mechanism disabled, an invariant has to be violated.
 
 mod cellworld;
 
@@ -9,7 +9,7 @@
     search_suspensions,
 };
 
-/// A number from the environment; one that cannot be read is a fault, not the usual one.
+/// A number from the environment. An invalid one is an error; it doesn't fall back to the default.
 fn number(name: &str, default: u64) -> u64 {
     match std::env::var(name) {
         Ok(text) => text.parse().unwrap_or_else(|err| panic!("{name}={text:?}: {err}")),
@@ -17,36 +17,36 @@
     }
 }
 
-/// Shows what the owners log if `SPRUCE_LOG` is set: for one seed.
+/// Shows the owners' log if `SPRUCE_LOG` is set; meant for a run of one seed.
 fn show_log() {
     if std::env::var_os("SPRUCE_LOG").is_some() {
         let config = simplelog::Config::default();
-        // Another search of the same process may have set it up.
+        // Another search of the same process may have initialized the logger.
         if simplelog::SimpleLogger::init(log::LevelFilter::Info, config).is_err() {
-            println!("the log is shown already");
+            println!("the logger is already initialized");
         }
     }
 }
 
-/// Runs of one search; `SPRUCE_CASES` sets another number.
+/// The number of seeds of a search; set by `SPRUCE_CASES`.
 fn case_count() -> u64 {
     number("SPRUCE_CASES", 400)
 }
 
-/// The first seed; `SPRUCE_SEED` sets another one.
+/// The first seed; set by `SPRUCE_SEED`.
 fn first_seed() -> u64 {
     number("SPRUCE_SEED", 1)
 }
 
-/// The first seed of a second range, another one in each version: a fault that one run in hundreds meets stays unseen as
-/// long as the same runs are played.
+/// The first seed of a second range, which differs in each version: a fault that occurs once in
+/// hundreds of seeds would go unnoticed if the same seeds were run every time.
 fn version_seed() -> u64 {
     let parts = [env!("CARGO_PKG_VERSION_MAJOR"), env!("CARGO_PKG_VERSION_MINOR")];
     let [major, minor] = parts.map(|part| part.parse::<u64>().expect("a number"));
     (major * 1_000 + minor) * 10_000_000
 }
 
-/// The seeds of one search: both ranges, or the one that the environment sets.
+/// The seeds of a search: both ranges, or only the one set in the environment.
 fn seeds() -> impl Iterator<Item = u64> {
     let first = first_seed();
     let second = if std::env::var_os("SPRUCE_SEED").is_some() { 0 } else { case_count() };
@@ -65,7 +65,7 @@
 
 fn assert_breaks_in(disabled: Disabled, search: impl Fn(u64, Disabled) -> Option<String>) {
     let violation = (1..3_000).find_map(|seed| search(seed, disabled));
-    assert!(violation.is_some(), "nothing breaks without {disabled:?}");
+    assert!(violation.is_some(), "no seed violates an invariant with {disabled:?} disabled");
 }
 
 #[test]
@@ -95,24 +95,26 @@
 
 #[test]
 fn earlier_failures_do_not_recur() {
-    // 5,502: a task failed for the third time behind a cut, its worker's lease ran out, it was started
-    // elsewhere, and the end was confirmed afterwards: the contract does not count it.
+    // 5,502: a task failed for the third time on a partitioned worker, whose lease then expired;
+    // the task was started elsewhere, and the failure was confirmed afterwards. The contract does
+    // not count it.
     for seed in [5, 38, 5_502, 210_022, 233_665, 511_540, 520_615, 530_139] {
         let violation = search(seed, Disabled::Nothing);
         assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
     }
     let (violation, _) = search_preemption(5_212);
     assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
-    // 9: a copy's other run was not counted, as a takeover came first. 272, 11,651: a crash in doubt that
-    // nothing cleared up, since the next life was listed before, or came at another address.
+    // 9: the other run of a copied task was not counted, because a takeover came first. 272,
+    // 11,651: a suspected crash was never resolved, because the next incarnation had been listed
+    // before, or came back at another address.
     for seed in [9, 272, 11_651] {
         let (violation, _) = search_crashing_tasks(seed);
         assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
     }
 }
 
-/// Plays the seeds of a search that also counts what it is about: none may break a promise, and some must
-/// have met it.
+/// Runs all seeds of a search. No seed may violate an invariant, and at least one must have
+/// produced the condition that the search is about.
 fn assert_holds(search: impl Fn(u64) -> (Option<String>, usize)) {
     show_log();
     let mut occurrences = 0;
@@ -121,7 +123,7 @@
         assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
         occurrences += count;
     }
-    assert!(occurrences > 0, "no seed met what the search is about");
+    assert!(occurrences > 0, "no seed produced the condition that the search is about");
 }
 
 #[test]
@@ -131,8 +133,9 @@
 
 #[test]
 fn reservations_delay_no_task_for_long() {
-    // Room was kept for a gang that never violation enough of it, and again as soon as that time was over. Steps that were held
-    // up by it kept room, too, which they could not use; a task for which two workers had room waited for more than 3 s.
+    // Room was reserved for a gang that never found enough of it, and again as soon as the
+    // reservation had expired. Steps that were blocked by it reserved room, too, which they could
+    // not use. A task for which two workers had room waited for more than 3 s.
     for seed in [700_425, 1_000_799, 1_002_625] {
         let (violation, _) = search_preemption(seed);
         assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
@@ -158,22 +161,23 @@
 
 #[test]
 fn an_owner_waits_for_a_lease_granted_by_the_previous_clock() {
-    // A worker started again under its id and was asked for a lease by the clock of the life before: it ran for 10 s,
-    // the longest that it grants. The next owner counted a usual lease, while the worker was behind a cut, and
-    // started its task elsewhere 0.4 s too early.
+    // A worker restarted under its id and was asked for a lease by the clock of its previous
+    // incarnation: it granted 10 s, the longest lease. The next owner assumed a usual lease while
+    // the worker was partitioned, and started its task elsewhere 0.4 s too early.
     let (violation, _) = search_restarts(106_447);
     assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
 }
 
 #[test]
 fn a_start_decided_before_a_pause_is_not_sent_after_it() {
-    // An owner was paused for 4.5 s between its decision on a start and the store's answer, which it then took in, and sent
-    // the start. Its worker had started again meanwhile and had seen no higher fence. The task ran elsewhere:
+    // An owner was paused for 4.5 s between its decision on a start and the store's answer; then it
+    // handled the answer and sent the start. Its worker had restarted meanwhile and had not seen
+    // the newer fencing token. The task ran elsewhere:
     //  4800 owner 3 is paused until 9284
     //  4880 owner 4 takes over with epoch 5
     //  7585 w3.1 starts T.0.1.2 run 7169
     //  8852 w5 is back under its id, born at 5007808
-    //  9285 BROKEN a task runs twice at once: T.0.1.2 on w5
+    //  9285 VIOLATION a task runs twice at once: T.0.1.2 on w5
     let (violation, _) = search_restarts(730_858);
     assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
 }
@@ -214,8 +218,8 @@
 
 #[test]
 fn no_lasting_task_waits_long_for_unrelated_workers() {
-    // An owner whose process had just started held back every inherited task until one worker that was gone had no lease
-    // any more; tasks whose own workers had told of their end, too:
+    // An owner whose process had just started held back every inherited task until the lease of one
+    // lost worker had expired, also tasks whose own workers had reported their ends:
     //  event=runs-unknown epoch=22 worker=w0 others=0 left_ms=7300
     //  event=waiting step=0000000000000002.0.0 queue=lasts for=takeover ms=8000 question=none
     assert_holds(|seed| search_lasting(seed, false));
@@ -233,7 +237,7 @@
     });
 }
 
-/// A kept seed of a search.
+/// Runs a single seed of a search that failed before.
 fn assert_holds_for(search: impl Fn(u64) -> (Option<String>, usize), seed: u64) {
     let (violation, _) = search(seed);
     assert_eq!(violation, None, "{}", violation.as_deref().unwrap_or_default());
@@ -241,7 +245,7 @@
 
 #[test]
 fn a_step_whose_tasks_are_done_is_not_reported_as_waiting() {
-    // All tasks of a step were done, and it stayed listed among those that wait for a worker:
+    // All tasks of a step were done, and the step was still reported as waiting for a worker:
     //  event=waiting step=0000000000000004.0.0 queue=q for=bound ms=4082 tasks=0
     assert_holds_for(search_room_changes, 6_017_283);
     assert_holds_for(search_preemption, 6_004_569);
@@ -251,19 +255,19 @@
 fn waits_are_checked_once_suspended_workers_resume() {
     // Half of the workers were suspended until 18802, and the check counted their room 0.3 s later:
     //  14210 d1 is suspended until 18802
-    //  19113 BROKEN step 000000000000000c.0.0 waits though there is room: room
+    //  19113 VIOLATION step 000000000000000c.0.0 waits though there is room: room
     assert_holds_for(search_suspensions, 6_001_138);
 }
 
 #[test]
 fn a_job_with_five_crashes_that_are_doubtful_by_a_takeover_comes_to_an_end() {
-    // The last of five crashes was seen by one owner, and the next one counted it as doubtful, as an earlier owner had sent
-    // the task: the job waits until it is cancelled.
+    // The last of five crashes was seen by one owner. The next owner counted it as uncertain,
+    // because an earlier owner had sent the task, and the job waits until it is cancelled.
     assert_holds_for(search_crashing_tasks, 6_017_112);
 }
 
 #[test]
 fn a_takeover_behind_a_cut_keeps_a_workspace_within_its_bound() {
-    // 11516 BROKEN 0000000000000009.0.1.2 takes workspace one to 4389 of Some(4238)
+    // 11516 VIOLATION 0000000000000009.0.1.2 takes workspace one to 4389 of Some(4238)
     assert_holds_for(|seed| search_limits(seed, Disabled::Nothing), 6_014_115);
 }
--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -1,9 +1,10 @@
-//! What must hold at each start, while it is calm, and at the end.
+//! The invariants that are checked at each start, after the last fault, and at the end.
 
 use super::*;
 
 impl World {
-    /// Once all jobs came to an end, the rest of the time is short: it shows what starts though nothing should.
+    /// Ends the simulation soon after all jobs have ended. The remaining time shows starts that
+    /// should not happen.
     pub(super) fn end_when_settled(&mut self) {
         let Some(owner) = self.owners.last() else { return };
         let is_over = |job: &JobKey| matches!(owner.cell.state(*job), Some(State::Closed(_)));
@@ -28,8 +29,9 @@
         }
     }
 
-    /// Nothing waits for longer than the platform's contract allows while a worker has room for it twice over
-    /// and less than half of all room is in use: 3 s, with 4 s of calm before them.
+    /// Checks that no step waits for longer than the platform's contract allows: 3 s, after 4 s
+    /// without a fault, while a worker has room for two of its tasks and less than half of the
+    /// whole capacity is in use.
     pub(super) fn check_waits(&mut self, owner: usize) {
         let is_current = owner + 1 == self.owners.len() && !self.owners[owner].deposed;
         if !is_current {
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Whether nothing of a step's job runs, though a worker has room for a task of it twice over and less than
-    /// half of all room is in use.
+    /// Whether no task of a step's job runs, although a worker has room for two of its tasks and
+    /// less than half of the whole capacity is in use.
     pub(super) fn could_run(&self, step: StepKey) -> bool {
         let spec = &self.works[&step.job].steps[usize::from(step.step)];
         let charge = spec.charge();
@@ -76,11 +78,12 @@
             let may_run = self.is_cleared(step, &worker.listed.id);
             !is_partitioned && may_run && worker.listed.room.less(&used(worker)).holds(&twice)
         };
-        // A gang needs room for all of it at once.
+        // A gang needs room for all of its tasks at once.
         !spec.gang && !runs && taken * 2 < all && alive().any(has_spare_room)
     }
 
-    /// Owners in touch start a task that crashes its workers twice more, after three crashed under it.
+    /// Checks that owners in contact start a task at most twice more after three workers crashed
+    /// under it.
     pub(super) fn check_crashes(&mut self, owner: Option<usize>, task: TaskKey) {
         let Some(owner) = owner else { return };
         let crashed = self.crash_tasks.get(&task).map_or(0, BTreeSet::len);
@@ -93,12 +96,12 @@
         *extra += 1;
         if *extra >= 3 {
             self.record_violation(format!(
-                "{task} started three times more after {crashed} crashes"
+                "{task} started three more times after {crashed} crashes"
             ));
         }
     }
 
-    /// What must hold at each start.
+    /// Checks the invariants of a start.
     pub(super) fn check_start(&mut self, name: &Name, task: TaskKey, spec: &Step) {
         let job = task.step.job;
         let worker = &self.workers[name];
@@ -120,7 +123,7 @@
         let failure_count = self.failures.get(&task).map_or(0, Vec::len);
         self.lasting.record_start(task, spec);
         let faults = [
-            (overcommitted, "a worker is given more than it has"),
+            (overcommitted, "a worker runs more than its capacity"),
             (is_crowded, "more tasks of a step on one worker than allowed"),
             (duplicate && !spec.copies, "a task runs twice at once"),
             (is_early, "a task starts before what it depends on is done"),
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Ends that are lost with their worker before anybody confirmed them do not count.
+    /// Checks that no task started more often than its queue allows. Failures that were lost with
+    /// their worker before anybody confirmed them do not count.
     pub(super) fn check_attempts(&mut self) {
         let allowed = self.base_queue.attempts as usize;
         let wrong = self.excess_starts.iter().find(|(task, failed)| {
@@ -145,7 +149,9 @@
             ends.iter().take(*failed).filter(|(.., confirmed)| *confirmed).count() >= allowed
         });
         if let Some((task, _)) = wrong.copied() {
-            self.record_violation(format!("a task started once more than it may: {task}"));
+            self.record_violation(format!(
+                "a task started more often than its queue allows: {task}"
+            ));
         }
     }
 }
--- a/tests/cellworld/faults.rs
+++ b/tests/cellworld/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of the world: crashes, restarts, cuts, pauses, rooms, power.
+//! The faults that are injected: crashes, restarts, partitions, pauses, changes of capacity and
+//! power losses.
 
 use super::*;
 
@@ -7,14 +8,15 @@
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let name = names[self.pick(names.len() as u64) as usize].clone();
         let cpu = 400 + self.pick(1_800);
-        self.log_event(format!("{name} has {cpu} from now on"));
+        self.log_event(format!("{name} now has a capacity of {cpu} millicores"));
         self.resize_count += 1;
         let until = self.now + CONTACT_MS + HEARTBEAT_MS;
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.old_rooms.push((until, worker.listed.room));
             worker.listed.room = room(cpu);
         }
-        // The worker says so with its next entry, and each owner reads that by itself.
+        // The worker's next list entry has the new capacity, and each owner reads the list at its
+        // own interval.
         let announced = self.pick(HEARTBEAT_MS);
         for owner in 0..self.owners.len() {
             let delay = announced + self.pick(LIST_INTERVAL_MS);
@@ -32,12 +34,12 @@
         self.crash(name, downtime);
     }
 
-    /// Waits are judged by the contract from 4 s after `until` on.
+    /// Waits are checked again from 4 s after `until` on.
     pub(super) fn note_disruption(&mut self, until: u64) {
         self.last_disruption = self.last_disruption.max(until);
     }
 
-    /// A worker crashes by itself, and is back at once or seconds later.
+    /// A worker crashes for no reason of its tasks, and comes back at once or seconds later.
     pub(super) fn crash_at_random(&mut self, name: &Name) {
         if !self.workers.get(name).is_some_and(|worker| worker.alive) {
             return;
@@ -47,7 +49,7 @@
         self.crash(name, downtime);
     }
 
-    /// Everything stops at the same moment, and is back within the same second.
+    /// All workers and the owner crash at the same moment, and come back within a second.
     pub(super) fn cut_power(&mut self) {
         self.log_event("power is lost everywhere".to_string());
         for owner in &mut self.owners {
@@ -102,17 +104,19 @@
         self.publish_list();
     }
 
-    /// The next life of a worker under its id: it knows nothing of before, and may have other room.
+    /// Starts the next incarnation of a worker under the same id. It remembers nothing, and may
+    /// have another capacity.
     pub(super) fn restart_same_id(&mut self, name: &Name) {
         self.id_reuses += 1;
         let (base, cpu) = (self.pick(3_000_000), 1_200 + self.pick(1_000));
-        // Its time of day may have been stepped back.
+        // The system clock may have been set back.
         let born =
             Millis(1_000_000 * self.restart_count + self.pick(10) + self.now - self.pick(self.now));
         self.log_event(format!("{name} is back under its id, born at {born}"));
         let old = self.workers[name].listed.clone();
         let clock_drift = self.workers[name].clock_drift;
-        // By the platform's contract a room that has shrunk counts that much later, so also in the next life.
+        // By the platform's contract a reduced capacity counts only after this time, also for the
+        // next incarnation.
         let until = self.now + CONTACT_MS + HEARTBEAT_MS;
         self.add_worker(name.clone(), 0);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -123,7 +127,7 @@
         self.publish_list();
     }
 
-    /// The owner does nothing until then, and another takes over meanwhile.
+    /// Pauses the current owner until then; another one takes over meanwhile.
     pub(super) fn pause_owner(&mut self, until: u64) {
         let Some(owner) = self.owners.len().checked_sub(1) else { return };
         self.log_event(format!("owner {owner} is paused until {until}"));
@@ -135,9 +139,9 @@
         self.schedule_at(at, Event::Elect);
     }
 
-    /// A worker is gone for good, and another one comes.
+    /// A worker is gone for good, and another one takes its place.
     pub(super) fn replace_worker(&mut self, name: &Name, next: Name) {
-        self.log_event(format!("{name} crashes"));
+        self.log_event(format!("{name} is gone for good"));
         self.note_fault(self.now);
         let domain = self.pick(2);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -150,7 +154,7 @@
         self.publish_list();
     }
 
-    /// Random faults, until it is calm.
+    /// Injects a random fault now and then, as long as faults are allowed.
     pub(super) fn inject_fault(&mut self) {
         if !self.chance(4) {
             return;
@@ -160,9 +164,10 @@
         match self.pick(5) {
             0 => {
                 let until = self.now + 200 + self.pick(5_000);
-                self.log_event(format!("{name} is cut off until {until}"));
+                self.log_event(format!("{name} is partitioned until {until}"));
                 self.note_fault(until);
-                // With its owner on the same side, another takes over on the other side.
+                // If the owner is on the worker's side of the partition, another one takes over on
+                // the other side.
                 let with_owner = self.pick(2) == 0;
                 let first_unreachable = if with_owner { self.owners.len() } else { 0 };
                 if let Some(worker) = self.workers.get_mut(&name) {
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -1,71 +1,72 @@
-//! Jobs that last, the advice service that is asked about them, and workers that fail all they start.
+//! Long-running jobs, the advice service that is asked about them, and workers that fail all their
+//! runs.
 //!
-//! By the platform's contract a lasting task has a run again within 6 s and 3 s of the end of its last one, if the last 3 s
-//! and the 4 s before them were calm, however full the service is.
+//! By the platform's contract a long-running task is without a run for at most 6 s + 3 s, if the
+//! last 3 s and the 4 s before them were free of faults, however busy the service is.
 
 use super::*;
 use sprucerudder::id::hash;
 use sprucerudder::order::Cleared;
 use sprucerudder::workload::Advice;
 
-/// How long a lasting task may be without a run.
+/// How long a long-running task may be without a run, in milliseconds.
 const MAX_IDLE_MS: u64 = 9_000;
-/// How long it has to have been calm then.
+/// How long there must have been no fault before that is checked.
 const FAULT_FREE_MS: u64 = 7_000;
-/// Workers of ten that the advice service clears for a step.
+/// How many tenths of the workers the advice service clears for a step.
 const CLEARED_TENTHS: u64 = 6;
-/// A question takes as long as on the deployment with the slowest advice.
+/// The time that a question takes, as on the deployment with the slowest advice service.
 const ADVICE: Advice = Advice { base: Millis(560), each: 8_000, valid: Millis(2_000) };
 const ENTRY_COUNT: usize = 9;
 
-/// What the world knows of lasting jobs.
+/// State of the searches with long-running jobs.
 #[derive(Debug, Default)]
 pub struct LastingJobs {
     enabled: bool,
-    /// Tasks that vanish with their worker are judged, too.
+    /// Whether tasks that were lost with a replaced worker have to run again in time, too.
     pub checks_replaced: bool,
-    /// Workers that fail all they start, until then.
+    /// Workers that fail all their runs, each with the time until which they do.
     failing_until: BTreeMap<Name, u64>,
-    /// Tasks that have begun once.
+    /// Tasks that have started at least once.
     started: BTreeSet<TaskKey>,
-    /// Tasks that may be without a run for so much longer.
+    /// Tasks that may be without a run for longer, and by how much.
     extra_time: BTreeMap<TaskKey, u64>,
-    /// Tasks without a run.
+    /// Tasks that are without a run.
     idle: BTreeMap<TaskKey, IdleTask>,
-    /// When the last trouble ended or will end.
+    /// When the last fault ended or will end.
     last_fault: u64,
-    /// Tasks that lost a run.
+    /// How often a task lost its run.
     pub lost_runs: usize,
 }
 
-/// A task without a run.
+/// A task that is without a run.
 #[derive(Debug)]
 struct IdleTask {
     since: u64,
-    /// Since when a worker has had room for it all the time.
+    /// Since when a worker has had room for it without interruption.
     room_since: Option<u64>,
 }
 
 impl LastingJobs {
-    /// Whether what starts at a worker fails.
+    /// Whether runs on a worker fail.
     pub fn fails_runs(&self, worker: &Name, now: u64) -> bool {
         self.failing_until.get(worker).is_some_and(|until| *until > now)
     }
 
-    /// A task starts.
+    /// Records the start of a long-running task.
     pub fn record_start(&mut self, task: TaskKey, spec: &Step) {
         if spec.lasting {
             self.started.insert(task);
         }
     }
 
-    /// Whether a task lasts and has begun.
+    /// Whether a task is long-running and has started.
     pub fn has_started(&self, task: TaskKey) -> bool {
         self.started.contains(&task)
     }
 }
 
-/// Whether the advice service clears a worker for a step: it says the same each time.
+/// Whether the advice service clears a worker for a step; the answer is always the same.
 fn advice_clears(step: StepKey, worker: &Name) -> bool {
     hash(&[step.to_string().as_bytes(), worker.as_bytes()]) % 10 < CLEARED_TENTHS
 }
@@ -75,7 +76,8 @@
 }
 
 impl World {
-    /// Every other job lasts, and entries ask the advice service about them. Workers tell when they started, or do not.
+    /// Makes every other job long-running. With `keeps_ids`, workers report their start time and
+    /// usually keep their id when they restart.
     pub(super) fn add_lasting_jobs(&mut self, keeps_ids: bool) {
         self.lasting.enabled = true;
         self.keeps_ids = keeps_ids;
@@ -113,7 +115,7 @@
         self.advance_owner(0);
     }
 
-    /// Owners are replaced two or three times in a row, and a worker vanishes meanwhile.
+    /// Schedules two or three takeovers in a row, and the loss of a worker meanwhile.
     fn replace_owners(&mut self) {
         let mut at = FAULTS_END_MS - 4_000 + self.pick(2_000);
         let names: Vec<Name> = self.workers.keys().cloned().collect();
@@ -126,12 +128,13 @@
         }
     }
 
-    /// The lease of the deployments with the longest.
+    /// The lease, in milliseconds; for long-running jobs that of the deployments with the longest
+    /// one.
     pub(super) fn lease_time(&self) -> u64 {
         if self.lasting.enabled { 2 * LEASE_MS } else { LEASE_MS }
     }
 
-    /// How long a run goes on once all jobs that end have ended.
+    /// How long the simulation continues once all jobs with an end have ended.
     pub(super) fn settle_time(&self) -> u64 {
         if self.lasting.enabled { 2 * MAX_IDLE_MS } else { SETTLE_MS }
     }
@@ -153,8 +156,10 @@
         self.lasting.last_fault = self.lasting.last_fault.max(until);
     }
 
-    /// A worker vanishes with these tasks: they ran there, or nobody has read their ends. Where workers start again under their ids, its next life may hold a lease by the
-    /// clock of the life before, up to the longest, and nobody may start its tasks before that is over.
+    /// Allows tasks that were lost with a worker, because they ran there or nobody had read their
+    /// ends, to be without a run for longer. Where workers keep their ids, the next incarnation may
+    /// hold a lease of up to the longest length by the clock of the previous one, and nobody may
+    /// start its tasks before that has expired.
     pub(super) fn allow_extra_time(&mut self, tasks: impl Iterator<Item = TaskKey>) {
         let extra_time = match self.lasting.checks_replaced {
             true if self.keeps_ids => MAX_LEASE_MS - 2 * LEASE_MS,
@@ -174,7 +179,7 @@
         }
     }
 
-    /// An entry asks the advice service for an owner.
+    /// An entry asks the advice service on behalf of an owner.
     pub(super) fn ask_advice(&mut self, owner: usize, entry: Name, question: Question) {
         let length = question.cost.0 * (90 + self.pick(20)) / 100;
         let lost = self.chance(12);
@@ -204,13 +209,13 @@
     }
 
     pub(super) fn reconnect(&mut self, owner: usize, entry: Name) {
-        self.log_event(format!("{entry} connects to owner {owner} again"));
+        self.log_event(format!("{entry} reconnects to owner {owner}"));
         self.owners[owner].cell.leave(&entry);
         self.owners[owner].cell.join(entry, true);
         self.advance_owner(owner);
     }
 
-    /// No task that lasts is without a run for longer than the contract allows.
+    /// Checks that no long-running task is without a run for longer than the contract allows.
     pub(super) fn check_lasting(&mut self) {
         if !self.lasting.enabled {
             return;
@@ -244,13 +249,13 @@
         }
     }
 
-    /// How long a task may be without a run.
+    /// How long a task may be without a run, in milliseconds.
     fn idle_limit(&self, task: TaskKey) -> u64 {
         MAX_IDLE_MS + self.lasting.extra_time.get(&task).copied().unwrap_or(0)
     }
 
-    /// Whether the store binds a task to a worker that vanished: nobody can know that it never began there. That ends with
-    /// the longest lease.
+    /// Whether the store binds a task to a worker that is gone. Nobody can tell then whether it
+    /// started there, until the longest lease has expired.
     fn is_bound_to_lost_worker(&self, task: TaskKey) -> bool {
         let mut snapshot = Snapshot::default();
         let of_job = task.step.job.to_string();
@@ -265,12 +270,13 @@
         bound.any(|(_, worker)| self.workers.get(&worker).is_none_or(|worker| !worker.alive))
     }
 
-    /// Whether a worker may run a step: the advice service is asked about jobs that last.
+    /// Whether a worker may run a step: the advice service decides for long-running jobs.
     pub(super) fn is_cleared(&self, step: StepKey, worker: &Name) -> bool {
         !self.is_lasting(step.job) || advice_clears(step, worker)
     }
 
-    /// Whether a sound worker has room for a task twice over, and takes one more of its step.
+    /// Whether a worker that the advice service clears has room for two such tasks, and may run one
+    /// more task of this step.
     fn has_candidate(&self, task: TaskKey) -> bool {
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
         let charge = spec.charge();
--- a/tests/cellworld/limits.rs
+++ b/tests/cellworld/limits.rs
@@ -1,25 +1,26 @@
-//! Workspaces with bounds on what they have running, bounds that change, and a store that refuses batches with new
-//! jobs, which are given back.
+//! Workspaces whose limits change, and a store that rejects batches with new jobs, which the owner
+//! then withdraws.
 
 use super::*;
 use sprucerudder::cell::records::journal::job_of;
 use sprucerudder::workspace::{Workspace, Workspaces};
 
-/// The workspaces with bounds; jobs of a third kind belong to none.
+/// The workspaces with limits; a third of the jobs belong to none.
 const WORKSPACES: [&str; 2] = ["one", "two"];
-/// Bounds, in thousandths of a core: the least holds the widest gang, the most leaves part of all room to others.
+/// Limits, in thousandths of a core. The lowest one holds the widest gang; the highest one leaves
+/// part of the capacity to others.
 const MIN_LIMIT: u64 = 4_000;
 const LIMIT_RANGE: u64 = 3_000;
-/// How long an owner may go by an earlier bound, by the platform's contract.
+/// How long an owner may still apply an earlier limit, by the platform's contract.
 const LIMIT_GRACE_MS: u64 = 3_000;
-/// How long it takes until an owner hears of a bound.
+/// How long it takes at most until an owner learns of a new limit.
 const LIMIT_DELAY_MS: u64 = 1_500;
 
-/// The bounds over time: since when, and how much, for each workspace.
+/// For each workspace, its limits with the times from which they apply.
 pub(super) type LimitHistory = BTreeMap<Name, Vec<(u64, u64)>>;
 
 impl World {
-    /// Jobs belong to workspaces, whose bounds change some times.
+    /// Assigns jobs to workspaces and schedules changes of their limits.
     pub(super) fn add_limits(&mut self) {
         self.has_limits = true;
         for name in WORKSPACES {
@@ -36,7 +37,7 @@
         self.publish_limits();
     }
 
-    /// Owners hear of the bounds as they are now.
+    /// Passes the current limits to all owners.
     pub(super) fn publish_limits(&mut self) {
         let workspaces = self.current_workspaces();
         for owner in &mut self.owners {
@@ -51,7 +52,8 @@
         }
         for (name, limits) in &self.limits {
             let now = limits.iter().rfind(|(at, _)| *at <= self.now);
-            let (_, cpu) = now.unwrap_or_else(|| panic!("a bound of {name} from the begin on"));
+            let (_, cpu) =
+                now.unwrap_or_else(|| panic!("workspace {name} has no limit at the start"));
             let limit = Room { cpu: *cpu, ..Room::UNLIMITED };
             all.add(Workspace { name: name.clone(), weight: 1, limit }, []);
         }
@@ -63,7 +65,7 @@
         name.map(|name| Name::from(*name))
     }
 
-    /// What runs of a workspace, in thousandths of a core.
+    /// The CPU that a workspace uses, in thousandths of a core.
     fn cpu_in_use(&self, workspace: &Name) -> u64 {
         let alive = self.workers.values().filter(|worker| worker.alive);
         let running = alive.flat_map(|worker| &worker.running);
@@ -72,12 +74,13 @@
         in_workspace.map(|(_, run)| run.charge.cpu).sum()
     }
 
-    /// A start takes a workspace past the highest bound that may be in force, and it had something running.
+    /// Checks that a start doesn't take a workspace beyond the highest limit that may still apply,
+    /// unless nothing of it runs.
     pub(super) fn check_limit(&mut self, task: TaskKey, spec: &Step) {
         let Some(workspace) = self.workspace_of(task.step.job) else { return };
         let limits = &self.limits[&workspace];
         let since = self.now.saturating_sub(LIMIT_GRACE_MS);
-        // The one in force at that time, and all later ones.
+        // The limit that applied at that time, and all later ones.
         let first = limits.iter().rposition(|(at, _)| *at <= since).unwrap_or(0);
         let in_force = limits[first..].iter().filter(|(at, _)| *at <= self.now);
         let most = in_force.map(|(_, limit)| *limit).max();
@@ -91,14 +94,16 @@
         self.peak_cpu = self.peak_cpu.max(wanted);
     }
 
-    /// Whether a job's workspace has half of its bound running: then the contract lets a job wait.
+    /// Whether a job's workspace uses at least half of its limit; the contract then allows its jobs
+    /// to wait.
     pub(super) fn uses_half_limit(&self, job: JobKey) -> bool {
         let Some(workspace) = self.workspace_of(job) else { return false };
         let now = self.limits[&workspace].iter().rfind(|(at, _)| *at <= self.now);
         now.is_some_and(|(_, limit)| self.cpu_in_use(&workspace) * 2 >= *limit)
     }
 
-    /// The store refuses a batch for good: its new jobs are given back, and the rest is written without them.
+    /// The store rejects a batch for good: its new jobs are withdrawn, and the rest is written
+    /// without them.
     pub(super) fn withdraw_jobs(&mut self, owner: usize, batch: &Batch) -> Batch {
         let withdrawn = self.owners[owner].cell.withdraw(batch.no);
         self.withdrawn_jobs += withdrawn.len();
@@ -107,7 +112,7 @@
         Batch { no: batch.no, records }
     }
 
-    /// Nothing of a job that is given back starts, and nothing of it is in the store.
+    /// Checks that no task of a withdrawn job starts: the store must hold the job.
     pub(super) fn check_recorded(&mut self, task: TaskKey) {
         if self.has_limits && !self.store.contains_key(&task.step.job.to_string()) {
             self.record_violation(format!("{task} starts, and its job is not in the store"));
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -1,5 +1,6 @@
-//! A small world for the cell's state machine: workers, a store and owners on a virtual clock, with
-//! lost, late and swapped messages, cuts, pauses and crashes. It checks what must always hold.
+//! A discrete-event simulation of the cell's state machine: workers, a store and a series of owners
+//! on a virtual clock, with lost, delayed and reordered messages, network partitions, pauses and
+//! crashes. The invariants are checked while it runs and at its end.
 
 #![allow(dead_code)]
 
@@ -36,51 +37,53 @@
 pub const LEASE_MS: u64 = 3_000;
 /// The longest lease that a worker grants.
 pub const MAX_LEASE_MS: u64 = 10_000;
-/// After this time there are no more faults, and everything has to come to an end.
+/// No faults are injected after this time, and every job has to end.
 pub const FAULTS_END_MS: u64 = 12_000;
-/// Three steps, three starts each of up to 13 s, and a lease: no job may take longer.
+/// The time by which every job has to have ended: three steps with three starts of up to 13 s each,
+/// and a lease.
 pub const DEADLINE_MS: u64 = 180_000;
-/// How long a run goes on once all jobs have ended: longer than a lease and a late order.
+/// How long the simulation continues once all jobs have ended: longer than a lease and a delayed
+/// order.
 const SETTLE_MS: u64 = 8_000;
-/// How long a step may wait though there is room, and how long it has to be calm before, by the platform's
-/// contract.
+/// How long a step may wait although a worker has room for it, and how long there must have been no
+/// fault before that, by the platform's contract.
 const MAX_WAIT_MS: u64 = 3_000;
 const WAIT_GRACE_MS: u64 = 4_000;
-/// The longest time that a stop takes.
+/// The longest time that a worker takes to stop a run.
 const MAX_STOP_MS: u64 = 700;
 const TICK_MS: u64 = 100;
 const MAX_POLL_MS: u64 = 400;
 const CALL_TIMEOUT_MS: u64 = 300;
-/// An owner is in touch if it was not paused for so long.
+/// How long after the end of its last pause an owner counts as in contact with its workers.
 const CONTACT_MS: u64 = 3_000;
-/// Time between two entries of a worker in the list.
+/// The interval at which a worker renews its entry in the worker list.
 const HEARTBEAT_MS: u64 = 1_500;
-/// Time between two looks of an owner at the list.
+/// The interval at which an owner reads the worker list.
 const LIST_INTERVAL_MS: u64 = 500;
-/// A pause that an owner notices, as `clock` has it.
+/// The shortest pause that an owner notices; the same as in `clock`.
 const NOTICED_PAUSE_MS: u64 = 2_500;
-/// The age from which a start is withheld, as the owner's shell has it.
+/// The age from which a start is withheld; the same as in the owner's event loop.
 const MAX_ORDER_AGE_MS: u64 = 2_000;
 
-/// A mechanism that is taken out, to show that the checks need it.
+/// A mechanism that is disabled to show that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disabled {
     Nothing,
-    /// Workers take orders with any fence.
+    /// Workers accept orders with any fencing token.
     Fencing,
-    /// Workers forget what was stopped.
+    /// Workers forget which runs were stopped.
     StopRecords,
-    /// The store takes records of deposed owners.
+    /// The store accepts records of deposed owners.
     StoreFencing,
-    /// Owners go on giving orders and renewals whatever they hear of the log.
+    /// Owners send orders and lease renewals whether or not they can read the log.
     LogAuthority,
-    /// Workers run on when their lease is over.
+    /// Workers go on running tasks when their lease has expired.
     LeaseExpiry,
-    /// Owners know of no bounds.
+    /// Owners know no limits of workspaces.
     Limits,
     /// The next owner does not learn which workspace a job belongs to.
     WorkspaceRecords,
-    /// Owners take it that no start was sent without a record.
+    /// Owners assume that no start was sent without a record.
     UnrecordedStarts,
 }
 
@@ -89,14 +92,15 @@
     run: u64,
     ends_at: u64,
     charge: Room,
-    /// It was told to stop: it stays listed, and its room is free only at its end.
+    /// It was told to stop. It stays in the report, and its resources are released only when it
+    /// ends.
     stopping: bool,
 }
 
 #[derive(Debug)]
 struct SimWorker {
     listed: Listed,
-    /// What its clock shows when the world's shows nothing.
+    /// What the worker's clock shows at time 0 of the simulation.
     clock_base: u64,
     fence: u64,
     lease_until: u64,
@@ -104,23 +108,24 @@
     ended: Vec<EndedRow>,
     end_count: u64,
     barred: BTreeMap<TaskKey, u64>,
-    /// Tasks whose end `done` was confirmed.
+    /// False once it has crashed or is gone for good.
     alive: bool,
-    /// Nothing is at its address until then.
+    /// Nothing listens at its address before this time.
     down_until: u64,
-    /// It crashed, and is in the list still.
+    /// It has crashed, and its entry has not left the worker list yet.
     still_listed: bool,
     partitioned_until: u64,
-    /// It does nothing until then.
+    /// It does nothing before this time.
     suspended_until: u64,
-    /// Owners before this one still reach it: they are on its side of the cut.
+    /// The first owner that is on the other side of the partition; earlier ones still reach the
+    /// worker.
     first_unreachable: usize,
-    /// The last end that was listed when its lease last ran out: ends up to it are not taken note of
-    /// afterwards, by the platform's contract.
+    /// The number of the last end when its lease last expired. By the platform's contract, ends up
+    /// to it are not counted if they are confirmed afterwards.
     last_lapsed: u64,
-    /// Rooms that it had before, and until when they count.
+    /// Capacities that it had before, each with the time until which it still counts.
     old_rooms: Vec<(u64, Room)>,
-    /// Runs slower than the world's clock by this, in thousandths.
+    /// How much slower its clock runs than the simulation's, in thousandths.
     clock_drift: u64,
 }
 
@@ -129,7 +134,8 @@
         self.clock_base + now * (1_000 - self.clock_drift) / 1_000
     }
 
-    /// A lease never shortens, and a longer one than the contract's longest is cut down to that.
+    /// Extends the lease: it never becomes shorter, and is limited to the longest one that the
+    /// contract allows.
     fn renew(&mut self, now: u64, until: u64) {
         let most = self.clock(now) + MAX_LEASE_MS;
         self.lease_until = self.lease_until.max(until.min(most));
@@ -142,7 +148,7 @@
         Report { born, clock: self.clock(now), running, ended: self.ended.clone() }
     }
 
-    /// The name of its life: of lives with one id, each has its own.
+    /// The name of this incarnation; it tells incarnations with the same id apart.
     fn life(&self) -> Name {
         match self.listed.born {
             Some(born) => format!("{}@{born}", self.listed.id).into(),
@@ -162,7 +168,7 @@
     Order {
         owner: usize,
         worker: Name,
-        /// The life that it was decided for.
+        /// The incarnation that the order was decided for.
         life: Option<Life>,
         action: Action,
         delivery: Delivery,
@@ -219,47 +225,47 @@
         job: JobKey,
     },
     Elect,
-    /// A worker crashes under this run, if it is still there.
+    /// A worker crashes because of this run, if it still runs there.
     CrashUnder {
         worker: Name,
         task: TaskKey,
         run: u64,
     },
-    /// Another life of a worker that crashed.
+    /// A crashed worker comes back as another incarnation.
     RestartWorker {
         worker: Name,
     },
-    /// The entry of a life that is over leaves the list.
+    /// The entry of a crashed incarnation leaves the worker list.
     RemoveEntry {
         worker: Name,
     },
-    /// An owner reads the list of workers.
+    /// An owner reads the worker list.
     ReadList {
         owner: usize,
     },
-    /// All rooms are as they were at the begin.
+    /// All workers get their original capacity back.
     RestoreRooms,
-    /// A worker crashes by itself.
+    /// A worker crashes for no reason of its tasks.
     CrashWorker {
         worker: Name,
     },
     /// Power is lost everywhere: the owner dies, and all workers crash.
     PowerLoss,
-    /// Owners hear of other bounds of workspaces.
+    /// Owners learn of changed workspace limits.
     UpdateLimits,
     /// A failure domain is suspended.
     SuspendDomain {
         domain: u64,
         with_owner: bool,
     },
-    /// An entry asked the advice service for an owner; the answer may be lost on its way.
+    /// An entry has asked the advice service for an owner; its answer may be lost.
     AdviceAnswered {
         owner: usize,
         entry: Name,
         question: Question,
         lost: bool,
     },
-    /// The connection of an entry to an owner ends, and begins anew.
+    /// The connection of an entry to an owner breaks and is opened again.
     Reconnect {
         owner: usize,
         entry: Name,
@@ -267,18 +273,18 @@
     /// The other entries connect to a new owner.
     ConnectPeers {
         owner: usize,
-        /// So many in ten of them.
+        /// How many tenths of them connect.
         part: u64,
     },
-    /// A worker is gone for good.
+    /// A worker is gone for good, and another one takes its place.
     ReplaceWorker {
         worker: Name,
     },
-    /// The store is away for so long.
+    /// The store becomes unavailable for `length` milliseconds.
     StoreOutage {
         length: u64,
     },
-    /// A call for a report that nobody waits for any more.
+    /// A suspended worker receives a report call that its caller has given up.
     AbandonedCall {
         owner: usize,
         worker: Name,
@@ -291,13 +297,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     Answered,
-    /// It is carried out and not answered.
+    /// The order is carried out, and the answer is lost.
     AnswerLost,
-    /// It is carried out this much later and not answered.
+    /// The order is carried out after this many milliseconds, and the answer is lost.
     Delayed(u64),
-    /// It does not arrive.
+    /// The order is lost.
     Lost,
-    /// It arrives late, and is not answered.
+    /// A delayed order arrives; its answer reaches nobody.
     ArrivesLate,
 }
 
@@ -322,52 +328,55 @@
     next_event: usize,
     workers: BTreeMap<Name, SimWorker>,
     owners: Vec<Owner>,
-    /// The store: records by key, and the highest epoch that wrote.
+    /// The store: records by key.
     store: BTreeMap<String, Vec<u8>>,
     epoch: u64,
     base_queue: Arc<Queue>,
-    /// Jobs with odd keys go to a less urgent queue, and workers have half the room: tasks are stopped
-    /// for more urgent ones.
+    /// Jobs with odd keys go to a less urgent queue, and workers have less capacity, so that tasks
+    /// are preempted.
     is_crowded: bool,
     pub preemptions: usize,
-    /// Tasks under which each worker crashes, with the lives that did.
+    /// Tasks that crash every worker on which they start, with the incarnations that crashed.
     crash_tasks: BTreeMap<TaskKey, BTreeSet<Name>>,
-    /// Starts of those after three crashes, by owners in touch.
+    /// How often owners in contact started one of these tasks after three crashes.
     extra_starts: BTreeMap<TaskKey, usize>,
-    /// When an owner's last pause ended.
+    /// When each owner's last pause ended.
     pause_ends: BTreeMap<usize, u64>,
-    /// Rooms shrink and grow, and owners notice long pauses.
+    /// Workers' capacities change, and owners notice long pauses.
     resizes_rooms: bool,
     pub resize_count: usize,
-    /// Workers start again under their ids, mostly.
+    /// Workers usually keep their id when they restart.
     keeps_ids: bool,
     pub id_reuses: usize,
     pub power_losses: usize,
     pub suspension_count: usize,
-    /// Owners that have not noticed their last pause, with its length.
+    /// The length of the last pause of each owner that has not noticed it yet.
     unnoticed_pauses: BTreeMap<usize, u64>,
-    /// Jobs belong to workspaces with bounds, and some are given back.
+    /// Jobs belong to workspaces with limits, and some jobs are withdrawn.
     has_limits: bool,
     limits: limits::LimitHistory,
-    /// The most that a workspace had running.
+    /// The highest CPU use of a workspace, in thousandths of a core.
     pub peak_cpu: u64,
     pub withdrawn_jobs: usize,
     restart_count: u64,
     works: BTreeMap<JobKey, Arc<Work>>,
     accepted: BTreeSet<JobKey>,
     done: BTreeMap<TaskKey, bool>,
-    /// Ends `failed` of each task, in order: the worker, the end's number, whether it was confirmed.
+    /// The failures of each task, in order: the worker's incarnation, the number of the end, and
+    /// whether it was confirmed.
     failures: BTreeMap<TaskKey, Vec<(Name, u64, bool)>>,
-    /// Starts after so many failed ends of a task; wrong if as many as allowed are ever confirmed.
+    /// Starts with the number of failures before them. One is a violation if as many of these
+    /// failures as the queue allows are ever confirmed.
     excess_starts: Vec<(TaskKey, usize)>,
     replaced_count: u32,
-    /// Steps that wait though there is room, and since when.
+    /// Steps that wait although a worker has room for them, and since when.
     waiting_since: BTreeMap<StepKey, u64>,
-    /// When the last trouble ended after which waits are judged: a worker came back, or went on.
+    /// When the last crash or suspension ended; waits are checked from a while after that on.
     last_disruption: u64,
-    /// Every other job lasts, the advice service is asked, and some workers fail all that they start.
+    /// State of the searches in which every other job is long-running, the advice service is asked,
+    /// and some workers fail all their runs.
     lasting: lasting::LastingJobs,
-    /// The store can be away.
+    /// State of the searches in which the store becomes unavailable.
     outage: outage::Outage,
     pub violations: Vec<String>,
     pub trace: Vec<String>,
@@ -465,7 +474,7 @@
             steps.push(Step {
                 count: 1 + self.pick(4) as u32,
                 room: room(300 + self.pick(700)),
-                // Some run for longer than a lease and a takeover together.
+                // Some tasks run for longer than a lease and a takeover together.
                 estimate: Millis(
                     200 + self.pick(1_500) + if self.pick(4) == 0 { 6_000 } else { 0 },
                 ),
@@ -489,7 +498,7 @@
     fn add_worker(&mut self, id: Name, domain: u64) {
         let listed = Listed {
             id: id.clone(),
-            // Workers whose ids are new each time need not tell.
+            // Workers that get a new id at each restart need not report their start time.
             born: self.keeps_ids.then_some(Millis(7)),
             service: "s".into(),
             addr: id.clone(),
@@ -536,11 +545,11 @@
     }
 
     fn record_violation(&mut self, text: String) {
-        self.log_event(format!("BROKEN {text}"));
+        self.log_event(format!("VIOLATION {text}"));
         self.violations.push(text);
     }
 
-    /// Runs to the end and checks that all accepted jobs came to one.
+    /// Runs the simulation to its end and checks that all accepted jobs have ended.
     pub fn run(&mut self) {
         while let Some(Reverse((time, _, id))) = self.event_queue.pop() {
             if time > self.run_end || !self.violations.is_empty() {
@@ -571,11 +580,11 @@
         }
     }
 
-    /// An owner that was paused for long notices it before anything else.
+    /// An owner notices a long pause before it handles anything else.
     fn wake_owner(&mut self, owner: usize) {
         let Some(length) = self.unnoticed_pauses.remove(&owner) else { return };
         if self.resizes_rooms && length >= NOTICED_PAUSE_MS {
-            self.log_event(format!("owner {owner} wakes"));
+            self.log_event(format!("owner {owner} notices its pause"));
             self.owners[owner].cell.wake(Millis(self.now));
             let delay = self.pick(LIST_INTERVAL_MS);
             self.schedule_after(delay, Event::ReadList { owner });
@@ -584,7 +593,8 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            // One that is not the owner any more orders nothing, and in calm times draws no faults.
+            // A deposed owner sends no orders. After the last fault it draws no random numbers
+            // either.
             Event::Tick { owner } if self.owners[owner].deposed && self.now > FAULTS_END_MS => {}
             Event::Tick { owner } => {
                 let now = Millis(self.now);
@@ -606,7 +616,8 @@
             Event::OrderAnswered { owner, worker, start, task, run, life, outcome } => {
                 let now = Millis(self.now);
                 let cell = &mut self.owners[owner].cell;
-                // As the owner's shell does: which of two lives answered is not known.
+                // As in the owner's event loop: it is not known which of the two incarnations
+                // answered.
                 let is_other = life.is_some_and(|life| cell.has_restarted(&life));
                 let outcome = if is_other { Outcome::Unknown } else { outcome };
                 match start {
@@ -645,7 +656,7 @@
             Event::ReplaceWorker { worker } if self.workers[&worker].alive => {
                 let next = format!("{worker}.x").into();
                 self.replace_worker(&worker, next);
-                // Nothing answers at its address any more.
+                // Nothing answers at its address from now on.
                 if let Some(worker) = self.workers.get_mut(&worker) {
                     worker.down_until = u64::MAX;
                 }
@@ -698,9 +709,9 @@
         }
     }
 
-    /// Another entry owns the cell from now on.
+    /// Another entry takes over the cell.
     fn elect_owner(&mut self) {
-        // Nobody can claim the cell while the store is away.
+        // Nobody can claim the cell while the store is unavailable.
         if let Some(left) = self.outage.remaining(self.now) {
             let delay = left + self.pick(800);
             return self.schedule_after(delay, Event::Elect);
@@ -757,7 +768,7 @@
         alive.map(|worker| worker.listed.clone()).collect()
     }
 
-    /// Owners learn of new workers.
+    /// Announces changed workers to the owners.
     fn publish_list(&mut self) {
         let listed = self.listed_workers();
         for owner in 0..self.owners.len() {
@@ -809,13 +820,13 @@
         for action in self.owners[owner].cell.take_actions() {
             self.count_preemption(owner, &action);
             match action {
-                // A job of another cell: this world has one.
+                // Concerns a job of another cell, and this simulation has only one cell.
                 Action::Forgotten(..) => {}
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
                     let worker = worker.clone();
                     let delivery = self.pick_delivery();
                     let delay = 1 + self.pick(3);
-                    // An owner may be paused between deciding and sending.
+                    // An owner may be paused between a decision and the sending of the order.
                     let at = self.now.max(self.owners[owner].paused_until) + delay;
                     let is_start = matches!(action, Action::Start { .. });
                     if (self.resizes_rooms || self.keeps_ids)
@@ -864,7 +875,8 @@
         self.schedule_after(2, Event::Appended { owner, batch });
     }
 
-    /// Counts runs that are stopped though their job goes on and no start of theirs was lost.
+    /// Counts runs that are preempted: they are stopped although their job continues and their
+    /// start was not lost.
     fn count_preemption(&mut self, owner: usize, action: &Action) {
         let Action::Stop { worker, task, run } = action else { return };
         let known = self.workers.get(worker).and_then(|worker| worker.running.get(task));
@@ -910,7 +922,7 @@
         | Event::AdviceAnswered { owner, .. }
         | Event::Reconnect { owner, .. }
         | Event::AppendRefused { owner } => Some(*owner),
-        // What is on its way arrives whatever becomes of its sender.
+        // A message that is under way arrives even if its sender has died.
         Event::Order { .. }
         | Event::ReportCall { .. }
         | Event::Append { .. }
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -1,4 +1,4 @@
-//! Orders and reports on their way, which are lost, late and swapped.
+//! Orders and reports between owners and workers, which may be lost, delayed or reordered.
 
 use super::*;
 
@@ -60,7 +60,7 @@
         let busy = matches!(&result, Ok(report) if report.ended.is_empty());
         let delay = if busy { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
         if busy {
-            // The answer waits, and then tells what is so at that time.
+            // The answer is delayed and reports the state at that time.
             let again =
                 Event::ReportCall { owner, worker: name, seen, until: None, sent, lost: false };
             return self.answer_delayed(delay, again);
@@ -68,7 +68,8 @@
         self.schedule_after(delay, Event::ReportAnswered { owner, worker: name, sent, result });
     }
 
-    /// A worker takes in a call for its report: the fence, its lease, and the ends that are confirmed.
+    /// A worker handles a report call: it takes the fencing token and the lease, and drops the ends
+    /// that the call confirms.
     pub(super) fn receive_report_call(
         &mut self,
         name: &Name,
@@ -103,12 +104,12 @@
         let alive = self.workers.get(&name).filter(|worker| worker.alive);
         let report = alive.map(|worker| worker.report(self.now));
         self.now -= delay;
-        // What begins or ends until then is told by the next report only.
+        // What starts or ends after that is in the next report only.
         let result = report.ok_or(HoldError::Refused(Refusal::OtherLife));
         self.schedule_after(delay, Event::ReportAnswered { owner, worker: name, sent, result });
     }
 
-    /// An order leaves its owner, unless the worker is known to be another life by now.
+    /// Sends an order, unless the owner knows by now that the worker has restarted.
     pub(super) fn send_order(
         &mut self,
         owner: usize,
@@ -143,8 +144,7 @@
         };
         if let Delivery::Delayed(delay) = delivery {
             let (action, worker) = (action.clone(), name.clone());
-            // A late order goes on its way whatever becomes of its sender; a worker that starts again
-            // holds nothing of before.
+            // A delayed order arrives even if its sender has died, but not at a restarted worker.
             let life = self.workers.get(name).map(|worker| worker.listed.life());
             let late =
                 Event::Order { owner, worker, life, action, delivery: Delivery::ArrivesLate };
@@ -158,7 +158,7 @@
         let is_late = delivery == Delivery::ArrivesLate;
         let outcome = match action {
             Action::Start { start, until, .. } => {
-                // What arrives late is not held against its sender.
+                // The sender isn't blamed for a start that arrives late.
                 let sender = (!is_late).then_some(owner);
                 self.start_run(sender, name, start, *until, epoch)
             }
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A start that was decided long ago is not sent.
+    /// A start that was decided too long ago is not sent.
     pub(super) fn withhold_start(&mut self, owner: usize, action: &Action, at: u64) {
         let Action::Start { worker, start, .. } = action else { return };
         let (worker, task, run) = (worker.clone(), start.task, start.run);
--- a/tests/cellworld/search.rs
+++ b/tests/cellworld/search.rs
@@ -1,13 +1,13 @@
-//! The searches: worlds with one kind of trouble each, on top of the usual ones.
+//! The searches: each one adds one kind of fault to the usual ones.
 
 use super::*;
 
-/// The first broken promise of a run, with the last lines of its trace.
+/// The first violation of a simulation, with the end of its trace.
 pub fn search(seed: u64, disabled: Disabled) -> Option<String> {
     run_to_violation(World::new(seed, disabled), seed).0
 }
 
-/// As [`search`], with two queues and little room; and how many tasks were stopped for others.
+/// As [`search`], with two queues and little capacity. Also returns the number of preempted tasks.
 pub fn search_preemption(seed: u64) -> (Option<String>, usize) {
     let mut world = World::new(seed, Disabled::Nothing);
     world.is_crowded = true;
@@ -18,8 +18,8 @@
     run_to_violation(world, seed)
 }
 
-/// As [`search`], with tasks that crash each worker that starts them, some of them with copies; and how
-/// many workers crashed.
+/// As [`search`], with tasks that crash every worker on which they start, some of which may have
+/// copies. Also returns the number of crashes.
 pub fn search_crashing_tasks(seed: u64) -> (Option<String>, usize) {
     let mut world = crashing_world(seed);
     world.run();
@@ -46,8 +46,8 @@
     world
 }
 
-/// As [`search`], with rooms that shrink and grow, and owners that notice their pauses; and how many rooms
-/// changed.
+/// As [`search`], with workers whose capacity changes and owners that notice pauses. Also returns
+/// the number of changes.
 pub fn search_room_changes(seed: u64) -> (Option<String>, usize) {
     let mut world = World::new(seed, Disabled::Nothing);
     world.resizes_rooms = true;
@@ -56,8 +56,9 @@
     (first_violation(&world, seed), world.resize_count)
 }
 
-/// As [`search_crashing`], with workers that mostly start again under their ids, also by themselves, as
-/// other kinds and with less room; and how many kept their ids.
+/// As [`search_crashing_tasks`], with workers that usually keep their id when they restart, also
+/// crash by themselves, and come back with another start time and other capacity. Also returns the
+/// number of restarts with the same id.
 pub fn search_restarts(seed: u64) -> (Option<String>, usize) {
     let mut world = crashing_world(seed);
     world.keeps_ids = true;
@@ -76,7 +77,8 @@
     (first_violation(&world, seed), world.id_reuses)
 }
 
-/// As [`search_keeping`], and power is lost everywhere once or twice, at any moment; and how often it was.
+/// As [`search_restarts`] without crashing tasks, with one or two losses of power at random times.
+/// Also returns the number of these.
 pub fn search_power_loss(seed: u64) -> (Option<String>, usize) {
     let mut world = World::new(seed, Disabled::Nothing);
     world.keeps_ids = true;
@@ -92,8 +94,8 @@
     (first_violation(&world, seed), world.power_losses)
 }
 
-/// As [`search_keeping`], and whole failure domains are suspended, with or without the owner and several times within a
-/// lease; and how often one was.
+/// As [`search_restarts`] without crashing tasks, with suspensions of whole failure domains, with
+/// or without the owner, and several times within a lease. Also returns the number of suspensions.
 pub fn search_suspensions(seed: u64) -> (Option<String>, usize) {
     let mut world = World::new(seed, Disabled::Nothing);
     world.keeps_ids = true;
@@ -113,8 +115,8 @@
     (first_violation(&world, seed), world.suspension_count)
 }
 
-/// As [`search`], with workspaces whose bounds change, and batches that the store refuses; and how many jobs were given
-/// back, if any workspace came near to a bound.
+/// As [`search`], with workspaces whose limits change and batches that the store rejects. Also
+/// returns the number of withdrawn jobs, or 0 if no workspace came near its limit.
 pub fn search_limits(seed: u64, disabled: Disabled) -> (Option<String>, usize) {
     let mut world = World::new(seed, disabled);
     world.add_limits();
@@ -123,9 +125,10 @@
     (first_violation(&world, seed), count)
 }
 
-/// As [`search`], with jobs that last, workers that fail all they start, lost answers of the advice service, and owners
-/// whose processes have just started; and how many lasting tasks lost a run. With `judges_vanished` also tasks whose own
-/// worker vanished have to run again in time.
+/// As [`search`], with long-running jobs, workers that fail all their runs, lost answers of the
+/// advice service, and owners whose processes have just started. Also returns how often a
+/// long-running task lost its run. With `checks_replaced`, tasks on workers that are gone for good
+/// have to run again in time, too.
 pub fn search_lasting(seed: u64, checks_replaced: bool) -> (Option<String>, usize) {
     let mut world = World::new(seed, Disabled::Nothing);
     world.add_lasting_jobs(seed % 2 == 0);
@@ -135,7 +138,8 @@
     (first_violation(&world, seed), world.lasting.lost_runs)
 }
 
-/// As [`search`], with a store that is away once or twice, at any moment; and how often it was.
+/// As [`search`], with one or two outages of the store at random times. Also returns the number of
+/// outages.
 pub fn search_store_outages(seed: u64, disabled: Disabled) -> (Option<String>, usize) {
     let mut world = World::new(seed, disabled);
     world.outage.has_fresh_owners = true;
@@ -147,7 +151,7 @@
     (first_violation(&world, seed), world.outage.count)
 }
 
-/// Lines of the trace that are shown; `SPRUCE_TRACE` sets another number.
+/// The number of lines of the trace that are shown; set by `SPRUCE_TRACE`.
 fn trace_lines() -> usize {
     let text = std::env::var("SPRUCE_TRACE").unwrap_or_else(|_| "60".to_string());
     text.parse().unwrap_or_else(|err| panic!("SPRUCE_TRACE={text:?}: {err}"))
--- a/tests/cellworld/suspended.rs
+++ b/tests/cellworld/suspended.rs
@@ -1,9 +1,10 @@
-//! Failure domains that are suspended: what their workers were told waits, and nobody is answered.
+//! Suspended failure domains: messages to their workers are delivered afterwards, and their callers
+//! get no answer.
 
 use super::*;
 
 impl World {
-    /// All workers of a failure domain stop where they are; with `with_owner`, so does the owner.
+    /// Suspends all workers of a failure domain, and the owner as well if `with_owner` is set.
     pub(super) fn suspend_domain(&mut self, domain: u64, with_owner: bool) {
         let until = self.now + 100 + self.pick(LEASE_MS + LEASE_MS / 2);
         let domain: Name = format!("d{domain}").into();
@@ -11,7 +12,7 @@
             "{domain} is suspended until {until}, with the owner: {with_owner}"
         ));
         self.suspension_count += 1;
-        // It is calm again once they go on.
+        // Waits are checked only after the workers have resumed.
         self.note_disruption(until);
         let of_domain = |worker: &&mut SimWorker| worker.listed.domain == domain && worker.alive;
         for worker in self.workers.values_mut().filter(of_domain) {
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Until when the worker is suspended that an event is for.
+    /// Until when the worker that an event concerns is suspended, if it is.
     pub(super) fn suspended_until(&self, event: &Event) -> Option<u64> {
         let worker = match event {
             Event::Order { worker, .. }
@@ -37,7 +38,7 @@
         (until > self.now).then_some(until)
     }
 
-    /// Something for a suspended worker waits until then, and whoever asked gets no answer.
+    /// Delays an event of a suspended worker until it resumes; the caller gets no answer.
     pub(super) fn defer(&mut self, until: u64, event: Event) {
         let at = until + self.pick(20);
         match event {
@@ -64,7 +65,7 @@
                         outcome,
                     },
                 );
-                // One that was not sent any more, or did not get there, is not held there.
+                // Only a message that was sent and reached the worker is delivered afterwards.
                 let is_there = self.workers.get(&name).map(|there| there.listed.life());
                 if self.can_reach(owner, &name) && self.has_authority(owner) && is_there == life {
                     self.schedule_at(
@@ -89,7 +90,7 @@
         }
     }
 
-    /// A call for a report that was made before a suspension is taken in after it, and answers nobody.
+    /// A worker handles a report call that was made before its suspension; the caller has given up.
     pub(super) fn receive_abandoned_call(
         &mut self,
         owner: usize,
--- a/tests/cellworld/worker.rs
+++ b/tests/cellworld/worker.rs
@@ -1,4 +1,4 @@
-//! What workers do: they start, stop and end runs, under leases.
+//! What workers do: they start, stop and end runs, and stop them when their lease expires.
 
 use super::*;
 
@@ -95,7 +95,7 @@
         if running.is_none_or(|running| running.run != run || running.stopping) {
             return;
         }
-        // Some jobs fail every other time, so that tasks come to the last start they may have.
+        // Some jobs fail every other time, so that tasks reach the last start that they may have.
         let often_fails = task.step.job.0 % 6 == 0 && self.pick(2) == 0;
         let is_failing = self.lasting.fails_runs(name, self.now);
         let lasts = self.is_lasting(task.step.job);
@@ -116,8 +116,8 @@
         }
     }
 
-    /// A member of a gang gets to its end: all are done together, or fail together, and one whose
-    /// others are not there ends alone.
+    /// A member of a gang finishes: all members succeed or fail together, and one whose others are
+    /// missing ends alone.
     pub(super) fn finish_gang(
         &mut self,
         name: &Name,
@@ -164,7 +164,7 @@
         self.log_event(format!("{name} ends {task} run {}: {end:?}", running.run));
     }
 
-    /// Leases run out.
+    /// Ends the runs of workers whose lease has expired.
     pub(super) fn expire_leases(&mut self) {
         if self.disabled == Disabled::LeaseExpiry {
             return;
