--- a/tests/accepting.rs
+++ b/tests/accepting.rs
@@ -5,21 +5,21 @@
 
 mod lifeworld;
 
-use lifeworld::{Site, job, step};
+use lifeworld::{Cluster, job, step};
 use sprucerudder::cell::Action;
 use sprucerudder::cell::records::journal;
 use sprucerudder::clock::Millis;
 use sprucerudder::workload::{JobKey, Room, Step, Work};
 use std::sync::Arc;
 
-fn submit(site: &mut Site, key: JobKey, step: Step) {
+fn submit(site: &mut Cluster, key: JobKey, step: Step) {
     let (first, every) = (Millis(0), Millis(0));
     let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
     assert!(site.cell.submit(Millis(site.now), key, "q", Arc::new(work)).is_some());
 }
 
 /// The starts that the cell orders now.
-fn starts(site: &mut Site) -> usize {
+fn starts(site: &mut Cluster) -> usize {
     site.cell.schedule(Millis(site.now));
     let actions = site.cell.take_actions();
     actions.iter().filter(|action| matches!(action, Action::Start { .. })).count()
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_job_starts_with_the_write_that_accepts_it() {
-    let mut site = Site::new(2);
+    let mut site = Cluster::new(2);
     submit(&mut site, job(1), step());
     assert_eq!(starts(&mut site), 0, "it is not accepted yet");
     let now = Millis(site.now);
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_job_that_is_given_back_never_starts_and_leaves_its_room() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     let whole = Step { room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
     submit(&mut site, job(1), whole.clone());
     assert_eq!(starts(&mut site), 0);
@@ -49,15 +49,15 @@
     site.cell.keep(now, batch.no);
     assert_eq!(starts(&mut site), 0);
     site.submit_step(job(2), whole);
-    site.play(100);
-    assert_eq!((site.starts(job(1)), site.starts(job(2))), (0, 1));
+    site.run_for(100);
+    assert_eq!((site.start_count(job(1)), site.start_count(job(2))), (0, 1));
 }
 
 #[test]
 fn all_records_of_a_job_that_is_given_back_are_left_out() {
     // The owner leaves out what is of jobs that it gave back. Since jobs find workers while their record is written, that
     // is a binding and a workspace too, under keys of their own.
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     site.submit_for(job(1), step(), "workspace");
     assert_eq!(starts(&mut site), 0);
     let batch = site.cell.take_batch(Millis(site.now)).expect("its records");
@@ -71,7 +71,7 @@
 fn nothing_unaccepted_starts_while_the_store_is_away() {
     // The owner sends starts whose bindings are not kept while the store is away for everybody. A job whose own record
     // is not kept may be given back to its caller, who was then told that it had not run.
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     submit(&mut site, job(1), step());
     assert_eq!(starts(&mut site), 0);
     site.cell.send_unkept(Millis(site.now));
@@ -82,7 +82,7 @@
 fn a_start_that_is_held_back_while_the_store_is_away_goes_out_once_it_is_back() {
     // An owner sent what it could while the store was away, and forgot the starts of jobs that were not accepted yet. The
     // store was back and had them, and they waited for good: nothing else ends the wait of a start that was never sent.
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     submit(&mut site, job(1), step());
     assert_eq!(starts(&mut site), 0);
     let now = Millis(site.now);
@@ -94,10 +94,10 @@
 
 #[test]
 fn a_job_that_is_not_accepted_stops_nothing() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     let saves = Step { saves: true, room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
     site.submit_step(job(1), Step { estimate: Millis(60_000), ..saves.clone() });
-    site.play(40);
+    site.run_for(40);
     submit(&mut site, job(2), saves);
     site.now += 1_000;
     site.cell.schedule(Millis(site.now));
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -18,17 +18,17 @@
 
 const LEASE: Millis = Millis(6_000);
 /// Time between two looks of the site.
-const TICK: u64 = 10;
+const TICK_MS: u64 = 10;
 /// How long after its start a marked task crashes its worker.
-const FUSE: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 /// What workers' clocks show at the begin.
-const CLOCK: u64 = 1_000_000;
+const CLOCK_BASE_MS: u64 = 1_000_000;
 /// Processors of a worker, in thousandths of one.
-const WHOLE: u64 = 16_000;
+const WORKER_MILLICORES: u64 = 16_000;
 /// How long the entry of a life that is over stays in the list: three heartbeats.
-const STALE: u64 = 4_500;
+const STALE_ENTRY_MS: u64 = 4_500;
 /// How long a worker is away after a crash.
-pub const AWAY: u64 = 3_300;
+pub const DOWNTIME_MS: u64 = 3_300;
 
 pub fn job(key: u64) -> JobKey {
     JobKey(key)
@@ -42,45 +42,45 @@
 
 struct Running {
     run: u64,
-    ends: u64,
+    ends_at: u64,
 }
 
 /// A place where one life of a worker follows the other.
 struct Host {
-    life: u64,
+    incarnation: u64,
     running: BTreeMap<TaskKey, Running>,
     ended: Vec<EndedRow>,
-    count: u64,
+    end_count: u64,
     /// It is between two lives until then.
-    away_until: u64,
+    down_until: u64,
     /// When its last life ended.
-    crashed: Option<u64>,
+    crashed_at: Option<u64>,
     /// Nothing passes between it and owners until then.
-    cut_until: u64,
+    partitioned_until: u64,
     /// When everything that runs there ends unless it is renewed.
-    lease: u64,
+    lease_until: u64,
     /// Its processors, in thousandths of one.
     cpu: u64,
 }
 
 /// A site with one cell and its owner.
-pub struct Site {
+pub struct Cluster {
     pub now: u64,
     cell: Cell,
     hosts: Vec<Host>,
     store: BTreeMap<String, Vec<u8>>,
     /// The store takes nothing until then; starts go out all the same.
-    store_away: u64,
+    store_down: u64,
     /// The store takes nothing until then, and starts wait for it.
-    store_held: u64,
-    is_deaf: bool,
-    most: usize,
-    bad: BTreeSet<(JobKey, u32)>,
+    store_stalled: u64,
+    ignores_stops: bool,
+    max_running: usize,
+    crash_tasks: BTreeSet<(JobKey, u32)>,
     starts: Vec<(u64, TaskKey, usize)>,
     pub crashes: usize,
     epoch: u64,
     /// Lives that the owner asks for reports.
-    watched: BTreeSet<Name>,
+    polled: BTreeSet<Name>,
 }
 
 fn queue() -> Arc<Queue> {
@@ -95,41 +95,41 @@
     })
 }
 
-impl Site {
+impl Cluster {
     pub fn new(workers: usize) -> Self {
         let host = |_| Host {
-            life: 1,
+            incarnation: 1,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            count: 0,
-            away_until: 0,
-            crashed: None,
-            cut_until: 0,
-            lease: 0,
-            cpu: WHOLE,
+            end_count: 0,
+            down_until: 0,
+            crashed_at: None,
+            partitioned_until: 0,
+            lease_until: 0,
+            cpu: WORKER_MILLICORES,
         };
-        let mut site = Self {
+        let mut cluster = Self {
             now: 1,
-            cell: owner(1, Snapshot::default(), false, 1),
+            cell: new_owner(1, Snapshot::default(), false, 1),
             hosts: (0..workers).map(host).collect(),
             store: BTreeMap::new(),
-            store_away: 0,
-            store_held: 0,
-            is_deaf: false,
-            most: 0,
-            bad: BTreeSet::new(),
+            store_down: 0,
+            store_stalled: 0,
+            ignores_stops: false,
+            max_running: 0,
+            crash_tasks: BTreeSet::new(),
             starts: Vec::new(),
             crashes: 0,
             epoch: 1,
-            watched: BTreeSet::new(),
+            polled: BTreeSet::new(),
         };
-        site.play(100);
-        site
+        cluster.run_for(100);
+        cluster
     }
 
     /// Each worker crashes that starts this task of a job.
-    pub fn crashes_under(&mut self, job: JobKey, index: u32) {
-        self.bad.insert((job, index));
+    pub fn mark_crashing(&mut self, job: JobKey, index: u32) {
+        self.crash_tasks.insert((job, index));
     }
 
     pub fn submit(&mut self, job: JobKey, steps: Vec<Step>) {
@@ -171,40 +171,40 @@
     }
 
     /// A worker crashes by itself.
-    pub fn crash(&mut self, no: usize) {
-        let host = &mut self.hosts[no];
+    pub fn crash(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.running.clear();
         host.ended.clear();
-        host.count = 0;
-        host.away_until = self.now + AWAY;
-        host.crashed = Some(self.now);
+        host.end_count = 0;
+        host.down_until = self.now + DOWNTIME_MS;
+        host.crashed_at = Some(self.now);
         self.crashes += 1;
     }
 
     /// Nothing passes between a worker and owners for so long.
-    pub fn cut(&mut self, no: usize, length: u64) {
-        self.hosts[no].cut_until = self.now + length;
+    pub fn partition(&mut self, index: usize, length: u64) {
+        self.hosts[index].partitioned_until = self.now + length;
     }
 
     /// Workers on which a job runs.
     pub fn workers_of(&self, job: JobKey) -> Vec<usize> {
         let runs = |host: &Host| host.running.keys().any(|task| task.step.job == job);
-        (0..self.hosts.len()).filter(|no| runs(&self.hosts[*no])).collect()
+        (0..self.hosts.len()).filter(|index| runs(&self.hosts[*index])).collect()
     }
 
     /// The store takes nothing for so long, and the owner goes on by the word of the others.
-    pub fn lose_store(&mut self, length: u64) {
-        self.store_away = self.now + length;
+    pub fn start_outage(&mut self, length: u64) {
+        self.store_down = self.now + length;
     }
 
     /// The store answers nothing for so long, and starts wait for it.
-    pub fn hold_store(&mut self, length: u64) {
-        self.store_held = self.now + length;
+    pub fn stall_store(&mut self, length: u64) {
+        self.store_stalled = self.now + length;
     }
 
     /// A worker lists another number of processors from now on.
-    pub fn resize(&mut self, no: usize, cpu: u64) {
-        self.hosts[no].cpu = cpu;
+    pub fn resize(&mut self, index: usize, cpu: u64) {
+        self.hosts[index].cpu = cpu;
     }
 
     /// Tasks of a job that run now.
@@ -219,13 +219,13 @@
     }
 
     /// The most tasks that ran at once since the first room shrank.
-    pub fn most_at_once(&self) -> usize {
-        self.most
+    pub fn max_running(&self) -> usize {
+        self.max_running
     }
 
     /// As [`Self::take_over`], but stops are not obeyed from then on.
-    pub fn take_over_deaf(&mut self) {
-        self.is_deaf = true;
+    pub fn take_over_ignoring_stops(&mut self) {
+        self.ignores_stops = true;
         self.take_over();
     }
 
@@ -233,8 +233,8 @@
     pub fn pause(&mut self, length: u64) {
         let until = self.now + length;
         while self.now < until {
-            self.now += TICK;
-            self.run_workers();
+            self.now += TICK_MS;
+            self.advance_workers();
         }
         self.cell.wake(Millis(self.now));
     }
@@ -246,87 +246,87 @@
         for (key, value) in &self.store {
             snapshot.add(key, value).expect("a record of ours");
         }
-        self.cell = owner(self.epoch, snapshot, true, self.now);
-        self.watched.clear();
-        self.list();
+        self.cell = new_owner(self.epoch, snapshot, true, self.now);
+        self.polled.clear();
+        self.publish_list();
     }
 
     /// The records as an older version leaves them: keys that it does not know are gone.
-    pub fn keep_records(&mut self, is_kept: impl Fn(&str) -> bool) {
+    pub fn retain_records(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.store.retain(|key, _| is_kept(key));
     }
 
     /// Plays on for so long.
-    pub fn play(&mut self, length: u64) {
+    pub fn run_for(&mut self, length: u64) {
         let until = self.now + length;
         while self.now < until {
-            self.now += TICK;
-            self.run_workers();
-            self.list();
+            self.now += TICK_MS;
+            self.advance_workers();
+            self.publish_list();
             self.cell.tick(Millis(self.now), Millis(self.now));
-            self.report();
+            self.poll_reports();
             self.cell.schedule(Millis(self.now));
-            self.write();
-            self.obey();
+            self.write_batches();
+            self.execute_actions();
         }
     }
 
-    fn run_workers(&mut self) {
-        for no in 0..self.hosts.len() {
+    fn advance_workers(&mut self) {
+        for index in 0..self.hosts.len() {
             let now = self.now;
-            let host = &mut self.hosts[no];
-            if host.away_until > 0 && host.away_until <= now {
-                host.away_until = 0;
-                host.life += 1;
+            let host = &mut self.hosts[index];
+            if host.down_until > 0 && host.down_until <= now {
+                host.down_until = 0;
+                host.incarnation += 1;
             }
             let over: Vec<TaskKey> = host
                 .running
                 .iter()
-                .filter(|(_, running)| running.ends <= now)
+                .filter(|(_, running)| running.ends_at <= now)
                 .map(|(task, _)| *task)
                 .collect();
-            if over.iter().any(|task| self.bad.contains(&(task.step.job, task.index))) {
-                self.crash(no);
+            if over.iter().any(|task| self.crash_tasks.contains(&(task.step.job, task.index))) {
+                self.crash(index);
                 continue;
             }
-            let host = &mut self.hosts[no];
-            if host.lease <= now {
+            let host = &mut self.hosts[index];
+            if host.lease_until <= now {
                 host.running.clear();
             }
             for task in over {
                 let Some(running) = host.running.remove(&task) else { continue };
-                host.count += 1;
-                let (no, run) = (host.count, running.run);
+                host.end_count += 1;
+                let (no, run) = (host.end_count, running.run);
                 host.ended.push(EndedRow { no, task, run, end: End::Done, saved: "".into() });
             }
         }
     }
 
     /// The lives of a host that are listed: also one that is over, for a while.
-    fn ids(&self, no: usize) -> Vec<Name> {
-        let host = &self.hosts[no];
-        let id = |life: u64| Name::from(format!("w{no}.{life}"));
-        let is_stale = host.crashed.is_some_and(|at| self.now - at < STALE);
-        match host.away_until > self.now {
-            true if is_stale => vec![id(host.life)],
+    fn listed_ids(&self, index: usize) -> Vec<Name> {
+        let host = &self.hosts[index];
+        let id = |life: u64| Name::from(format!("w{index}.{life}"));
+        let is_stale = host.crashed_at.is_some_and(|at| self.now - at < STALE_ENTRY_MS);
+        match host.down_until > self.now {
+            true if is_stale => vec![id(host.incarnation)],
             true => Vec::new(),
-            false if is_stale => vec![id(host.life - 1), id(host.life)],
-            false => vec![id(host.life)],
+            false if is_stale => vec![id(host.incarnation - 1), id(host.incarnation)],
+            false => vec![id(host.incarnation)],
         }
     }
 
-    fn list(&mut self) {
-        let lives = (0..self.hosts.len()).flat_map(|no| {
-            let ids = self.ids(no).into_iter();
-            ids.map(move |id| (no, id))
+    fn publish_list(&mut self) {
+        let lives = (0..self.hosts.len()).flat_map(|index| {
+            let listed_ids = self.listed_ids(index).into_iter();
+            listed_ids.map(move |id| (index, id))
         });
-        let listed = lives.map(|(no, id)| Listed {
+        let listed = lives.map(|(index, id)| Listed {
             id,
             born: None,
             service: "s".into(),
-            addr: format!("a{no}").into(),
-            domain: format!("d{}", no % 3).into(),
-            room: Room { cpu: self.hosts[no].cpu, mem: 32_000, gpu: 0 },
+            addr: format!("a{index}").into(),
+            domain: format!("d{}", index % 3).into(),
+            room: Room { cpu: self.hosts[index].cpu, mem: 32_000, gpu: 0 },
             labels: vec!["a".into(), "r1".into()],
             leaving: None,
         });
@@ -335,33 +335,35 @@
     }
 
     /// What an owner meets that calls a life: the host's number, or why there is no answer.
-    fn call(&self, worker: &Name) -> Result<usize, HoldError> {
-        let (no, life) = worker[1..].split_once('.').expect("a worker's id");
-        let no: usize = no.parse().expect("a number");
-        let host = &self.hosts[no];
+    fn call_worker(&self, worker: &Name) -> Result<usize, HoldError> {
+        let (index, life) = worker[1..].split_once('.').expect("a worker's id");
+        let index: usize = index.parse().expect("a number");
+        let host = &self.hosts[index];
         match () {
-            () if host.cut_until > self.now => Err(HoldError::Silent("cut".to_string())),
-            () if host.away_until > self.now => Err(HoldError::Silent("away".to_string())),
-            () if life != host.life.to_string() => Err(HoldError::Refused(Refusal::OtherLife)),
-            () => Ok(no),
+            () if host.partitioned_until > self.now => Err(HoldError::Silent("cut".to_string())),
+            () if host.down_until > self.now => Err(HoldError::Silent("away".to_string())),
+            () if life != host.incarnation.to_string() => {
+                Err(HoldError::Refused(Refusal::OtherLife))
+            }
+            () => Ok(index),
         }
     }
 
-    fn report(&mut self) {
+    fn poll_reports(&mut self) {
         let now = Millis(self.now);
-        for name in self.watched.clone() {
+        for name in self.polled.clone() {
             let Some(hold) = self.cell.hold(now, &name, true) else { continue };
-            let result = self.call(&name);
+            let result = self.call_worker(&name);
             match result {
                 Err(err) => drop(self.cell.unheld(now, &name, &err)),
-                Ok(no) => {
-                    self.renew(no, hold.until);
-                    let host = &mut self.hosts[no];
+                Ok(index) => {
+                    self.renew_lease(index, hold.until);
+                    let host = &mut self.hosts[index];
                     host.ended.retain(|row| row.no > hold.seen);
                     let row =
                         |(task, running): (&TaskKey, &Running)| rows::running(*task, running.run);
                     let running = host.running.iter().map(row).collect();
-                    let clock = CLOCK + now.0;
+                    let clock = CLOCK_BASE_MS + now.0;
                     let report =
                         Report { clock, running, ended: host.ended.clone(), ..Report::default() };
                     self.cell.held(now, now, &name, &report);
@@ -371,16 +373,16 @@
     }
 
     /// A worker's leases go on until a time on its clock.
-    fn renew(&mut self, no: usize, until: Option<u64>) {
-        let host = &mut self.hosts[no];
-        host.lease = host.lease.max(until.unwrap_or(0).saturating_sub(CLOCK));
+    fn renew_lease(&mut self, index: usize, until: Option<u64>) {
+        let host = &mut self.hosts[index];
+        host.lease_until = host.lease_until.max(until.unwrap_or(0).saturating_sub(CLOCK_BASE_MS));
     }
 
-    fn write(&mut self) {
-        if self.store_held > self.now {
+    fn write_batches(&mut self) {
+        if self.store_stalled > self.now {
             return;
         }
-        if self.store_away > self.now {
+        if self.store_down > self.now {
             self.cell.send_unkept(Millis(self.now));
             return;
         }
@@ -395,55 +397,55 @@
         }
     }
 
-    fn obey(&mut self) {
+    fn execute_actions(&mut self) {
         let now = Millis(self.now);
         for action in self.cell.take_actions() {
             match action {
                 Action::Start { worker, start, until } => {
                     let length = start.spec.parse().expect("a number of milliseconds");
-                    let outcome = match self.call(&worker) {
-                        Ok(no) => {
-                            self.renew(no, Some(until));
-                            self.start(no, start.task, start.run, length)
+                    let outcome = match self.call_worker(&worker) {
+                        Ok(index) => {
+                            self.renew_lease(index, Some(until));
+                            self.start_run(index, start.task, start.run, length)
                         }
-                        Err(HoldError::Refused(why)) => Outcome::Refused(why),
+                        Err(HoldError::Refused(refusal)) => Outcome::Refused(refusal),
                         Err(HoldError::Silent(_)) => Outcome::Unknown,
                     };
                     self.cell.started(now, &worker, start.task, start.run, outcome);
                 }
                 Action::Stop { worker, task, run } => {
-                    let outcome = match self.call(&worker) {
-                        Ok(_) if self.is_deaf => Outcome::Unknown,
-                        Ok(no) => {
-                            self.hosts[no].running.remove(&task);
+                    let outcome = match self.call_worker(&worker) {
+                        Ok(_) if self.ignores_stops => Outcome::Unknown,
+                        Ok(index) => {
+                            self.hosts[index].running.remove(&task);
                             Outcome::Done(None)
                         }
-                        Err(HoldError::Refused(why)) => Outcome::Refused(why),
+                        Err(HoldError::Refused(refusal)) => Outcome::Refused(refusal),
                         Err(HoldError::Silent(_)) => Outcome::Unknown,
                     };
                     self.cell.stopped(now, &worker, task, run, outcome);
                 }
-                Action::Watch(listed) => drop(self.watched.insert(listed.id)),
-                Action::Unwatch(worker) => drop(self.watched.remove(&worker)),
+                Action::Watch(listed) => drop(self.polled.insert(listed.id)),
+                Action::Unwatch(worker) => drop(self.polled.remove(&worker)),
                 _ => {}
             }
         }
     }
 
     /// A start that a worker carries out. It is not answered if the worker crashes under it.
-    fn start(&mut self, no: usize, task: TaskKey, run: u64, length: u64) -> Outcome {
-        self.starts.push((self.now, task, no));
-        let is_bad = self.bad.contains(&(task.step.job, task.index));
-        let length = if is_bad { FUSE } else { length };
-        self.hosts[no].running.insert(task, Running { run, ends: self.now + length });
-        if self.hosts.iter().any(|host| host.cpu < WHOLE) {
-            self.most = self.most.max(self.running());
+    fn start_run(&mut self, index: usize, task: TaskKey, run: u64, length: u64) -> Outcome {
+        self.starts.push((self.now, task, index));
+        let crashes = self.crash_tasks.contains(&(task.step.job, task.index));
+        let length = if crashes { CRASH_DELAY_MS } else { length };
+        self.hosts[index].running.insert(task, Running { run, ends_at: self.now + length });
+        if self.hosts.iter().any(|host| host.cpu < WORKER_MILLICORES) {
+            self.max_running = self.max_running.max(self.running());
         }
-        if is_bad { Outcome::Unknown } else { Outcome::Done(None) }
+        if crashes { Outcome::Unknown } else { Outcome::Done(None) }
     }
 }
 
-fn owner(epoch: u64, snapshot: Snapshot, doubt: bool, now: u64) -> Cell {
+fn new_owner(epoch: u64, snapshot: Snapshot, doubt: bool, now: u64) -> Cell {
     let bounds =
         Bounds { lease: LEASE, lease_max: LEASE, keep: Millis(600_000), off: Off::default() };
     let low = Queue { name: "low".into(), priority: 2, ..(*queue()).clone() };
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -16,15 +16,15 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-pub const LEASE: u64 = 6_000;
+pub const LEASE_MS: u64 = 6_000;
 /// How long a task runs.
-pub const LENGTH: u64 = 300;
+pub const RUN_MS: u64 = 300;
 /// Time between two looks at the world.
-const STEP: u64 = 20;
+const STEP_MS: u64 = 20;
 /// Time between two reports of a worker.
-const REPORT: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 100;
 /// Time between two looks of the owner at the list.
-const LIST: u64 = 400;
+const LIST_INTERVAL_MS: u64 = 400;
 
 pub fn job(key: u64) -> JobKey {
     JobKey(key)
@@ -33,74 +33,74 @@
 /// A worker. What dies with its process is in `life`.
 struct Host {
     id: Name,
-    room: u64,
-    life: Life,
+    cpu: u64,
+    incarnation: Incarnation,
     /// It is between two lives, or behind a cut, until then.
-    away_until: u64,
+    unreachable_until: u64,
     /// Its entry in the list tells of this life.
-    listed: u64,
+    listed_born: u64,
     /// Reports that are lost from now on.
-    lost: u32,
+    lost_reports: u32,
 }
 
 #[derive(Default)]
-struct Life {
+struct Incarnation {
     born: u64,
-    began: u64,
+    started_at: u64,
     fence: u64,
-    lease: u64,
+    lease_until: u64,
     running: BTreeMap<TaskKey, (u64, u64)>,
     ended: Vec<EndedRow>,
-    count: u64,
+    end_count: u64,
     barred: BTreeMap<TaskKey, u64>,
 }
 
-impl Life {
+impl Incarnation {
     /// Its clock begins anew.
     fn clock(&self, now: u64) -> u64 {
-        1 + now - self.began
+        1 + now - self.started_at
     }
 }
 
-pub struct Site {
+pub struct Cluster {
     pub now: u64,
     pub cell: Cell,
     epoch: u64,
     hosts: Vec<Host>,
-    watched: BTreeSet<Name>,
+    polled: BTreeSet<Name>,
     starts: BTreeMap<TaskKey, Vec<(u64, Name, u64)>>,
     store: BTreeMap<String, Vec<u8>>,
     /// Orders to this worker are carried out so much later, and not answered.
-    pub late: BTreeMap<usize, u64>,
-    on_their_way: Vec<(u64, Action, u64)>,
+    pub order_delays: BTreeMap<usize, u64>,
+    in_flight: Vec<(u64, Action, u64)>,
     pub confirmed: Vec<(Name, u64)>,
     advice: Option<Advice>,
     /// Workers that the advice service clears, by id; all if empty.
-    pub good: BTreeSet<Name>,
-    pub asked: Vec<Vec<Name>>,
+    pub cleared_workers: BTreeSet<Name>,
+    pub questions: Vec<Vec<Name>>,
     /// Answers of the advice service that are lost from now on.
-    pub unanswered: u32,
+    pub lost_answers: u32,
     /// Workers that starts were sent to, in order.
-    pub sent: Vec<usize>,
+    pub start_targets: Vec<usize>,
     /// Starts reach nobody and are not answered.
     pub loses_starts: bool,
     /// Workers tell when they started.
-    tells_births: bool,
+    reports_born: bool,
     /// Workers at which every task fails.
-    pub grey: BTreeSet<usize>,
+    pub failing: BTreeSet<usize>,
     /// Jobs whose tasks run on, but for those at workers that fail all.
-    pub lasting: BTreeSet<JobKey>,
+    pub lasting_jobs: BTreeSet<JobKey>,
     /// The list is as it was.
-    held: Option<Vec<Listed>>,
+    frozen_list: Option<Vec<Listed>>,
     /// What began and ended, and what was confirmed as done.
-    spans: Vec<Span>,
+    spans: Vec<RunSpan>,
     accepted: BTreeSet<JobKey>,
     /// What the next owner learns from the policy.
     pub workspaces: Workspaces,
 }
 
 /// A run as the platform sees it.
-struct Span {
+struct RunSpan {
     task: TaskKey,
     run: u64,
     from: u64,
@@ -111,70 +111,70 @@
 
 fn bounds() -> Bounds {
     Bounds {
-        lease: Millis(LEASE),
+        lease: Millis(LEASE_MS),
         lease_max: Millis(10_000),
         keep: Millis(1_000_000),
         off: Off::default(),
     }
 }
 
-impl Site {
+impl Cluster {
     pub fn new(workers: usize) -> Self {
-        Self::with(workers, None, true)
+        Self::build(workers, None, true)
     }
 
     /// A site whose workers do not tell when they started: a process that starts again has another id.
-    pub fn without_births(workers: usize) -> Self {
-        Self::with(workers, None, false)
+    pub fn without_start_times(workers: usize) -> Self {
+        Self::build(workers, None, false)
     }
 
     /// A site whose queue is under the policy of an advice service.
-    pub fn advised(workers: usize) -> Self {
+    pub fn with_advice(workers: usize) -> Self {
         let advice = Advice { base: Millis(20), each: 0, valid: Millis(60_000) };
-        Self::with(workers, Some(advice), true)
+        Self::build(workers, Some(advice), true)
     }
 
-    fn with(workers: usize, advice: Option<Advice>, tells_births: bool) -> Self {
-        let host = |no: usize| Host {
-            id: format!("w{no}").into(),
-            room: 4_000,
-            life: Life { born: 1_000 + no as u64, ..Life::default() },
-            away_until: 0,
-            listed: 1_000 + no as u64,
-            lost: 0,
+    fn build(workers: usize, advice: Option<Advice>, reports_born: bool) -> Self {
+        let host = |index: usize| Host {
+            id: format!("w{index}").into(),
+            cpu: 4_000,
+            incarnation: Incarnation { born: 1_000 + index as u64, ..Incarnation::default() },
+            unreachable_until: 0,
+            listed_born: 1_000 + index as u64,
+            lost_reports: 0,
         };
         let cell = Cell::new(1, bounds(), queues(advice), Snapshot::default(), false, Millis(0));
-        let mut site = Self {
+        let mut cluster = Self {
             now: 0,
             cell,
             epoch: 1,
             hosts: (0..workers).map(host).collect(),
-            watched: BTreeSet::new(),
+            polled: BTreeSet::new(),
             starts: BTreeMap::new(),
             store: BTreeMap::new(),
-            late: BTreeMap::new(),
-            on_their_way: Vec::new(),
+            order_delays: BTreeMap::new(),
+            in_flight: Vec::new(),
             confirmed: Vec::new(),
             advice,
-            good: BTreeSet::new(),
-            asked: Vec::new(),
-            unanswered: 0,
-            sent: Vec::new(),
+            cleared_workers: BTreeSet::new(),
+            questions: Vec::new(),
+            lost_answers: 0,
+            start_targets: Vec::new(),
             loses_starts: false,
-            tells_births,
-            grey: BTreeSet::new(),
-            lasting: BTreeSet::new(),
-            held: None,
+            reports_born,
+            failing: BTreeSet::new(),
+            lasting_jobs: BTreeSet::new(),
+            frozen_list: None,
             spans: Vec::new(),
             accepted: BTreeSet::new(),
             workspaces: Workspaces::default(),
         };
         if advice.is_some() {
-            site.cell.join("entry".into(), true);
+            cluster.cell.join("entry".into(), true);
         }
-        site.list();
-        site.play(1_000);
-        site
+        cluster.publish_list();
+        cluster.run_for(1_000);
+        cluster
     }
 
     /// A job of one task.
@@ -198,7 +198,7 @@
 
     /// How many tasks run.
     pub fn running(&self) -> usize {
-        self.hosts.iter().map(|host| host.life.running.len()).sum()
+        self.hosts.iter().map(|host| host.incarnation.running.len()).sum()
     }
 
     pub fn state(&self, key: JobKey) -> Option<State> {
@@ -206,62 +206,67 @@
     }
 
     /// How often the tasks of a job were started.
-    pub fn starts(&self, key: JobKey) -> usize {
+    pub fn start_count(&self, key: JobKey) -> usize {
         let of_job = self.starts.iter().filter(|(task, _)| task.step.job == key);
         of_job.map(|(_, starts)| starts.len()).sum()
     }
 
     /// When tasks were started at a worker after a time.
-    pub fn first_start_at(&self, no: usize, after: u64) -> Option<u64> {
+    pub fn first_start_on(&self, index: usize, after: u64) -> Option<u64> {
         let all = self.starts.values().flatten();
-        all.filter(|(at, id, _)| *at >= after && *id == self.hosts[no].id).map(|(at, ..)| *at).min()
+        all.filter(|(at, id, _)| *at >= after && *id == self.hosts[index].id)
+            .map(|(at, ..)| *at)
+            .min()
     }
 
     /// A worker crashes, and is back under its id after a time, with a life that began earlier by its own
     /// time of day.
-    pub fn restart(&mut self, no: usize, away: u64) {
-        let host = &mut self.hosts[no];
+    pub fn restart(&mut self, index: usize, downtime: u64) {
+        let host = &mut self.hosts[index];
         let now = self.now;
         for span in self.spans.iter_mut().filter(|span| span.until == u64::MAX) {
-            if host.life.running.get(&span.task).is_some_and(|(run, _)| *run == span.run) {
+            if host.incarnation.running.get(&span.task).is_some_and(|(run, _)| *run == span.run) {
                 span.until = now;
             }
         }
-        let born = host.life.born - 7;
-        host.life = Life { born, began: self.now + away, ..Life::default() };
-        host.away_until = self.now + away;
-        let (listed, at) = (born, self.now + away);
-        self.on_their_way.push((at, Action::Look(host.id.clone()), listed));
+        let born = host.incarnation.born - 7;
+        host.incarnation =
+            Incarnation { born, started_at: self.now + downtime, ..Incarnation::default() };
+        host.unreachable_until = self.now + downtime;
+        let (listed, at) = (born, self.now + downtime);
+        self.in_flight.push((at, Action::Look(host.id.clone()), listed));
     }
 
     /// The worker where a job's task runs.
     pub fn host_of(&self, key: JobKey) -> usize {
-        let runs = |host: &Host| host.life.running.keys().any(|task| task.step.job == key);
+        let runs = |host: &Host| host.incarnation.running.keys().any(|task| task.step.job == key);
         self.hosts.iter().position(runs).expect("a running task")
     }
 
     pub fn is_running(&self, key: JobKey) -> bool {
-        self.hosts.iter().any(|host| host.life.running.keys().any(|task| task.step.job == key))
+        self.hosts
+            .iter()
+            .any(|host| host.incarnation.running.keys().any(|task| task.step.job == key))
     }
 
     /// Plays until a job's task runs, for two seconds at most, and then the worker crashes.
-    pub fn crash_when_running(&mut self, no: usize, key: JobKey) {
+    pub fn crash_when_running(&mut self, index: usize, key: JobKey) {
         let until = self.now + 2_000;
         while self.now < until && !self.is_running(key) {
-            self.play(STEP);
+            self.run_for(STEP_MS);
         }
         if self.is_running(key) {
-            self.restart(no, 100);
+            self.restart(index, 100);
         }
     }
 
     /// Whether the list stays as it is.
-    pub fn hold_list(&mut self, is_held: bool) {
-        self.held = is_held.then(|| self.entries());
+    pub fn freeze_list(&mut self, is_frozen: bool) {
+        self.frozen_list = is_frozen.then(|| self.list_entries());
     }
 
     /// Whether a task of a job ran twice at once.
-    pub fn has_overlapped(&self, key: JobKey) -> bool {
+    pub fn ran_concurrently(&self, key: JobKey) -> bool {
         let of_job = || self.spans.iter().filter(|span| span.task.step.job == key);
         of_job().any(|one| {
             of_job().any(|other| {
@@ -287,7 +292,7 @@
     }
 
     /// Whether a task of a job started again though it was done, and that was confirmed.
-    pub fn was_redone(&self, key: JobKey) -> bool {
+    pub fn was_repeated(&self, key: JobKey) -> bool {
         let of_job = || self.spans.iter().filter(|span| span.task.step.job == key);
         of_job().any(|one| {
             let again = of_job().any(|other| other.task == one.task && other.from > one.until);
@@ -296,26 +301,26 @@
     }
 
     /// A job that was accepted is completed.
-    pub fn is_known_or_unkept(&self, key: JobKey) -> bool {
+    pub fn is_completed_if_accepted(&self, key: JobKey) -> bool {
         let is_completed = self.state(key)
             == Some(State::Closed(sprucerudder::cell::records::journal::Fate::Completed));
         is_completed || !self.accepted.contains(&key)
     }
 
     /// As [`Site::restart`], with another room.
-    pub fn restart_with(&mut self, no: usize, away: u64, room: u64) {
-        self.restart(no, away);
-        self.hosts[no].room = room;
+    pub fn restart_resized(&mut self, index: usize, downtime: u64, cpu: u64) {
+        self.restart(index, downtime);
+        self.hosts[index].cpu = cpu;
     }
 
     /// A worker is behind a cut for a time.
-    pub fn cut(&mut self, no: usize, length: u64) {
-        self.hosts[no].away_until = self.now + length;
+    pub fn partition(&mut self, index: usize, length: u64) {
+        self.hosts[index].unreachable_until = self.now + length;
     }
 
     /// The next reports of a worker do not come.
-    pub fn lose_reports(&mut self, no: usize, count: u32) {
-        self.hosts[no].lost = count;
+    pub fn lose_reports(&mut self, index: usize, count: u32) {
+        self.hosts[index].lost_reports = count;
     }
 
     /// Another entry owns the cell.
@@ -331,69 +336,70 @@
         if self.advice.is_some() {
             self.cell.join("entry".into(), true);
         }
-        self.watched.clear();
-        self.list();
+        self.polled.clear();
+        self.publish_list();
     }
 
-    pub fn play(&mut self, length: u64) {
+    pub fn run_for(&mut self, length: u64) {
         let end = self.now + length;
         while self.now < end {
-            self.now += STEP;
-            self.arrive();
-            self.work();
-            if self.now % LIST == 0 {
-                self.list();
+            self.now += STEP_MS;
+            self.deliver_in_flight();
+            self.advance_workers();
+            if self.now % LIST_INTERVAL_MS == 0 {
+                self.publish_list();
             }
-            if self.now % REPORT == 0 {
-                self.report();
+            if self.now % REPORT_INTERVAL_MS == 0 {
+                self.poll_reports();
                 let now = Millis(self.now);
                 self.cell.tick(now, now);
             }
-            self.write();
+            self.write_batches();
             self.cell.schedule(Millis(self.now));
-            self.write();
-            self.obey();
+            self.write_batches();
+            self.execute_actions();
         }
     }
 
-    fn list(&mut self) {
-        let entries = self.held.clone().unwrap_or_else(|| self.entries());
+    fn publish_list(&mut self) {
+        let entries = self.frozen_list.clone().unwrap_or_else(|| self.list_entries());
         self.cell.set_workers(Millis(self.now), entries);
     }
 
-    fn entries(&self) -> Vec<Listed> {
+    fn list_entries(&self) -> Vec<Listed> {
         let entry = |host: &Host| Listed {
             id: host.id.clone(),
-            born: self.tells_births.then_some(Millis(host.listed)),
+            born: self.reports_born.then_some(Millis(host.listed_born)),
             service: "s".into(),
             addr: host.id.clone(),
             domain: "d".into(),
-            room: Room { cpu: host.room, mem: 32_000, gpu: 0 },
+            room: Room { cpu: host.cpu, mem: 32_000, gpu: 0 },
             labels: vec!["a".into(), "r1".into()],
             leaving: None,
         };
         self.hosts.iter().map(entry).collect()
     }
 
-    fn work(&mut self) {
-        for (no, host) in self.hosts.iter_mut().enumerate() {
-            let life = &mut host.life;
-            let is_grey = self.grey.contains(&no);
-            let over = life.clock(self.now.max(life.began)) >= life.lease;
-            let lasts = |task: &TaskKey| !is_grey && self.lasting.contains(&task.step.job);
+    fn advance_workers(&mut self) {
+        for (index, host) in self.hosts.iter_mut().enumerate() {
+            let incarnation = &mut host.incarnation;
+            let is_failing = self.failing.contains(&index);
+            let over =
+                incarnation.clock(self.now.max(incarnation.started_at)) >= incarnation.lease_until;
+            let lasts = |task: &TaskKey| !is_failing && self.lasting_jobs.contains(&task.step.job);
             let is_over = |(task, (_, until)): &(&TaskKey, &(u64, u64))| {
                 over || (*until <= self.now && !lasts(task))
             };
             let done: Vec<TaskKey> =
-                life.running.iter().filter(is_over).map(|(task, _)| *task).collect();
+                incarnation.running.iter().filter(is_over).map(|(task, _)| *task).collect();
             for task in done {
                 let end = match () {
                     () if over => End::Lapsed,
-                    () if is_grey => End::Failed,
+                    () if is_failing => End::Failed,
                     () => End::Done,
                 };
-                let run = life.running.get(&task).map(|(run, _)| *run);
-                life.end(task, end);
+                let run = incarnation.running.get(&task).map(|(run, _)| *run);
+                incarnation.end_run(task, end);
                 for span in &mut self.spans {
                     if span.task == task && Some(span.run) == run && span.until == u64::MAX {
                         (span.until, span.is_done) = (self.now, end == End::Done);
@@ -403,43 +409,46 @@
         }
     }
 
-    fn host(&self, id: &Name) -> usize {
+    fn host_index(&self, id: &Name) -> usize {
         self.hosts.iter().position(|host| host.id == *id).expect("a known worker")
     }
 
-    fn report(&mut self) {
+    fn poll_reports(&mut self) {
         let now = Millis(self.now);
-        for id in self.watched.clone() {
+        for id in self.polled.clone() {
             let Some(hold) = self.cell.hold(now, &id, true) else { continue };
-            let no = self.host(&id);
-            let host = &mut self.hosts[no];
-            if host.away_until > self.now || host.lost > 0 {
-                host.lost = host.lost.saturating_sub(1);
+            let index = self.host_index(&id);
+            let host = &mut self.hosts[index];
+            if host.unreachable_until > self.now || host.lost_reports > 0 {
+                host.lost_reports = host.lost_reports.saturating_sub(1);
                 let silent = HoldError::Silent("nothing came".to_string());
                 self.cell.unheld(now, &id, &silent);
                 continue;
             }
-            let life = &mut host.life;
-            life.fence = life.fence.max(self.epoch);
-            life.lease = life.lease.max(hold.until.unwrap_or(0).min(life.clock(now.0) + 10_000));
-            for row in life.ended.iter().filter(|row| row.no <= hold.seen) {
-                let of_row = |span: &&mut Span| span.task == row.task && span.run == row.run;
+            let incarnation = &mut host.incarnation;
+            incarnation.fence = incarnation.fence.max(self.epoch);
+            incarnation.lease_until = incarnation
+                .lease_until
+                .max(hold.until.unwrap_or(0).min(incarnation.clock(now.0) + 10_000));
+            for row in incarnation.ended.iter().filter(|row| row.no <= hold.seen) {
+                let of_row = |span: &&mut RunSpan| span.task == row.task && span.run == row.run;
                 self.spans.iter_mut().filter(of_row).for_each(|span| span.is_confirmed = true);
             }
-            life.ended.retain(|row| row.no > hold.seen);
+            incarnation.ended.retain(|row| row.no > hold.seen);
             self.confirmed.push((id.clone(), hold.seen));
-            let running = life.running.iter().map(|(task, (run, _))| rows::running(*task, *run));
+            let running =
+                incarnation.running.iter().map(|(task, (run, _))| rows::running(*task, *run));
             let report = Report {
-                born: self.tells_births.then_some(Millis(life.born)),
-                clock: life.clock(now.0),
+                born: self.reports_born.then_some(Millis(incarnation.born)),
+                clock: incarnation.clock(now.0),
                 running: running.collect(),
-                ended: life.ended.clone(),
+                ended: incarnation.ended.clone(),
             };
             self.cell.held(now, now, &id, &report);
         }
     }
 
-    fn write(&mut self) {
+    fn write_batches(&mut self) {
         while let Some(batch) = self.cell.take_batch(Millis(self.now)) {
             for (key, value) in batch.records {
                 if let Ok(job) = key.parse::<JobKey>() {
@@ -454,42 +463,44 @@
         }
     }
 
-    fn obey(&mut self) {
+    fn execute_actions(&mut self) {
         let now = Millis(self.now);
         for action in self.cell.take_actions() {
             match action {
-                Action::Watch(listed) => drop(self.watched.insert(listed.id)),
-                Action::Unwatch(id) => drop(self.watched.remove(&id)),
+                Action::Watch(listed) => drop(self.polled.insert(listed.id)),
+                Action::Unwatch(id) => drop(self.polled.remove(&id)),
                 Action::Ask { entry, question } => {
-                    self.asked.push(question.workers.clone());
-                    if self.unanswered > 0 {
-                        self.unanswered -= 1;
+                    self.questions.push(question.workers.clone());
+                    if self.lost_answers > 0 {
+                        self.lost_answers -= 1;
                         continue;
                     }
                     let named = question.workers.iter();
-                    let good = named.filter(|id| self.good.is_empty() || self.good.contains(*id));
-                    let rows = good.map(|id| (id.clone(), "ticket".into())).collect();
+                    let cleared = named.filter(|id| {
+                        self.cleared_workers.is_empty() || self.cleared_workers.contains(*id)
+                    });
+                    let rows = cleared.map(|id| (id.clone(), "ticket".into())).collect();
                     let answer = sprucerudder::order::Cleared { rows, valid: None };
                     let (step, named) = (question.step, &question.workers);
                     self.cell.advised(now, &entry, step, named, Some(answer));
                 }
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
-                    let no = self.host(worker);
+                    let index = self.host_index(worker);
                     let is_start = matches!(action, Action::Start { .. });
                     let is_lost = self.loses_starts && is_start;
-                    self.sent.extend(is_start.then_some(no));
-                    match self.late.get(&no) {
-                        _ if is_lost => self.tell(&action, Outcome::Unknown),
+                    self.start_targets.extend(is_start.then_some(index));
+                    match self.order_delays.get(&index) {
+                        _ if is_lost => self.report_outcome(&action, Outcome::Unknown),
                         Some(late) => {
-                            self.on_their_way.push((self.now + late, action.clone(), self.epoch));
-                            self.tell(&action, Outcome::Unknown);
+                            self.in_flight.push((self.now + late, action.clone(), self.epoch));
+                            self.report_outcome(&action, Outcome::Unknown);
                         }
-                        None if self.hosts[no].away_until > self.now => {
-                            self.tell(&action, Outcome::Unknown);
+                        None if self.hosts[index].unreachable_until > self.now => {
+                            self.report_outcome(&action, Outcome::Unknown);
                         }
                         None => {
-                            let outcome = self.carry_out(&action, self.epoch);
-                            self.tell(&action, outcome);
+                            let outcome = self.execute(&action, self.epoch);
+                            self.report_outcome(&action, outcome);
                         }
                     }
                 }
@@ -498,7 +509,7 @@
         }
     }
 
-    fn tell(&mut self, action: &Action, outcome: Outcome) {
+    fn report_outcome(&mut self, action: &Action, outcome: Outcome) {
         let now = Millis(self.now);
         match action {
             Action::Start { worker, start, .. } => {
@@ -512,44 +523,44 @@
     }
 
     /// What was on its way arrives, whatever life is there by now.
-    fn arrive(&mut self) {
+    fn deliver_in_flight(&mut self) {
         let now = self.now;
         let (due, rest) =
-            std::mem::take(&mut self.on_their_way).into_iter().partition(|(at, ..)| *at <= now);
-        self.on_their_way = rest;
+            std::mem::take(&mut self.in_flight).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_flight = rest;
         let due: Vec<(u64, Action, u64)> = due;
         for (_, action, extra) in due {
             match &action {
                 Action::Look(id) => {
-                    let no = self.host(id);
-                    self.hosts[no].listed = extra;
+                    let index = self.host_index(id);
+                    self.hosts[index].listed_born = extra;
                 }
-                _ => drop(self.carry_out(&action, extra)),
+                _ => drop(self.execute(&action, extra)),
             }
         }
     }
 
-    fn carry_out(&mut self, action: &Action, epoch: u64) -> Outcome {
+    fn execute(&mut self, action: &Action, epoch: u64) -> Outcome {
         let (Action::Start { worker, .. } | Action::Stop { worker, .. }) = action else {
             return Outcome::Unsent;
         };
-        let (no, now) = (self.host(worker), self.now);
-        let host = &mut self.hosts[no];
-        if host.away_until > now {
+        let (index, now) = (self.host_index(worker), self.now);
+        let host = &mut self.hosts[index];
+        if host.unreachable_until > now {
             return Outcome::Unknown;
         }
-        let life = &mut host.life;
-        if epoch < life.fence {
+        let incarnation = &mut host.incarnation;
+        if epoch < incarnation.fence {
             return Outcome::Refused(Refusal::Fence);
         }
-        life.fence = epoch;
+        incarnation.fence = epoch;
         match action {
             Action::Start { start, until, .. } => {
-                let outcome = life.start(now, start, *until);
+                let outcome = incarnation.start_run(now, start, *until);
                 if matches!(outcome, Outcome::Done(_)) {
                     let entry = (now, worker.clone(), start.run);
                     self.starts.entry(start.task).or_default().push(entry);
-                    self.spans.push(Span {
+                    self.spans.push(RunSpan {
                         task: start.task,
                         run: start.run,
                         from: now,
@@ -561,10 +572,10 @@
                 outcome
             }
             Action::Stop { task, run, .. } => {
-                life.bar(*task, *run);
-                if life.running.get(task).is_some_and(|(running, _)| running == run) {
-                    life.end(*task, End::Stopped);
-                    let of_run = |span: &&mut Span| span.task == *task && span.run == *run;
+                incarnation.bar_run(*task, *run);
+                if incarnation.running.get(task).is_some_and(|(running, _)| running == run) {
+                    incarnation.end_run(*task, End::Stopped);
+                    let of_run = |span: &&mut RunSpan| span.task == *task && span.run == *run;
                     self.spans.iter_mut().filter(of_run).for_each(|span| span.until = now);
                 }
                 Outcome::Done(None)
@@ -574,35 +585,35 @@
     }
 }
 
-impl Life {
-    fn start(&mut self, now: u64, start: &Start, until: u64) -> Outcome {
+impl Incarnation {
+    fn start_run(&mut self, now: u64, start: &Start, until: u64) -> Outcome {
         if until <= self.clock(now) {
             return Outcome::Refused(Refusal::Late);
         }
-        self.lease = self.lease.max(until.min(self.clock(now) + 10_000));
+        self.lease_until = self.lease_until.max(until.min(self.clock(now) + 10_000));
         if self.barred.get(&start.task).is_some_and(|barred| start.run <= *barred) {
             return Outcome::Refused(Refusal::Old);
         }
-        self.running.insert(start.task, (start.run, now + LENGTH));
+        self.running.insert(start.task, (start.run, now + RUN_MS));
         Outcome::Done(None)
     }
 
-    fn bar(&mut self, task: TaskKey, run: u64) {
+    fn bar_run(&mut self, task: TaskKey, run: u64) {
         let barred = self.barred.entry(task).or_default();
         *barred = (*barred).max(run);
     }
 
-    fn end(&mut self, task: TaskKey, end: End) {
+    fn end_run(&mut self, task: TaskKey, end: End) {
         let Some((run, _)) = self.running.remove(&task) else { return };
-        self.bar(task, run);
-        self.count += 1;
-        self.ended.push(EndedRow { no: self.count, task, run, end, saved: "".into() });
+        self.bar_run(task, run);
+        self.end_count += 1;
+        self.ended.push(EndedRow { no: self.end_count, task, run, end, saved: "".into() });
     }
 }
 
 pub fn step() -> Step {
     let room = Room { cpu: 1_000, mem: 1_000, gpu: 0 };
-    Step { count: 1, room, estimate: Millis(LENGTH), ..Step::default() }
+    Step { count: 1, room, estimate: Millis(RUN_MS), ..Step::default() }
 }
 
 fn queues(advice: Option<Advice>) -> HashMap<Name, Arc<Queue>> {
--- a/tests/rooms.rs
+++ b/tests/rooms.rs
@@ -5,7 +5,7 @@
 
 mod crashworld;
 
-use crashworld::{Site, job, step};
+use crashworld::{Cluster, job, step};
 use sprucerudder::cell::State;
 use sprucerudder::cell::records::journal::Fate;
 use sprucerudder::workload::{Room, Step};
@@ -15,28 +15,28 @@
 
 #[test]
 fn nothing_new_goes_to_a_worker_that_has_shrunk_below_what_runs_there() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     site.submit_long(job(1), vec![step(4)], 3_000);
-    site.play(100);
+    site.run_for(100);
     assert_eq!(site.starts_of(job(1)), 4);
     site.resize(0, WHOLE / 2);
     site.submit_long(job(2), vec![step(1)], 1_000);
-    site.play(2_500);
+    site.run_for(2_500);
     assert_eq!(site.starts_of(job(2)), 0, "16 of 8 processors are taken");
-    site.play(2_000);
+    site.run_for(2_000);
     assert_eq!(site.state(job(2)), Some(State::Closed(Fate::Completed)));
     assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Completed)), "nothing was stopped");
 }
 
 #[test]
 fn a_room_that_grows_again_is_used_at_once() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     site.resize(0, WHOLE / 8);
     site.submit(job(1), vec![step(4)]);
-    site.play(3_000);
+    site.run_for(3_000);
     assert_eq!(site.starts_of(job(1)), 0, "no task fits");
     site.resize(0, WHOLE);
-    site.play(30);
+    site.run_for(30);
     assert_eq!(site.starts_of(job(1)), 4);
 }
 
@@ -44,16 +44,16 @@
 /// with the room that they were decided for.
 #[test]
 fn a_start_that_waited_for_the_store_does_not_go_to_a_room_that_has_shrunk() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     site.submit(job(1), vec![step(1), Step { after: vec![0], ..step(3) }]);
-    site.play(500);
+    site.run_for(500);
     // The second step's turn comes at 1,000.
-    site.hold_store(2_000);
-    site.play(1_000);
+    site.stall_store(2_000);
+    site.run_for(1_000);
     site.resize(0, WHOLE / 4);
-    site.play(1_500);
-    assert_eq!(site.most_at_once(), 1, "tasks where one has room");
-    site.play(20_000);
+    site.run_for(1_500);
+    assert_eq!(site.max_running(), 1, "tasks where one has room");
+    site.run_for(20_000);
     assert_eq!(site.state(job(1)), Some(State::Closed(Fate::Completed)));
 }
 
@@ -61,16 +61,16 @@
 /// as room that is gained: too few tasks were stopped for a step, which had no room after it either.
 #[test]
 fn as_many_tasks_are_stopped_as_make_room_at_a_worker_that_has_shrunk() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     let small = Step { saves: true, ..step(4) };
     site.submit_low(job(1), vec![small], 30_000);
-    site.play(100);
+    site.run_for(100);
     assert_eq!(site.starts_of(job(1)), 4);
     site.resize(0, WHOLE / 2);
     // Two of the four leave what remains as full as it may be.
     let room = Room { cpu: 6_000, mem: 1, gpu: 0 };
     site.submit(job(2), vec![Step { room, ..step(1) }]);
-    site.play(1_200);
+    site.run_for(1_200);
     assert_eq!(site.starts_of(job(2)), 1);
 }
 
@@ -78,16 +78,16 @@
 /// was when it was found there; the worker grew, and the rest was given to others.
 #[test]
 fn a_run_of_unknown_size_fills_a_worker_that_grows_too() {
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     let room = Room { cpu: WHOLE, mem: 1_000, gpu: 0 };
     site.submit_long(job(1), vec![Step { room, ..step(1) }], 60_000);
-    site.play(100);
-    site.keep_records(|key| key == "roster");
+    site.run_for(100);
+    site.retain_records(|key| key == "roster");
     site.resize(0, WHOLE / 4);
-    site.take_over_deaf();
-    site.play(300);
+    site.take_over_ignoring_stops();
+    site.run_for(300);
     site.resize(0, WHOLE);
     site.submit(job(2), vec![step(1)]);
-    site.play(1_000);
+    site.run_for(1_000);
     assert_eq!(site.starts_of(job(2)), 0, "a task of sixteen processors runs there");
 }
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -2,7 +2,7 @@
 
 mod lifeworld;
 
-use lifeworld::{LENGTH, Site, job, step};
+use lifeworld::{Cluster, RUN_MS, job, step};
 use sprucerudder::cell::State;
 use sprucerudder::cell::jobs::why::Why;
 use sprucerudder::cell::owner::access::{Access, access};
@@ -34,8 +34,8 @@
 }
 
 /// A site with room for 16 tasks, and one of whose workspaces may have four running.
-fn site() -> Site {
-    let mut site = Site::new(4);
+fn site() -> Cluster {
+    let mut site = Cluster::new(4);
     site.workspaces = workspaces(4);
     site.cell.set_workspaces(workspaces(4));
     site
@@ -46,10 +46,10 @@
 }
 
 /// Plays, and checks that a job never has more tasks running than `most`.
-fn play_bounded(site: &mut Site, length: u64, most: usize) -> usize {
+fn play_bounded(site: &mut Cluster, length: u64, most: usize) -> usize {
     let mut peak = 0;
     for _ in 0..length / 20 {
-        site.play(20);
+        site.run_for(20);
         peak = peak.max(site.running());
         assert!(site.running() <= most, "{} run at {}", site.running(), site.now);
     }
@@ -60,7 +60,7 @@
 fn a_workspace_has_no_more_running_than_its_bound() {
     let mut site = site();
     site.submit_for(job(1), wide(10), "large");
-    let peak = play_bounded(&mut site, 4 * LENGTH, 4);
+    let peak = play_bounded(&mut site, 4 * RUN_MS, 4);
     assert_eq!(peak, 4);
     play_bounded(&mut site, 2_000, 4);
     assert_eq!(site.state(job(1)), COMPLETED);
@@ -71,7 +71,7 @@
     let mut site = site();
     site.submit_for(job(1), wide(10), "large");
     site.submit_for(job(2), wide(8), "small");
-    site.play(40);
+    site.run_for(40);
     assert_eq!(site.running(), 12);
     let waits: Vec<Why> = site.cell.waiting().map(|(_, why)| why).collect();
     assert_eq!(waits, [Why::Bound]);
@@ -94,13 +94,13 @@
 fn a_bound_that_falls_stops_nothing_and_starts_nothing() {
     let mut site = site();
     site.submit_for(job(1), wide(12), "large");
-    site.play(100);
+    site.run_for(100);
     assert_eq!(site.running(), 4);
     site.cell.set_workspaces(workspaces(2));
-    site.play(100);
+    site.run_for(100);
     assert_eq!(site.running(), 4);
-    site.play(LENGTH);
-    play_bounded(&mut site, 10 * LENGTH, 2);
+    site.run_for(RUN_MS);
+    play_bounded(&mut site, 10 * RUN_MS, 2);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     site.cell.set_workspaces(workspaces(1));
     let room = Room { cpu: 2_000, mem: 1_000, gpu: 0 };
     site.submit_for(job(1), Step { count: 3, room, ..step() }, "large");
-    play_bounded(&mut site, 6 * LENGTH, 1);
+    play_bounded(&mut site, 6 * RUN_MS, 1);
     assert_eq!(site.state(job(1)), COMPLETED);
 }
 
@@ -140,23 +140,23 @@
 fn a_job_is_seen_by_its_own_workspace() {
     let mut site = site();
     site.submit_for(job(1), wide(1), "large");
-    site.play(40);
-    let sees = |site: &Site, name: &str| site.cell.is_visible(job(1), Some(&name.into()));
+    site.run_for(40);
+    let sees = |site: &Cluster, name: &str| site.cell.is_visible(job(1), Some(&name.into()));
     for _ in 0..2 {
         assert!(sees(&site, "large"));
         assert!(!sees(&site, "small"));
         assert!(site.cell.is_visible(job(1), None), "on a queue that is open to all");
         site.take_over();
-        site.play(2_000);
+        site.run_for(2_000);
     }
 }
 
 /// How long after `from` each of some jobs was done.
-fn ages(site: &mut Site, jobs: std::ops::Range<u64>, from: u64) -> Vec<u64> {
+fn ages(site: &mut Cluster, jobs: std::ops::Range<u64>, from: u64) -> Vec<u64> {
     let mut ages = Vec::new();
     let mut left: Vec<u64> = jobs.collect();
     while !left.is_empty() && site.now < from + 60_000 {
-        site.play(20);
+        site.run_for(20);
         let (done, open): (Vec<u64>, Vec<u64>) =
             left.into_iter().partition(|key| site.state(job(*key)) == COMPLETED);
         ages.extend(done.iter().map(|_| site.now - from));
@@ -170,7 +170,7 @@
 fn what_a_workspace_sends_beyond_its_share_comes_after_all_else() {
     // One workspace sends 40 jobs at once where its share is one a second, and fills all room for ten rounds. Jobs of
     // another one that come after them went behind all of these.
-    let mut site = Site::new(1);
+    let mut site = Cluster::new(1);
     let mut all = Workspaces::default();
     all.add(workspace("hot", 100), []);
     all.add(Workspace { weight: 10, ..workspace("calm", 100) }, []);
@@ -178,13 +178,13 @@
     for key in 100..140 {
         site.submit_for(job(key), wide(1), "hot");
     }
-    site.play(40);
+    site.run_for(40);
     for key in 1..5 {
         site.submit_for(job(key), wide(1), "calm");
     }
     let from = site.now;
     let slowest = ages(&mut site, 1..5, from).into_iter().max().unwrap();
-    assert!(slowest <= 3 * LENGTH, "{slowest} ms");
+    assert!(slowest <= 3 * RUN_MS, "{slowest} ms");
     ages(&mut site, 100..140, from);
 }
 
