--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -1,9 +1,9 @@
-//! Tasks that crash the workers that start them.
+//! Tasks that crash the workers on which they start.
 //!
-//! A day ended with nearly nothing served. Some thirty tasks each crashed every worker that started
-//! them; the worker was back as another life 3.3 s later, and the task started again elsewhere 30 ms
-//! after that, without an end, for nothing counted how often that had happened. The six to fourteen
-//! other runs at the worker were lost each time. The owner's log had it in five lines:
+//! Some thirty tasks each crashed every worker on which they started. The worker was back as
+//! another incarnation 3.3 s later, and 30 ms after that the task started again elsewhere, without
+//! end, because nothing counted the crashes. The six to fourteen other runs on the worker were lost
+//! each time, so that nearly nothing was completed in a day. The owner's log:
 //!
 //! 26.2085 event=start task=T.0.0.0 run=1030 worker=i-e07b2d49e9
 //! 26.2354 event=start-failed task=T.0.0.0 run=1030 worker=i-e07b2d49e9 outcome=Unknown
@@ -18,36 +18,36 @@
 use sprucerudder::cell::records::journal::Fate;
 use sprucerudder::workload::{JobKey, Step};
 
-/// Starts that are allowed after three workers crashed under a task.
+/// How many starts are allowed after three workers crashed under a task.
 const MAX_EXTRA_STARTS: usize = 2;
 
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up() {
-    let (mut cluster, bad) = crashing_cluster(6, 0, vec![step(1)]);
+    let (mut cluster, crashing) = crashing_cluster(6, 0, vec![step(1)]);
     cluster.run_for(60_000);
-    assert_given_up(&cluster, bad, "at the end");
+    assert_given_up(&cluster, crashing, "at the end");
 }
 
-/// A site with a job whose task `index` crashes each worker that starts it.
+/// A cluster with a job whose task `index` crashes every worker on which it starts.
 fn crashing_cluster(workers: usize, index: u32, steps: Vec<Step>) -> (Cluster, JobKey) {
     let mut cluster = Cluster::new(workers);
-    let bad = job(0xbad);
-    cluster.mark_crashing(bad, index);
-    cluster.submit(bad, steps);
-    (cluster, bad)
+    let crashing = job(0xbad);
+    cluster.mark_crashing(crashing, index);
+    cluster.submit(crashing, steps);
+    (cluster, crashing)
 }
 
-/// The job was given up, and no task of it started more often than allowed.
-fn assert_given_up(cluster: &Cluster, bad: JobKey, when: &str) {
+/// Checks that the job was given up, and that no task of it started more often than allowed.
+fn assert_given_up(cluster: &Cluster, crashing: JobKey, when: &str) {
     assert!(
-        cluster.most_starts(bad) <= 3 + MAX_EXTRA_STARTS,
+        cluster.most_starts(crashing) <= 3 + MAX_EXTRA_STARTS,
         "{} starts, {when}",
-        cluster.most_starts(bad)
+        cluster.most_starts(crashing)
     );
-    assert_eq!(cluster.state(bad), Some(State::Closed(Fate::Failed)), "{when}");
+    assert_eq!(cluster.state(crashing), Some(State::Closed(Fate::Failed)), "{when}");
 }
 
-/// Jobs of one task each, keys from `from` on.
+/// Submits jobs of one task each, with keys from `from` on.
 fn submit_single_tasks(cluster: &mut Cluster, from: u64, count: u64) -> Vec<JobKey> {
     let jobs: Vec<_> = (from..from + count).map(job).collect();
     for key in &jobs {
@@ -61,16 +61,16 @@
     let mut cluster = Cluster::new(24);
     let mut others = Vec::new();
     for index in 0..20 {
-        let bad = job(0xbad0 + index);
-        cluster.mark_crashing(bad, 0);
-        cluster.submit(bad, vec![step(1)]);
+        let crashing = job(0xbad0 + index);
+        cluster.mark_crashing(crashing, 0);
+        cluster.submit(crashing, vec![step(1)]);
         others.extend(submit_single_tasks(&mut cluster, 1_000 + 100 * index, 8));
         cluster.run_for(1_500);
     }
     cluster.run_for(60_000);
     for index in 0..20 {
-        let bad = job(0xbad0 + index);
-        assert_given_up(&cluster, bad, "at the end");
+        let crashing = job(0xbad0 + index);
+        assert_given_up(&cluster, crashing, "at the end");
     }
     for key in others {
         assert_eq!(cluster.state(key), Some(State::Closed(Fate::Completed)), "{key}");
@@ -80,26 +80,26 @@
 #[test]
 fn crash_counts_survive_takeovers() {
     for every in [900, 2_000, 3_100, 4_500, 7_000] {
-        let (mut cluster, bad) = crashing_cluster(6, 0, vec![step(1)]);
+        let (mut cluster, crashing) = crashing_cluster(6, 0, vec![step(1)]);
         for _ in 0..60_000 / every {
             cluster.run_for(every);
             cluster.take_over();
         }
         cluster.run_for(20_000);
-        assert_given_up(&cluster, bad, &format!("every {every}"));
+        assert_given_up(&cluster, crashing, &format!("every {every}"));
     }
 }
 
 #[test]
 fn crash_counts_survive_a_store_outage_and_a_takeover_after_it() {
     for from in [0, 3_000, 6_000, 9_000] {
-        let (mut cluster, bad) = crashing_cluster(6, 0, vec![step(1)]);
+        let (mut cluster, crashing) = crashing_cluster(6, 0, vec![step(1)]);
         cluster.run_for(50 + from);
         cluster.start_outage(20_010);
         cluster.run_for(20_000);
         cluster.take_over();
         cluster.run_for(40_000);
-        assert_given_up(&cluster, bad, &format!("from {from}"));
+        assert_given_up(&cluster, crashing, &format!("from {from}"));
     }
 }
 
@@ -109,7 +109,7 @@
     let key = job(1);
     cluster.submit_long(key, vec![step(1)], 12_000);
     for _ in 0..6 {
-        // Longer than a lease, each time before the task is done.
+        // Each partition is longer than a lease and begins before the task has ended.
         cluster.run_for(300);
         for index in cluster.workers_of(key) {
             cluster.partition(index, 9_000);
@@ -140,25 +140,25 @@
 
 #[test]
 fn a_gang_with_a_crashing_task_is_given_up() {
-    let (mut cluster, bad) = crashing_cluster(6, 1, vec![Step { gang: true, ..step(3) }]);
+    let (mut cluster, crashing) = crashing_cluster(6, 1, vec![Step { gang: true, ..step(3) }]);
     cluster.run_for(60_000);
-    assert_given_up(&cluster, bad, "at the end");
+    assert_given_up(&cluster, crashing, "at the end");
 }
 
 #[test]
 fn an_owner_reads_records_without_crash_counts() {
-    let (mut cluster, bad) = crashing_cluster(6, 0, vec![step(1)]);
+    let (mut cluster, crashing) = crashing_cluster(6, 0, vec![step(1)]);
     cluster.run_for(4_000);
     cluster.retain_records(|key| !key.ends_with(".c"));
     cluster.take_over();
     cluster.run_for(60_000);
-    assert_eq!(cluster.state(bad), Some(State::Closed(Fate::Failed)));
+    assert_eq!(cluster.state(crashing), Some(State::Closed(Fate::Failed)));
 }
 
 #[test]
 fn crash_counts_survive_outages_that_end_with_takeovers() {
     for length in [7_500, 12_000, 20_000] {
-        let (mut cluster, bad) = crashing_cluster(24, 0, vec![step(1)]);
+        let (mut cluster, crashing) = crashing_cluster(24, 0, vec![step(1)]);
         cluster.run_for(50);
         for _ in 0..6 {
             cluster.start_outage(length + 10);
@@ -168,24 +168,26 @@
         }
         cluster.run_for(40_000);
 
-        assert_given_up(&cluster, bad, &format!("length {length}"));
+        assert_given_up(&cluster, crashing, &format!("length {length}"));
     }
 }
 
-/// Where copies of a task may run side by side, one starts as soon as its worker is silent. A task that
-/// crashes its workers crashed each of them within 30 ms that way: three were down at 9.364 s, and three
-/// more starts had gone out by 9.449 s, long before the first life was known to be over.
+/// Where copies of a task are allowed, one starts as soon as the task's worker stops answering. A
+/// task that crashes its workers took one worker after another within 30 ms that way: three were
+/// down at 9.364 s, and three more starts had been sent by 9.449 s, long before the first
+/// incarnation was known to be gone.
 #[test]
 fn a_task_with_copies_is_not_copied_from_crash_to_crash() {
-    let (mut cluster, bad) = crashing_cluster(24, 0, vec![Step { copies: true, ..step(2) }]);
+    let (mut cluster, crashing) = crashing_cluster(24, 0, vec![Step { copies: true, ..step(2) }]);
     cluster.run_for(2_000);
     assert!(cluster.crashes <= 2, "{} crashes in 2 s", cluster.crashes);
     cluster.run_for(60_000);
-    assert_given_up(&cluster, bad, "at the end");
+    assert_given_up(&cluster, crashing, "at the end");
 }
 
-/// A failure domain was cut off by a path that refused connections. Two refusals were taken for the end of a
-/// life: 210 workers were taken for gone that ran on, and 266 tasks ran twice.
+/// The network path to a failure domain refused connections. Two refusals were taken as proof that
+/// an incarnation had ended: 210 workers that were still running were considered gone, and 266
+/// tasks ran twice.
 #[test]
 fn a_worker_that_refuses_connections_is_not_considered_gone() {
     let mut cluster = Cluster::new(2);
@@ -194,21 +196,22 @@
     let at = cluster.workers_of(job(1))[0];
     cluster.partition(at, 5_000);
     cluster.run_for(5_000);
-    assert_eq!(cluster.starts_of(job(1)), 1, "it runs on until its lease is over");
+    assert_eq!(cluster.starts_of(job(1)), 1, "it keeps running until its lease expires");
     cluster.run_for(20_000);
     assert_eq!(cluster.starts_of(job(1)), 1);
     assert_eq!(cluster.state(job(1)), Some(State::Closed(Fate::Completed)));
 }
 
-/// What one such task costs: its workers, and starts of others that were lost with them.
+/// Bounds the cost of such tasks: the workers that crash, and the starts of other tasks that are
+/// lost with them.
 #[test]
 fn the_cost_of_crashing_tasks_is_bounded() {
-    for (bad, most) in [(0, 0), (1, 3), (5, 15)] {
+    for (per_minute, max_crashes) in [(0, 0), (1, 3), (5, 15)] {
         let mut cluster = Cluster::new(24);
         let mut others = Vec::new();
         for second in 0..60 {
             others.extend(submit_single_tasks(&mut cluster, 1_000 + 100 * second, 22));
-            if bad > 0 && second % (60 / bad) == 0 {
+            if per_minute > 0 && second % (60 / per_minute) == 0 {
                 let key = job(0xbad0 + second);
                 cluster.mark_crashing(key, 0);
                 cluster.submit(key, vec![step(1)]);
@@ -219,18 +222,25 @@
         let starts: usize = others.iter().map(|key| cluster.starts_of(*key)).sum();
         let lost_starts = starts - others.len();
         println!(
-            "{bad} a minute: {} workers crashed, {lost_starts} other starts lost",
+            "{per_minute} a minute: {} workers crashed, {lost_starts} other starts lost",
             cluster.crashes
         );
-        assert!(cluster.crashes <= most, "{bad} a minute: {} workers crashed", cluster.crashes);
-        assert!(lost_starts <= 4 * most, "{bad} a minute: {lost_starts} other starts lost");
+        assert!(
+            cluster.crashes <= max_crashes,
+            "{per_minute} a minute: {} workers crashed",
+            cluster.crashes
+        );
+        assert!(
+            lost_starts <= 4 * max_crashes,
+            "{per_minute} a minute: {lost_starts} other starts lost"
+        );
         for key in others {
             assert_eq!(cluster.state(key), Some(State::Closed(Fate::Completed)), "{key}");
         }
     }
 }
 
-/// Work of every kind beside several tasks that crash their workers.
+/// All kinds of work must complete beside several tasks that crash their workers.
 #[test]
 fn other_work_continues_beside_several_crashing_tasks() {
     let mut cluster = Cluster::new(24);
@@ -238,9 +248,9 @@
     cluster.submit_long(lasting, vec![Step { lasting: true, ..step(6) }], 1_000_000);
     cluster.run_for(3_000);
     for index in 0..4 {
-        let bad = job(0xbad0 + index);
-        cluster.mark_crashing(bad, 0);
-        cluster.submit(bad, vec![step(3)]);
+        let crashing = job(0xbad0 + index);
+        cluster.mark_crashing(crashing, 0);
+        cluster.submit(crashing, vec![step(3)]);
     }
     cluster.submit_long(wide, vec![step(60)], 3_000);
     cluster.submit_long(gang, vec![Step { gang: true, ..step(8) }], 3_000);
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -1,5 +1,6 @@
-//! Workers that crash under marked tasks, on a virtual clock: an owner's decisions, a store that takes
-//! everything unless it is away, and workers that come back as another life at their address.
+//! A simulated cluster whose workers crash under marked tasks, on a virtual clock: one owner's
+//! decisions, a store that accepts every write unless it is unavailable, and workers that come back
+//! as another incarnation at the same address.
 
 #![allow(dead_code)]
 
@@ -17,24 +18,24 @@
 use std::sync::Arc;
 
 const LEASE: Millis = Millis(6_000);
-/// Time between two looks of the site.
+/// The step of the virtual clock.
 const TICK_MS: u64 = 10;
 /// How long after its start a marked task crashes its worker.
 const CRASH_DELAY_MS: u64 = 10;
-/// What workers' clocks show at the begin.
+/// What workers' clocks show at time 0.
 const CLOCK_BASE_MS: u64 = 1_000_000;
-/// Processors of a worker, in thousandths of one.
+/// The CPU of a worker, in thousandths of a core.
 const WORKER_MILLICORES: u64 = 16_000;
-/// How long the entry of a life that is over stays in the list: three heartbeats.
+/// How long the list entry of a crashed incarnation remains: three heartbeats.
 const STALE_ENTRY_MS: u64 = 4_500;
-/// How long a worker is away after a crash.
+/// How long a worker is down after a crash.
 pub const DOWNTIME_MS: u64 = 3_300;
 
 pub fn job(key: u64) -> JobKey {
     JobKey(key)
 }
 
-/// Tasks of a quarter of a worker, for a second.
+/// A step whose tasks need a quarter of a worker, for a second.
 pub fn step(count: u32) -> Step {
     let room = Room { cpu: 4_000, mem: 1_000, gpu: 0 };
     Step { count, room, estimate: Millis(1_000), ..Step::default() }
@@ -45,33 +46,33 @@
     ends_at: u64,
 }
 
-/// A place where one life of a worker follows the other.
+/// A machine on which one incarnation of a worker follows another.
 struct Host {
     incarnation: u64,
     running: BTreeMap<TaskKey, Running>,
     ended: Vec<EndedRow>,
     end_count: u64,
-    /// It is between two lives until then.
+    /// No incarnation runs there before this time.
     down_until: u64,
-    /// When its last life ended.
+    /// When its last incarnation crashed.
     crashed_at: Option<u64>,
-    /// Nothing passes between it and owners until then.
+    /// No message passes between it and an owner before this time.
     partitioned_until: u64,
-    /// When everything that runs there ends unless it is renewed.
+    /// When its lease expires; all its runs end then.
     lease_until: u64,
-    /// Its processors, in thousandths of one.
+    /// Its CPU, in thousandths of a core.
     cpu: u64,
 }
 
-/// A site with one cell and its owner.
+/// A cluster with one cell and the owner of the cell.
 pub struct Cluster {
     pub now: u64,
     cell: Cell,
     hosts: Vec<Host>,
     store: BTreeMap<String, Vec<u8>>,
-    /// The store takes nothing until then; starts go out all the same.
+    /// The store rejects writes before this time; starts are sent nevertheless.
     store_down: u64,
-    /// The store takes nothing until then, and starts wait for it.
+    /// The store doesn't answer before this time, and starts wait for it.
     store_stalled: u64,
     ignores_stops: bool,
     max_running: usize,
@@ -79,7 +80,7 @@
     starts: Vec<(u64, TaskKey, usize)>,
     pub crashes: usize,
     epoch: u64,
-    /// Lives that the owner asks for reports.
+    /// The incarnations that the owner asks for reports.
     polled: BTreeSet<Name>,
 }
 
@@ -127,7 +128,7 @@
         cluster
     }
 
-    /// Each worker crashes that starts this task of a job.
+    /// Marks a task of a job: every worker that starts it crashes.
     pub fn mark_crashing(&mut self, job: JobKey, index: u32) {
         self.crash_tasks.insert((job, index));
     }
@@ -136,7 +137,7 @@
         self.submit_long(job, steps, 1_000);
     }
 
-    /// Submits a job whose tasks run for so long.
+    /// Submits a job whose tasks run for `length` milliseconds.
     pub fn submit_long(&mut self, job: JobKey, steps: Vec<Step>, length: u64) {
         self.submit_to("q", job, steps, length);
     }
@@ -156,12 +157,12 @@
         self.cell.state(job)
     }
 
-    /// Starts of a job's tasks that workers carried out.
+    /// How many starts of a job's tasks workers carried out.
     pub fn starts_of(&self, job: JobKey) -> usize {
         self.starts.iter().filter(|(_, task, _)| task.step.job == job).count()
     }
 
-    /// The most starts of any one task of a job.
+    /// The highest number of starts of one task of a job.
     pub fn most_starts(&self, job: JobKey) -> usize {
         let mut counts: BTreeMap<TaskKey, usize> = BTreeMap::new();
         for (_, task, _) in self.starts.iter().filter(|(_, task, _)| task.step.job == job) {
@@ -170,7 +171,7 @@
         counts.into_values().max().unwrap_or(0)
     }
 
-    /// A worker crashes by itself.
+    /// Crashes a worker.
     pub fn crash(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.running.clear();
@@ -181,55 +182,56 @@
         self.crashes += 1;
     }
 
-    /// Nothing passes between a worker and owners for so long.
+    /// Partitions a worker from all owners for `length` milliseconds.
     pub fn partition(&mut self, index: usize, length: u64) {
         self.hosts[index].partitioned_until = self.now + length;
     }
 
-    /// Workers on which a job runs.
+    /// The workers on which tasks of a job run.
     pub fn workers_of(&self, job: JobKey) -> Vec<usize> {
         let runs = |host: &Host| host.running.keys().any(|task| task.step.job == job);
         (0..self.hosts.len()).filter(|index| runs(&self.hosts[*index])).collect()
     }
 
-    /// The store takes nothing for so long, and the owner goes on by the word of the others.
+    /// Makes the store reject writes for `length` milliseconds. The owner continues, as if the
+    /// other entries told it that they cannot read the log either.
     pub fn start_outage(&mut self, length: u64) {
         self.store_down = self.now + length;
     }
 
-    /// The store answers nothing for so long, and starts wait for it.
+    /// Makes the store answer nothing for `length` milliseconds; starts wait for it.
     pub fn stall_store(&mut self, length: u64) {
         self.store_stalled = self.now + length;
     }
 
-    /// A worker lists another number of processors from now on.
+    /// Changes the CPU that a worker lists, in thousandths of a core.
     pub fn resize(&mut self, index: usize, cpu: u64) {
         self.hosts[index].cpu = cpu;
     }
 
-    /// Tasks of a job that run now.
+    /// The number of running tasks of a job.
     pub fn running_of(&self, job: JobKey) -> usize {
         let tasks = self.hosts.iter().flat_map(|host| host.running.keys());
         tasks.filter(|task| task.step.job == job).count()
     }
 
-    /// What runs now at all workers.
+    /// The number of running tasks on all workers.
     pub fn running(&self) -> usize {
         self.hosts.iter().map(|host| host.running.len()).sum()
     }
 
-    /// The most tasks that ran at once since the first room shrank.
+    /// The highest number of tasks that ran at once since a worker's capacity was first reduced.
     pub fn max_running(&self) -> usize {
         self.max_running
     }
 
-    /// As [`Self::take_over`], but stops are not obeyed from then on.
+    /// As [`Self::take_over`], but workers don't carry out stops from then on.
     pub fn take_over_ignoring_stops(&mut self) {
         self.ignores_stops = true;
         self.take_over();
     }
 
-    /// The owner did not run for so long, nor did anybody tell it anything.
+    /// Pauses the owner for `length` milliseconds; it receives nothing meanwhile.
     pub fn pause(&mut self, length: u64) {
         let until = self.now + length;
         while self.now < until {
@@ -239,24 +241,24 @@
         self.cell.wake(Millis(self.now));
     }
 
-    /// Another entry owns the cell, and knows what the store holds.
+    /// Another entry takes over the cell, with what the store holds.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         let mut snapshot = Snapshot::default();
         for (key, value) in &self.store {
-            snapshot.add(key, value).expect("a record of ours");
+            snapshot.add(key, value).expect("a valid record");
         }
         self.cell = new_owner(self.epoch, snapshot, true, self.now);
         self.polled.clear();
         self.publish_list();
     }
 
-    /// The records as an older version leaves them: keys that it does not know are gone.
+    /// Drops the records whose keys an older version doesn't write.
     pub fn retain_records(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.store.retain(|key, _| is_kept(key));
     }
 
-    /// Plays on for so long.
+    /// Runs the simulation for `length` milliseconds.
     pub fn run_for(&mut self, length: u64) {
         let until = self.now + length;
         while self.now < until {
@@ -302,10 +304,11 @@
         }
     }
 
-    /// The lives of a host that are listed: also one that is over, for a while.
+    /// The ids of a host's incarnations that are listed; one that has crashed remains listed for a
+    /// while.
     fn listed_ids(&self, index: usize) -> Vec<Name> {
         let host = &self.hosts[index];
-        let id = |life: u64| Name::from(format!("w{index}.{life}"));
+        let id = |incarnation: u64| Name::from(format!("w{index}.{incarnation}"));
         let is_stale = host.crashed_at.is_some_and(|at| self.now - at < STALE_ENTRY_MS);
         match host.down_until > self.now {
             true if is_stale => vec![id(host.incarnation)],
@@ -316,11 +319,11 @@
     }
 
     fn publish_list(&mut self) {
-        let lives = (0..self.hosts.len()).flat_map(|index| {
-            let listed_ids = self.listed_ids(index).into_iter();
-            listed_ids.map(move |id| (index, id))
+        let incarnations = (0..self.hosts.len()).flat_map(|index| {
+            let ids = self.listed_ids(index).into_iter();
+            ids.map(move |id| (index, id))
         });
-        let listed = lives.map(|(index, id)| Listed {
+        let listed = incarnations.map(|(index, id)| Listed {
             id,
             born: None,
             service: "s".into(),
@@ -334,15 +337,18 @@
         self.cell.set_workers(Millis(self.now), listed);
     }
 
-    /// What an owner meets that calls a life: the host's number, or why there is no answer.
+    /// Calls an incarnation of a worker: returns the index of its host, or why there is no answer.
     fn call_worker(&self, worker: &Name) -> Result<usize, HoldError> {
-        let (index, life) = worker[1..].split_once('.').expect("a worker's id");
-        let index: usize = index.parse().expect("a number");
+        let (index, incarnation) =
+            worker[1..].split_once('.').expect("an id of the form w<index>.<incarnation>");
+        let index: usize = index.parse().expect("the index of a worker");
         let host = &self.hosts[index];
         match () {
-            () if host.partitioned_until > self.now => Err(HoldError::Silent("cut".to_string())),
-            () if host.down_until > self.now => Err(HoldError::Silent("away".to_string())),
-            () if life != host.incarnation.to_string() => {
+            () if host.partitioned_until > self.now => {
+                Err(HoldError::Silent("partitioned".to_string()))
+            }
+            () if host.down_until > self.now => Err(HoldError::Silent("down".to_string())),
+            () if incarnation != host.incarnation.to_string() => {
                 Err(HoldError::Refused(Refusal::OtherLife))
             }
             () => Ok(index),
@@ -372,7 +378,7 @@
         }
     }
 
-    /// A worker's leases go on until a time on its clock.
+    /// Extends a worker's lease to a time on its clock.
     fn renew_lease(&mut self, index: usize, until: Option<u64>) {
         let host = &mut self.hosts[index];
         host.lease_until = host.lease_until.max(until.unwrap_or(0).saturating_sub(CLOCK_BASE_MS));
@@ -402,7 +408,7 @@
         for action in self.cell.take_actions() {
             match action {
                 Action::Start { worker, start, until } => {
-                    let length = start.spec.parse().expect("a number of milliseconds");
+                    let length = start.spec.parse().expect("the spec is a number of milliseconds");
                     let outcome = match self.call_worker(&worker) {
                         Ok(index) => {
                             self.renew_lease(index, Some(until));
@@ -432,7 +438,7 @@
         }
     }
 
-    /// A start that a worker carries out. It is not answered if the worker crashes under it.
+    /// Carries out a start. There is no answer if the worker crashes under it.
     fn start_run(&mut self, index: usize, task: TaskKey, run: u64, length: u64) -> Outcome {
         self.starts.push((self.now, task, index));
         let crashes = self.crash_tasks.contains(&(task.step.job, task.index));
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -1,4 +1,5 @@
-//! Workers that start again under their ids, with one owner at a time, on a virtual clock.
+//! A simulated cluster whose workers restart under their ids, with one owner at a time, on a
+//! virtual clock.
 
 #![allow(dead_code)]
 
@@ -19,27 +20,27 @@
 pub const LEASE_MS: u64 = 6_000;
 /// How long a task runs.
 pub const RUN_MS: u64 = 300;
-/// Time between two looks at the world.
+/// The step of the virtual clock.
 const STEP_MS: u64 = 20;
-/// Time between two reports of a worker.
+/// The interval of a worker's reports.
 const REPORT_INTERVAL_MS: u64 = 100;
-/// Time between two looks of the owner at the list.
+/// The interval at which the owner reads the worker list.
 const LIST_INTERVAL_MS: u64 = 400;
 
 pub fn job(key: u64) -> JobKey {
     JobKey(key)
 }
 
-/// A worker. What dies with its process is in `life`.
+/// A worker. The state that is lost with its process is in `incarnation`.
 struct Host {
     id: Name,
     cpu: u64,
     incarnation: Incarnation,
-    /// It is between two lives, or behind a cut, until then.
+    /// It is down or partitioned before this time.
     unreachable_until: u64,
-    /// Its entry in the list tells of this life.
+    /// The start time in its list entry, which may be that of an earlier incarnation.
     listed_born: u64,
-    /// Reports that are lost from now on.
+    /// How many of its next reports are lost.
     lost_reports: u32,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl Incarnation {
-    /// Its clock begins anew.
+    /// Its clock, which restarts with the process.
     fn clock(&self, now: u64) -> u64 {
         1 + now - self.started_at
     }
@@ -70,32 +71,32 @@
     polled: BTreeSet<Name>,
     starts: BTreeMap<TaskKey, Vec<(u64, Name, u64)>>,
     store: BTreeMap<String, Vec<u8>>,
-    /// Orders to this worker are carried out so much later, and not answered.
+    /// Orders to these workers are carried out this many milliseconds later, and not answered.
     pub order_delays: BTreeMap<usize, u64>,
     in_flight: Vec<(u64, Action, u64)>,
     pub confirmed: Vec<(Name, u64)>,
     advice: Option<Advice>,
-    /// Workers that the advice service clears, by id; all if empty.
+    /// Ids of the workers that the advice service clears; empty: all.
     pub cleared_workers: BTreeSet<Name>,
     pub questions: Vec<Vec<Name>>,
-    /// Answers of the advice service that are lost from now on.
+    /// How many of the next answers of the advice service are lost.
     pub lost_answers: u32,
-    /// Workers that starts were sent to, in order.
+    /// The workers to which starts were sent, in order.
     pub start_targets: Vec<usize>,
-    /// Starts reach nobody and are not answered.
+    /// Starts are lost and not answered.
     pub loses_starts: bool,
-    /// Workers tell when they started.
+    /// Whether workers report when they started.
     reports_born: bool,
-    /// Workers at which every task fails.
+    /// Workers on which every task fails.
     pub failing: BTreeSet<usize>,
-    /// Jobs whose tasks run on, but for those at workers that fail all.
+    /// Jobs whose tasks have no end, except on workers on which every task fails.
     pub lasting_jobs: BTreeSet<JobKey>,
-    /// The list is as it was.
+    /// The list that the owner reads if it is frozen.
     frozen_list: Option<Vec<Listed>>,
-    /// What began and ended, and what was confirmed as done.
+    /// All runs, with their ends and whether these were confirmed.
     spans: Vec<RunSpan>,
     accepted: BTreeSet<JobKey>,
-    /// What the next owner learns from the policy.
+    /// The workspaces that the next owner learns of.
     pub workspaces: Workspaces,
 }
 
@@ -123,12 +124,12 @@
         Self::build(workers, None, true)
     }
 
-    /// A site whose workers do not tell when they started: a process that starts again has another id.
+    /// A cluster whose workers don't report when they started: a restarted process has another id.
     pub fn without_start_times(workers: usize) -> Self {
         Self::build(workers, None, false)
     }
 
-    /// A site whose queue is under the policy of an advice service.
+    /// A cluster whose queue requires clearance by an advice service.
     pub fn with_advice(workers: usize) -> Self {
         let advice = Advice { base: Millis(20), each: 0, valid: Millis(60_000) };
         Self::build(workers, Some(advice), true)
@@ -177,7 +178,7 @@
         cluster
     }
 
-    /// A job of one task.
+    /// Submits a job of one task.
     pub fn submit(&mut self, key: JobKey) {
         self.submit_step(key, step());
     }
@@ -188,7 +189,7 @@
         assert!(self.cell.submit(Millis(self.now), key, "q", Arc::new(work)).is_some());
     }
 
-    /// A job of one step, for a workspace.
+    /// Submits a job of one step for a workspace.
     pub fn submit_for(&mut self, key: JobKey, step: Step, workspace: &str) {
         let (first, every) = (Millis(0), Millis(0));
         let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
@@ -196,7 +197,7 @@
         assert!(self.cell.submit_for(now, key, "q", Arc::new(work), workspace).is_some());
     }
 
-    /// How many tasks run.
+    /// The number of running tasks.
     pub fn running(&self) -> usize {
         self.hosts.iter().map(|host| host.incarnation.running.len()).sum()
     }
@@ -211,7 +212,7 @@
         of_job.map(|(_, starts)| starts.len()).sum()
     }
 
-    /// When tasks were started at a worker after a time.
+    /// When the first task started on a worker from a given time on.
     pub fn first_start_on(&self, index: usize, after: u64) -> Option<u64> {
         let all = self.starts.values().flatten();
         all.filter(|(at, id, _)| *at >= after && *id == self.hosts[index].id)
@@ -219,8 +220,8 @@
             .min()
     }
 
-    /// A worker crashes, and is back under its id after a time, with a life that began earlier by its own
-    /// time of day.
+    /// Crashes a worker, which restarts with the same id after `downtime` milliseconds. Its system
+    /// clock has been set back, so that the new incarnation reports an earlier start time.
     pub fn restart(&mut self, index: usize, downtime: u64) {
         let host = &mut self.hosts[index];
         let now = self.now;
@@ -237,7 +238,7 @@
         self.in_flight.push((at, Action::Look(host.id.clone()), listed));
     }
 
-    /// The worker where a job's task runs.
+    /// The worker on which a job's task runs.
     pub fn host_of(&self, key: JobKey) -> usize {
         let runs = |host: &Host| host.incarnation.running.keys().any(|task| task.step.job == key);
         self.hosts.iter().position(runs).expect("a running task")
@@ -249,7 +250,7 @@
             .any(|host| host.incarnation.running.keys().any(|task| task.step.job == key))
     }
 
-    /// Plays until a job's task runs, for two seconds at most, and then the worker crashes.
+    /// Runs until a job's task runs, for two seconds at most, and then crashes the worker.
     pub fn crash_when_running(&mut self, index: usize, key: JobKey) {
         let until = self.now + 2_000;
         while self.now < until && !self.is_running(key) {
@@ -260,12 +261,12 @@
         }
     }
 
-    /// Whether the list stays as it is.
+    /// Freezes the worker list, or unfreezes it.
     pub fn freeze_list(&mut self, is_frozen: bool) {
         self.frozen_list = is_frozen.then(|| self.list_entries());
     }
 
-    /// Whether a task of a job ran twice at once.
+    /// Whether a task of a job ran twice at the same time.
     pub fn ran_concurrently(&self, key: JobKey) -> bool {
         let of_job = || self.spans.iter().filter(|span| span.task.step.job == key);
         of_job().any(|one| {
@@ -277,7 +278,8 @@
         })
     }
 
-    /// The longest time that the one task of a job was without a run after its first one.
+    /// The longest time, in milliseconds, for which a job with one task was without a run after its
+    /// first one.
     pub fn longest_without_run(&self, key: JobKey) -> u64 {
         let of_job = self.spans.iter().filter(|span| span.task.step.job == key);
         let mut spans: Vec<(u64, u64)> = of_job.map(|span| (span.from, span.until)).collect();
@@ -291,7 +293,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether a task of a job started again though it was done, and that was confirmed.
+    /// Whether a task of a job started again although it was done and its end had been confirmed.
     pub fn was_repeated(&self, key: JobKey) -> bool {
         let of_job = || self.spans.iter().filter(|span| span.task.step.job == key);
         of_job().any(|one| {
@@ -300,35 +302,35 @@
         })
     }
 
-    /// A job that was accepted is completed.
+    /// Whether a job is completed, if it was accepted.
     pub fn is_completed_if_accepted(&self, key: JobKey) -> bool {
         let is_completed = self.state(key)
             == Some(State::Closed(sprucerudder::cell::records::journal::Fate::Completed));
         is_completed || !self.accepted.contains(&key)
     }
 
-    /// As [`Site::restart`], with another room.
+    /// As [`Cluster::restart`], with another CPU capacity.
     pub fn restart_resized(&mut self, index: usize, downtime: u64, cpu: u64) {
         self.restart(index, downtime);
         self.hosts[index].cpu = cpu;
     }
 
-    /// A worker is behind a cut for a time.
+    /// Partitions a worker from the owner for `length` milliseconds.
     pub fn partition(&mut self, index: usize, length: u64) {
         self.hosts[index].unreachable_until = self.now + length;
     }
 
-    /// The next reports of a worker do not come.
+    /// Loses the next reports of a worker.
     pub fn lose_reports(&mut self, index: usize, count: u32) {
         self.hosts[index].lost_reports = count;
     }
 
-    /// Another entry owns the cell.
+    /// Another entry takes over the cell.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         let mut snapshot = Snapshot::default();
         for (key, value) in &self.store {
-            snapshot.add(key, value).expect("a record of its own");
+            snapshot.add(key, value).expect("a valid record");
         }
         let now = Millis(self.now);
         self.cell = Cell::new(self.epoch, bounds(), queues(self.advice), snapshot, false, now);
@@ -421,7 +423,7 @@
             let host = &mut self.hosts[index];
             if host.unreachable_until > self.now || host.lost_reports > 0 {
                 host.lost_reports = host.lost_reports.saturating_sub(1);
-                let silent = HoldError::Silent("nothing came".to_string());
+                let silent = HoldError::Silent("report lost".to_string());
                 self.cell.unheld(now, &id, &silent);
                 continue;
             }
@@ -522,7 +524,7 @@
         }
     }
 
-    /// What was on its way arrives, whatever life is there by now.
+    /// Delivers what is due, whichever incarnation runs there by now.
     fn deliver_in_flight(&mut self) {
         let now = self.now;
         let (due, rest) =
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -1,16 +1,18 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart with the same id.
 //!
-//! Tasks that were done started a second time, and jobs were never completed though their tasks were
-//! done. Workers had crashed and started again under their ids; their ends were numbered from 1 anew. The
-//! owner took them for the same lives and went on to confirm the last number of the life before, so that
-//! the worker forgot ends that nobody had read, and the owner found the runs gone. Its log had it so:
+//! Workers crashed and restarted with the same id, and numbered their ends from 1 again. The owner
+//! took them for the same incarnations and went on confirming the last number of the previous one.
+//! The workers then dropped ends that nobody had read, and the owner found the runs missing:
+//! finished tasks started a second time, and jobs were never completed although their tasks were
+//! done. The owner's log:
 //!
 //! 5.0472 event=worker-silent worker=i-39cf2896f4 runs=2
 //! 5.5534 event=worker-heard worker=i-39cf2896f4 running=0 ended=0
 //! 5.9151 event=start task=T.0.1.8 run=1025 worker=i-39cf2896f4
 //! 7.1648 event=run-vanished task=T.0.1.8 run=1025 worker=i-39cf2896f4
 //!
-//! with no `event=ended` between the last two, while the platform saw the run done at 6.435.
+//! There is no `event=ended` between the last two lines, while the platform saw the run end
+//! successfully at 6.435.
 
 mod lifeworld;
 
@@ -65,11 +67,7 @@
         cluster.run_for(downtime + 1_000);
         let start = cluster.first_start_on(0, back).expect("a start");
         // A report every 100 ms, the list every 400, and the store's answer.
-        assert!(
-            start - back <= 520,
-            "{} ms after a life that was away for {downtime} ms",
-            start - back
-        );
+        assert!(start - back <= 520, "{} ms after a downtime of {downtime} ms", start - back);
     }
 }
 
@@ -96,7 +94,7 @@
     cluster.order_delays.insert(1, 900);
     cluster.submit(job(1));
     cluster.run_for(60);
-    // The start is on its way, and no stop was answered, when the worker starts again.
+    // The start is under way, and no stop has been answered, when the workers restart.
     cluster.restart(0, 20);
     cluster.restart(1, 20);
     cluster.order_delays.clear();
@@ -137,7 +135,7 @@
     cluster.submit(job(1));
     cluster.run_for(1_000);
     assert_eq!(cluster.start_count(job(1)), 0);
-    // The next life is of another kind.
+    // The advice service clears the next incarnation.
     cluster.cleared_workers.clear();
     cluster.restart(0, 100);
     cluster.run_for(2_000);
@@ -153,7 +151,7 @@
     cluster.restart(0, 100);
     cluster.run_for(4_000);
     assert_eq!(cluster.state(job(1)), COMPLETED);
-    assert!(cluster.questions.len() > asked, "nothing was asked for the next life");
+    assert!(cluster.questions.len() > asked, "nothing was asked about the next incarnation");
 }
 
 #[test]
@@ -166,10 +164,10 @@
     let from = cluster.now;
     cluster.submit(job(2));
     cluster.run_for(3_000);
-    assert_eq!(cluster.first_start_on(0, from), None, "its entry is of the life before");
+    assert_eq!(cluster.first_start_on(0, from), None, "its entry is of the previous incarnation");
     cluster.freeze_list(false);
     cluster.run_for(1_000);
-    assert_eq!(cluster.first_start_on(0, from), None, "there is no room for it");
+    assert_eq!(cluster.first_start_on(0, from), None, "no worker has room for it");
     cluster.restart_resized(0, 100, 4_000);
     cluster.run_for(2_000);
     assert_eq!(cluster.state(job(2)), COMPLETED);
@@ -180,7 +178,7 @@
     let mut cluster = Cluster::new(1);
     cluster.submit(job(1));
     cluster.run_for(1_000);
-    // The list is read late: its entry is of the life before for two seconds.
+    // The list is read late: its entry is of the previous incarnation for two seconds.
     cluster.freeze_list(true);
     cluster.restart(0, 100);
     cluster.run_for(2_000);
@@ -214,8 +212,8 @@
 
 #[test]
 fn a_start_that_reached_no_worker_counts_as_one_crash_at_most() {
-    // A start without an answer was given from life to life to be refused there, and each life that ended
-    // before it had said so counted against the task:
+    // A start without an answer was sent to each incarnation in turn, to be refused there. Each one
+    // that ended before it had refused the start counted as a crash of the task:
     // event=crash-counted task=T.0.0.2 worker=i-1+2@1699999996000 crashes=2 alone=false confirmed=true
     // event=crash-counted task=T.0.0.2 worker=i-1+2@1699999995000 crashes=3 alone=true confirmed=true
     // event=given-up task=T.0.0.2 crashes=3
@@ -234,8 +232,8 @@
 
 #[test]
 fn a_task_whose_starts_reached_nobody_is_not_given_up() {
-    // Three starts in a row had no answer, each at a worker that crashed at that moment, the last one alone. None
-    // of them had begun, and the job was shown as failed:
+    // Three starts in a row had no answer, each on a worker that crashed at that moment; the last
+    // one was the only run there. None of them had begun, and the job was reported as failed:
     // event=start-failed task=T.0.0.0 run=4098 worker=i-4 outcome=Unknown
     // event=crash-counted task=T.0.0.0 worker=i-4@1699999999000 crashes=3 alone=true confirmed=true
     // event=given-up task=T.0.0.0 crashes=3
@@ -253,16 +251,18 @@
 
 #[test]
 fn a_start_counts_once_across_restarts_and_takeovers() {
-    // A task was started once at a worker that crashed, and counted against the next two lives of that worker, too:
+    // A task was started once on a worker that crashed, and the crashes of the worker's next two
+    // incarnations were counted against it, too:
     // event=start task=T.0.0.0 run=1027 worker=w4
     // event=crash-counted task=T.0.0.0 worker=w4@7 crashes=3
     // event=crash-counted task=T.0.0.0 worker=w4@5001399 crashes=4
     // event=crash-counted task=T.0.0.0 worker=w4@8005315 crashes=5
-    // The store still had the binding to run 1027: progress was not written when nothing was left to note.
+    // The store still had the binding to run 1027, because progress was not written when it had
+    // become empty.
     let mut cluster = Cluster::new(1);
     cluster.submit(job(1));
     cluster.run_for(60);
-    // Nothing is placed meanwhile: the list tells of the first life.
+    // Nothing is placed meanwhile: the list has the first incarnation.
     cluster.freeze_list(true);
     for _ in 0..5 {
         cluster.restart(0, 20);
@@ -275,7 +275,7 @@
     assert_eq!(cluster.start_count(job(1)), 2);
 }
 
-/// All workers start again as soon as a job's task runs.
+/// Restarts all workers as soon as a job's task runs.
 fn crash_all(cluster: &mut Cluster, workers: usize) {
     while !cluster.is_running(job(1)) {
         cluster.run_for(20);
@@ -293,7 +293,7 @@
     for _ in 0..2 {
         crash_all(&mut cluster, 2);
     }
-    // The first report of the later lives comes now.
+    // The first report of the restarted workers comes now.
     cluster.run_for(1_900);
     let waits: Vec<Why> = cluster.cell.waiting().map(|(_, why)| why).collect();
     assert_eq!(waits, [Why::NewWorkers]);
@@ -339,8 +339,8 @@
     assert_eq!(cluster.start_count(job(1)), 18);
 }
 
-/// An owner gives a job's task to a worker, the task is done there, and neither owner reads its end: the worker starts
-/// again while the next one takes over.
+/// The owner starts a job's task on a worker, and the task is done. No owner reads its end, because
+/// the worker restarts while the next owner takes over.
 fn lose_end_at_takeover(cluster: &mut Cluster) {
     let until = cluster.now + 4_000;
     while cluster.now < until && !cluster.is_running(job(1)) {
@@ -349,7 +349,7 @@
     if cluster.is_running(job(1)) {
         let index = cluster.host_of(job(1));
         cluster.run_for(RUN_MS - 20);
-        // Of the reports that could tell of the end, one falls into this time.
+        // Of the reports that could contain the end, one falls into this time.
         cluster.lose_reports(index, 1);
         cluster.run_for(40);
         cluster.restart(index, 20);
@@ -359,8 +359,8 @@
 
 #[test]
 fn runs_that_ended_before_a_takeover_fail_no_job() {
-    // Ends that no owner had read or kept counted as crashes: three of them ended a job under whose task no worker had
-    // crashed.
+    // Ends that no owner had read or recorded counted as crashes. Three of them failed a job
+    // although no worker had crashed under its task.
     let mut cluster = Cluster::new(2);
     cluster.submit(job(1));
     for _ in 0..3 {
@@ -387,7 +387,7 @@
     assert_eq!(cluster.state(job(1)), Some(State::Closed(Fate::Cancelled)));
 }
 
-/// How long after a takeover a task that ran behind a cut starts elsewhere.
+/// How long after a takeover a task on a partitioned worker starts elsewhere, in milliseconds.
 fn wait_after_takeover(mut cluster: Cluster) -> u64 {
     cluster.submit(job(1));
     cluster.run_for(60);
@@ -403,8 +403,9 @@
 
 #[test]
 fn a_new_owner_waits_for_the_longest_lease_only_where_a_worker_may_have_restarted() {
-    // Workers that do not tell when they started have other ids in their next lives, so no time of another life's clock
-    // reaches them. A takeover waited for the longest lease there, too, before what ran behind a cut started elsewhere.
+    // Workers that don't report when they started have another id after a restart, so that no lease
+    // by the clock of another incarnation reaches them. A takeover waited for the longest lease
+    // there, too, before it started the tasks of a partitioned worker elsewhere.
     let usual = wait_after_takeover(Cluster::without_start_times(2));
     assert!((LEASE_MS..LEASE_MS + 600).contains(&usual), "{usual} ms");
     let longest = wait_after_takeover(Cluster::new(2));
@@ -413,8 +414,9 @@
 
 #[test]
 fn a_job_is_not_given_up_for_one_worker_that_crashes_again() {
-    // Two starts reached nobody, at workers that had just started. The third one ran when its worker crashed; the fourth one
-    // had no answer, at the same worker, which had stayed up for seconds and then crashed again:
+    // Two starts were lost on their way to workers that had just started. The third one ran when
+    // its worker crashed. The fourth one had no answer from the same worker, which had been up for
+    // seconds and then crashed again:
     // event=crash-counted task=T.0.0.0 worker=i-2+1@1699999998000 crashes=3 evidence=Shared confirmed=true
     // event=start-failed task=T.0.0.0 run=11266 worker=i-2+1 outcome=Unknown
     // event=crash-counted task=T.0.0.0 worker=i-2+1@1699999997000 crashes=4 evidence=Shared confirmed=false
@@ -438,8 +440,9 @@
 
 #[test]
 fn a_job_is_not_given_up_for_starts_that_reached_nobody_at_workers_that_had_stayed_up() {
-    // Two starts reached nobody at workers that had just started, and two more at others that had stayed up; each of them
-    // started again at that moment by itself. The task had run nowhere:
+    // Two starts were lost on their way to workers that had just started, and two more on their way
+    // to workers that had been up for longer; each of these restarted at that moment for another
+    // reason. The task had run nowhere:
     //  event=start-failed task=T.0.2.1 run=5123 worker=i-3 outcome=Unknown
     //  event=crash-counted task=T.0.2.1 worker=i-3@1699999999000 crashes=3 evidence=Shared confirmed=false
     //  event=start-failed task=T.0.2.1 run=5124 worker=i-5 outcome=Unknown
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -1,8 +1,8 @@
-//! A ready step for which a worker is up and has room waits for nothing without an end.
+//! A ready step does not wait for good while a worker is up and has room for it.
 //!
-//! Jobs were found at the end of a day with nothing running although most workers had room. Each state in
-//! which a ready step waits has a deadline of its own, or is looked at again: these tests hold the event back
-//! that would end it.
+//! Jobs had nothing running at the end of a day although most workers had room. Each state in which
+//! a ready step waits has a deadline of its own or is checked again. These tests suppress the event
+//! that would usually end the wait.
 
 mod lifeworld;
 
@@ -12,7 +12,7 @@
 use sprucerudder::workload::{Room, Step};
 
 const COMPLETED: Option<State> = Some(State::Closed(Fate::Completed));
-/// How long a task may wait for which there is room, by the platform's contract.
+/// How long a task for which there is room may wait, by the platform's contract.
 const MAX_WAIT_MS: u64 = 3_000;
 
 #[test]
@@ -33,7 +33,8 @@
     assert_eq!(cluster.state(job(1)), COMPLETED, "asked {} times", cluster.questions.len());
 }
 
-/// A worker at which tasks of several jobs failed in a row is given nothing new for 2 to 16 s.
+/// Lets tasks of several jobs fail in a row on a worker, which then gets no new tasks for 2 to 16
+/// s.
 fn fail_in_a_row(cluster: &mut Cluster, index: usize, count: u64) {
     cluster.failing.insert(index);
     for key in 0..count {
@@ -101,9 +102,9 @@
 
 #[test]
 fn a_lasting_task_runs_again_in_time_however_busy_the_service_is() {
-    // By the platform's contract a lasting task has a run again within 9 s, also where more than half of the service is in
-    // use. A worker on which tasks of several jobs had failed was given nothing new for up to 16 s, though it was the only
-    // one with room:
+    // By the platform's contract a long-running task has a run again within 9 s, even if more than
+    // half of the service is in use. A worker on which tasks of several jobs had failed got no new
+    // tasks for up to 16 s, although it was the only one with room:
     //  event=waited step=0000000000000002.0.0 queue=q for=room ms=16000 next=none
     let mut cluster = Cluster::new(2);
     cluster.lasting_jobs.extend([job(1), job(2)]);
