--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -200,7 +200,9 @@
     /// It is settled whether a life ended. Where nothing was heard of it, it counts against
     /// tasks with two confirmed crashes.
     pub(in crate::cell) fn resolve_crash(&mut self, life: &Life, found: CrashResolution) {
-        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed_crashes.0.remove(life) else { return };
+        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed_crashes.0.remove(life) else {
+            return;
+        };
         log::info!("event=crash-settled worker={life} found={found:?} tasks={}", tasks.len());
         self.crash_counts.crashed += u64::from(found == CrashResolution::Ended);
         for task in tasks {
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -51,7 +51,8 @@
         let is_early = !job.has_waited(now, key, MIN_WAIT);
         // It may be given back to its caller, and nothing was gained by what was stopped for it.
         let is_unstored = job.batch > self.stored_batch;
-        if is_early || is_unstored || candidates.is_empty() || self.reservations.has_exclusive(key) {
+        if is_early || is_unstored || candidates.is_empty() || self.reservations.has_exclusive(key)
+        {
             return;
         }
         let (mine, queue) = (queue_rank(job), job.queue.name.clone());
--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -111,7 +111,11 @@
         let mut body = BytesMut::new();
         encode_keyed(&mut body, MAP_KEY, &bytes);
         let cells = map.cells();
-        match self.store.append(MAP_PART, Precondition::End(end), body.freeze(), WRITE_TIMEOUT).await {
+        match self
+            .store
+            .append(MAP_PART, Precondition::End(end), body.freeze(), WRITE_TIMEOUT)
+            .await
+        {
             Ok(_) => log::info!("event=map-made cells={cells} workers={}", listed.len()),
             Err(err) => log::info!("event=map-not-made cells={cells} error={err:?}"),
         }
--- a/src/node/job_call.rs
+++ b/src/node/job_call.rs
@@ -124,7 +124,9 @@
             Ok(OwnerMessage::State(Some(JobState::Closed(JobOutcome::Completed)))) => {
                 Reply::State("completed")
             }
-            Ok(OwnerMessage::State(Some(JobState::Closed(JobOutcome::Failed)))) => Reply::State("failed"),
+            Ok(OwnerMessage::State(Some(JobState::Closed(JobOutcome::Failed)))) => {
+                Reply::State("failed")
+            }
             Ok(OwnerMessage::State(Some(JobState::Closed(JobOutcome::Cancelled)))) => {
                 Reply::State("cancelled")
             }
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -245,8 +245,12 @@
                     report_wake.notify_one();
                 }
             }
-            Action::RequestAdvice { entry, request: question } => self.request_advice(entry, question),
-            Action::JobForgotten(job, workspace) => self.forget_at_home_cell(job, workspace.as_ref()),
+            Action::RequestAdvice { entry, request: question } => {
+                self.request_advice(entry, question)
+            }
+            Action::JobForgotten(job, workspace) => {
+                self.forget_at_home_cell(job, workspace.as_ref())
+            }
             order => drop(tokio::spawn(self.clone().send_order(order))),
         }
     }
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -171,8 +171,7 @@
             if !may_be_stored && self.node.now().since(started) >= WITHDRAW_AFTER {
                 let withdrawn = lock(&self.cell).withdraw_batch(batch.number);
                 // All that is of them: a binding that stayed would be taken for one of the same job, submitted again.
-                records
-                    .retain(|(key, _)| {
+                records.retain(|(key, _)| {
                     !parse_key(key).is_some_and(|(job, _)| withdrawn.contains(&job))
                 });
                 // Callers that wait report_wake again.
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -15,8 +15,14 @@
         };
         let lost = self.chance(5);
         let delay = 1 + self.pick(3);
-        let event =
-            Event::ReportCall { owner, worker, seen: hold.confirmed, until: hold.lease_end, sent, lost };
+        let event = Event::ReportCall {
+            owner,
+            worker,
+            seen: hold.confirmed,
+            until: hold.lease_end,
+            sent,
+            lost,
+        };
         self.schedule_after(delay, event);
     }
 
