--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -1,10 +1,10 @@
 //! What the advice service is asked, and what its answers mean for placing.
 
-use crate::cell::advising::advice::Question;
+use crate::cell::advising::advice::AdviceRequest;
 use crate::cell::jobs::job::{Job, Ticket};
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
-use crate::cell::placing::place::Fit;
+use crate::cell::placing::candidate::Candidate;
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -37,8 +37,8 @@
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
-        let advised = &step.advised;
-        if advised.asking || now < advised.again {
+        let advised = &step.clearances;
+        if advised.is_asking || now < advised.retry_at {
             return;
         }
         let workers = self.to_name(now, key, job, spec, rest);
@@ -46,10 +46,10 @@
             return;
         }
         let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
-        let question = Question { step: key, workers, cost, rank: rank(job) };
-        self.advisers.push(question);
+        let question = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
+        self.advice_queue.push(question);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
-            (step.advised.asking, step.advised.since) = (true, now);
+            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
         }
     }
 
@@ -62,39 +62,43 @@
             return Vec::new();
         };
         let charge = spec.charge();
-        let advised = &step.advised;
-        let names_busy = !self.bounds.off.has(Mechanism::AskBusy);
-        let open = self.open(now, key, job, spec).into_iter();
-        let asked = |fit: &Fit| {
-            advised.denied.contains(&fit.name) || advised.holds(&fit.name, now + TICKET_SPARE)
+        let advised = &step.clearances;
+        let names_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
+        let open = self.open_candidates(now, key, job, spec).into_iter();
+        let asked = |candidate: &Candidate| {
+            advised.denied.contains(&candidate.name)
+                || advised.has_ticket_for(&candidate.name, now + TICKET_SPARE)
         };
-        let (known, unknown): (Vec<Fit>, Vec<Fit>) = open
-            .filter(|fit| !asked(fit) && (names_busy || fit.holds(spec, &charge)))
-            .partition(|fit| advised.cleared.contains_key(&fit.name));
+        let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
+            .filter(|candidate| {
+                !asked(candidate) && (names_busy || candidate.has_room(spec, &charge))
+            })
+            .partition(|candidate| advised.cleared.contains_key(&candidate.name));
         if spec.gang
             && let Some(named) = self.to_name_again(now, key, spec, rest)
         {
             return named;
         }
-        let has_room = |fit: &Fit| fit.holds(spec, &charge);
-        let could_hold = |fit: &Fit| self.could_hold(fit, job.priority(), spec);
-        let known: Vec<Fit> = known.into_iter().filter(could_hold).collect();
+        let has_room = |candidate: &Candidate| candidate.has_room(spec, &charge);
+        let fits_after_preemption =
+            |candidate: &Candidate| self.fits_after_preemption(candidate, job.priority(), spec);
+        let known: Vec<Candidate> = known.into_iter().filter(fits_after_preemption).collect();
         let again = rest.max(LEAST_AGAIN);
         let anew = (rest * CLEARED_SHARE).max(balance(advice));
-        let suffices = |known: &[Fit]| !spec.gang && known.iter().any(has_room);
+        let suffices = |known: &[Candidate]| !spec.gang && known.iter().any(has_room);
         let (mut named, most) = match () {
             () if suffices(&known) => (known, again),
-            () if unknown.iter().any(has_room) || advised.is_new() => (unknown, anew),
+            () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, anew),
             // Asking again would be of no use: their room does not hold the gang.
             () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made at some of them.
             () => (known, again),
         };
-        named.sort_by_cached_key(|fit| {
-            let away = job.home.as_ref().is_some_and(|home| fit.domain != *home);
-            (!fit.holds(spec, &charge), away, std::cmp::Reverse(fit.free.cpu))
+        named.sort_by_cached_key(|candidate| {
+            let away = job.home_domain.as_ref().is_some_and(|home| candidate.domain != *home);
+            (!candidate.has_room(spec, &charge), away, std::cmp::Reverse(candidate.free.cpu))
         });
-        named.into_iter().take(most.min(MAX_NAMED)).map(|fit| fit.name).collect()
+        named.into_iter().take(most.min(MAX_NAMED)).map(|candidate| candidate.name).collect()
     }
 
     /// The workers known to be cleared for a gang, if they have room for all of it: all tasks start
@@ -108,27 +112,30 @@
         rest: usize,
     ) -> Option<Vec<Name>> {
         let charge = spec.charge();
-        let mut fits = self.known_good(now, key, spec);
-        fits.retain(|fit| fit.holds(spec, &charge));
-        fits.sort_by_cached_key(|fit| std::cmp::Reverse(fit.count(spec, &charge)));
+        let mut candidates = self.cleared_candidates(now, key, spec);
+        candidates.retain(|candidate| candidate.has_room(spec, &charge));
+        candidates.sort_by_cached_key(|candidate| {
+            std::cmp::Reverse(candidate.count_fitting(spec, &charge))
+        });
         let mut named = Vec::new();
         let mut room = 0;
-        for fit in fits.into_iter().take(MAX_NAMED) {
+        for candidate in candidates.into_iter().take(MAX_NAMED) {
             // Some fill up before the answer is there.
             if room >= rest + LEAST_AGAIN {
                 break;
             }
-            room += fit.count(spec, &charge);
-            named.push(fit.name);
+            room += candidate.count_fitting(spec, &charge);
+            named.push(candidate.name);
         }
         (room >= rest).then_some(named)
     }
 
     /// Hands waiting questions to entries that can ask them.
     pub(in crate::cell) fn ask_next(&mut self, now: Millis) {
-        while let Some((entry, question)) = self.advisers.assign(now) {
+        while let Some((entry, question)) = self.advice_queue.assign(now) {
             let job = self.jobs.get(&question.step.job);
-            let since = job.and_then(|job| job.step(question.step)).map(|step| step.advised.since);
+            let since =
+                job.and_then(|job| job.step(question.step)).map(|step| step.clearances.asked_at);
             log::info!(
                 "event=question step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 question.step,
@@ -136,7 +143,7 @@
                 question.cost,
                 now.since(since.unwrap_or(now))
             );
-            self.actions.push(Action::Ask { entry, question });
+            self.actions.push(Action::RequestAdvice { entry, request: question });
         }
     }
 
@@ -149,12 +156,12 @@
         named: &[Name],
         answer: Option<Cleared>,
     ) {
-        self.advisers.answered(entry, key);
+        self.advice_queue.answered(entry, key);
         match answer {
             Some(cleared) => self.clear(now, key, named, cleared),
             None => self.return_question(key, entry, "no-answer"),
         }
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     fn clear(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
@@ -164,13 +171,13 @@
         let Some(step) = job.step_mut(key) else { return };
         // The answer may be about the life before.
         let workers = &self.workers;
-        let since = step.advised.since;
+        let since = step.clearances.asked_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted <= since);
         log::info!("event=advised step={key} named={} cleared={}", named.len(), cleared.rows.len());
-        let advised = &mut step.advised;
-        advised.asking = false;
-        advised.again = now + ASK_AGAIN;
+        let advised = &mut step.clearances;
+        advised.is_asking = false;
+        advised.retry_at = now + ASK_AGAIN;
         let good: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !good.contains(*name) && is_same(name));
         advised.denied.extend(denied.cloned());
@@ -179,7 +186,7 @@
         }
         if good.is_empty() {
             // All were denied: others are asked about at once.
-            advised.again = now;
+            advised.retry_at = now;
         }
     }
 
@@ -193,15 +200,15 @@
     pub(in crate::cell) fn forget_question(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
-            step.advised.asking = false;
-            self.changed = true;
+            step.clearances.is_asking = false;
+            self.needs_placement = true;
         }
     }
 
     /// A worker did not take a ticket.
     pub(in crate::cell) fn drop_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
-        if let Some(ticket) = step.and_then(|step| step.advised.cleared.get_mut(name)) {
+        if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
             ticket.until = Millis(0);
         }
     }
@@ -209,9 +216,9 @@
     /// Tickets run out and pauses end: steps that wait are looked at again.
     pub(in crate::cell) fn expire_questions(&mut self, now: Millis) {
         // A step whose answer was lost on its way was never asked about again.
-        for step in self.advisers.expire(now) {
+        for step in self.advice_queue.expire(now) {
             let job = self.jobs.get(&step.job);
-            let since = job.and_then(|job| job.step(step)).map(|state| state.advised.since);
+            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
             log::info!(
                 "event=wait-expired step={step} queue={} for=lost-answer ms={}",
                 job.map(|job| &*job.queue.name).unwrap_or_default(),
@@ -220,7 +227,7 @@
             self.expired_waits += 1;
             self.forget_question(step);
         }
-        self.changed = self.changed || !self.ready.is_empty();
+        self.needs_placement = self.needs_placement || !self.ready_steps.is_empty();
     }
 }
 
