--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The owner of the cell: the shell around [`Cell`], which decides.
+//! The owner of a cell: runs the tasks, timers and I/O around [`Cell`], which makes the scheduling
+//! decisions.
 
 mod forward;
 mod history;
@@ -26,48 +27,51 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{Notify, Semaphore, watch};
 
-/// Without a heartbeat in the log for this long no job is accepted: it could not be kept in time.
-/// With a store 60 times slower than usual heartbeats take up to 900 ms.
+/// New jobs are refused once the last heartbeat in the log is older than this, because their
+/// records could not be stored in time. Heartbeats take up to 900 ms with a store that is 60 times
+/// slower than usual.
 const HEARTBEAT_MAX_AGE: Millis = Millis(1_000);
 
-/// Time between two looks at whether all is written.
+/// Time between two checks of whether all records are written.
 const FLUSH_POLL_INTERVAL: Millis = Millis(20);
-/// The owner.
+
+/// The owner of a cell during one epoch.
 #[derive(Debug)]
 pub(super) struct Owner {
     node: Arc<Node>,
     view: Arc<CellView>,
     epoch: u64,
     cell: Mutex<Cell>,
-    /// The batch up to which all is in the store.
+    /// The last batch that is in the store; all earlier ones are too.
     stored_batch: watch::Sender<u64>,
-    /// There may be something to do or to write.
+    /// Wakes [`Owner::run_actions`].
     schedule_wake: Notify,
+    /// Wakes [`Owner::write_batches`].
     write_wake: Notify,
-    /// It is not the owner any more.
+    /// Set once this entry no longer owns the cell.
     ended: watch::Sender<bool>,
-    /// The other entries that ask this owner.
+    /// The other entries that are connected to this owner.
     peers: Mutex<HashMap<Name, FrameSender>>,
     authority: Mutex<Authority>,
-    /// What the other entries know of the time before.
+    /// What the other entries know about the time before this epoch.
     witnesses: Mutex<Witnesses>,
     lag: Mutex<Lag>,
-    /// Pauses of the process that the cell knows of.
+    /// The number of process pauses that the cell was told about.
     known_pauses: AtomicU64,
     /// No heartbeat has been confirmed since the last pause.
     is_unconfirmed: AtomicBool,
-    /// The store takes records.
+    /// The store accepted the last batch or heartbeat.
     store_up: AtomicBool,
-    /// Wakes the watch of a worker for a report at once.
+    /// Makes the task that watches a worker ask for a report at once.
     report_wakes: Mutex<HashMap<Name, Arc<Notify>>>,
-    /// What the cell has to do, as of the last tick.
+    /// The load of the cell by service, as of the last tick.
     loads: Mutex<Vec<Load>>,
-    /// Bounds how many orders each worker is given at once.
+    /// Limits how many orders are in flight to each worker.
     order_permits: Mutex<HashMap<Name, Arc<Semaphore>>>,
 }
 
 impl CellView {
-    /// Takes the cell over and owns it until another entry does, or this one is released.
+    /// Takes over the cell and owns it until another entry claims it or this one gives it up.
     pub(super) async fn run_owner(self: Arc<Self>, epoch: u64) {
         let started = self.now();
         let Some((snapshot, listed)) = self.recover(epoch).await else {
@@ -125,7 +129,7 @@
             }
             is_same
         });
-        log::info!("event=owner-over cell={} epoch={epoch}", self.cell);
+        log::info!("event=ownership-ended cell={} epoch={epoch}", self.cell);
     }
 }
 
@@ -135,16 +139,17 @@
         self.epoch
     }
 
-    /// Whether another entry owns the cell by now, or this one gave it up.
+    /// Whether another entry has claimed the cell, or this one has given it up.
     pub fn has_ended(&self) -> bool {
         *self.ended.borrow()
     }
 
-    /// Gives the cell up: nothing is ordered or written any more.
+    /// Ends the ownership: no more orders are sent and no more records written.
     pub fn end(&self) {
         self.ended.send_replace(true);
     }
 
+    /// Runs all tasks of the owner until one of them returns or the ownership ends.
     async fn run(self: Arc<Self>) {
         let mut ended = self.ended.subscribe();
         self.schedule_wake.notify_one();
@@ -160,28 +165,29 @@
         self.end();
     }
 
-    /// A heartbeat that was sent at `sent` is in the log.
+    /// Notes that the heartbeat that was sent at `sent` is in the log.
     pub fn confirm_heartbeat(&self, sent: Millis) {
         lock(&self.authority).confirm(sent);
         if self.node.now().since(sent) < SILENCE {
             self.is_unconfirmed.store(false, Ordering::Relaxed);
         }
-        // Without jobs there may be no batch that shows that the store takes records again.
+        // Without jobs there may be no batch that shows that the store accepts records again.
         if !self.store_up.swap(true, Ordering::Relaxed) {
-            log::info!("event=store-back epoch={}", self.epoch);
+            log::info!("event=store-recovered epoch={}", self.epoch);
             self.write_wake.notify_one();
         }
     }
 
-    /// Whether orders may go out: no other entry can have claimed the cell.
+    /// Whether orders may be sent, because no other entry can have claimed the cell.
     fn has_authority(&self) -> bool {
         let now = self.node.now();
         self.check_for_pause(now);
         lock(&self.authority).holds(now)
     }
 
-    /// After a pause of the process or its machine, what the cell believes of workers is too old: nothing
-    /// starts before the list of them is read again, and each has reported.
+    /// Tells the cell if the process or its VM was paused. What the cell knows about workers is
+    /// outdated then, so it starts no task on a worker before the list of workers has been read
+    /// again and that worker has reported.
     fn check_for_pause(&self, now: Millis) {
         let pauses = self.node.clock.pauses();
         if self.known_pauses.swap(pauses, Ordering::Relaxed) != pauses {
@@ -190,12 +196,13 @@
         }
     }
 
-    /// Whether callers may come: this surely is the owner, and the store takes records.
+    /// Whether callers can be served: no other entry can own the cell, and the store accepts
+    /// records.
     pub fn is_serving(&self) -> bool {
         !self.has_ended() && self.can_accept_jobs() && self.has_authority()
     }
 
-    /// Does what the cell decides.
+    /// Executes the actions that the cell decides on.
     async fn run_actions(self: Arc<Self>) {
         loop {
             self.schedule_wake.notified().await;
@@ -228,7 +235,7 @@
             }
             Action::Watch(listed) => drop(tokio::spawn(self.clone().watch_worker(listed))),
             Action::Unwatch(worker) => {
-                // The watching task ends by itself: the cell does not know the worker any more.
+                // The woken task ends by itself, because the cell no longer knows the worker.
                 if let Some(report_wake) = lock(&self.report_wakes).remove(&worker) {
                     report_wake.notify_one();
                 }
@@ -245,7 +252,7 @@
         }
     }
 
-    /// Has an entry, maybe this one, ask the advice service.
+    /// Has an entry, possibly this one, ask the advice service.
     fn request_advice(self: &Arc<Self>, entry: Name, question: Question) {
         let Question { step, workers, cost, .. } = question;
         if entry == self.node.id.name {
@@ -265,12 +272,13 @@
             _ => false,
         };
         if !sent {
-            log::info!("event=question-lost entry={entry} step={step}");
+            log::info!("event=advice-request-not-sent entry={entry} step={step}");
             lock(&self.cell).leave(&entry);
             self.schedule_wake.notify_one();
         }
     }
 
+    /// Runs the periodic work of the cell and updates the metrics.
     async fn tick(self: Arc<Self>) {
         let mut timer = tokio::time::interval(TICK.duration());
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -290,18 +298,20 @@
         }
     }
 
-    /// Takes note of a tick; whether the processor does not keep up.
+    /// Records how late a tick is. Returns whether new jobs are refused because the processor does
+    /// not keep up.
     fn update_lag(&self, now: Millis) -> bool {
         let mut lag = lock(&self.lag);
         let was_shedding = lag.sheds();
         lag.tick(now, TICK);
         if lag.sheds() != was_shedding {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=overload cell={cell} epoch={epoch} sheds={}", lag.sheds());
+            log::info!("event=overload-changed cell={cell} epoch={epoch} sheds={}", lag.sheds());
         }
         lag.sheds()
     }
 
+    /// Passes each new version of the policy to the cell.
     async fn follow_policy(self: Arc<Self>) {
         let mut policies = self.node.policy.subscribe();
         loop {
@@ -318,11 +328,15 @@
         }
     }
 
-    /// Another entry asks this owner from now on.
+    /// Registers the connection of another entry.
     pub fn add_peer(&self, entry: Name, cpu: u32, is_home: bool, sender: FrameSender) {
-        log::info!("event=entry-joined cell={} entry={entry} epoch={}", self.view.cell, self.epoch);
+        log::info!(
+            "event=entry-connected cell={} entry={entry} epoch={}",
+            self.view.cell,
+            self.epoch
+        );
         lock(&self.peers).insert(entry.clone(), sender);
-        // The cell is handed only to entries that belong to it.
+        // The cell is transferred only to entries whose home it is.
         let cpu = if is_home { cpu } else { 0 };
         lock(&self.authority).join(self.node.now(), &entry, cpu);
         if self.node.adviser.is_some() {
@@ -331,12 +345,12 @@
         self.schedule_wake.notify_one();
     }
 
-    /// Its connection ended, unless it has a newer one.
+    /// Removes the connection of an entry, unless the entry has a newer one.
     pub fn remove_peer(&self, entry: &Name, sender: &FrameSender) {
         let mut peers = lock(&self.peers);
         if peers.get(entry).is_some_and(|known| known.same_channel(sender)) {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=entry-left cell={cell} entry={entry} epoch={epoch}");
+            log::info!("event=entry-disconnected cell={cell} entry={entry} epoch={epoch}");
             peers.remove(entry);
             drop(peers);
             lock(&self.cell).leave(entry);
@@ -344,20 +358,21 @@
         }
     }
 
-    /// An entry says whether it can read the log.
+    /// Notes whether an entry can read the log.
     pub fn handle_ping(&self, entry: &Name, log_readable: bool) {
         lock(&self.authority).hear(self.node.now(), entry, log_readable);
     }
 
-    /// Answers an entry.
+    /// Answers a message of an entry.
     pub async fn handle_request(
         self: &Arc<Self>,
         entry: &Name,
         message: EntryMessage,
     ) -> OwnerMessage {
         self.check_for_pause(self.node.now());
-        // Another entry may own the cell by now, and know more of its jobs. What entries tell is taken in all
-        // the same: an answer of the advice service that was turned away left its step waiting for good.
+        // After a pause another entry may own the cell and know more about its jobs. Only requests
+        // of callers are refused for that: if an answer of the advice service were refused, its
+        // step would wait forever.
         let is_stale = message.is_from_caller() && self.is_unconfirmed.load(Ordering::Relaxed);
         if self.has_ended() || is_stale {
             return OwnerMessage::Refused(RefusalReason::NotOwner);
@@ -414,6 +429,7 @@
         }
     }
 
+    /// Accepts a job and waits until its record is in the store.
     async fn submit(
         self: &Arc<Self>,
         job: JobKey,
@@ -424,19 +440,22 @@
         let batch = {
             let mut cell = lock(&self.cell);
             if !cell.is_visible(job, workspace.as_ref()) {
-                log::warn!("event=refused job={job} why=another-workspace epoch={}", self.epoch);
+                log::warn!(
+                    "event=job-refused job={job} why=another-workspace epoch={}",
+                    self.epoch
+                );
                 return OwnerMessage::Refused(RefusalReason::OtherWorkspace);
             }
             if !cell.knows(job) && !self.can_accept_jobs() {
                 let age = lock(&self.authority).age(self.node.now());
                 log::info!(
-                    "event=refused job={job} why=no-store epoch={} beat_ms={age}",
+                    "event=job-refused job={job} why=store-unavailable epoch={} beat_ms={age}",
                     self.epoch
                 );
                 return OwnerMessage::Refused(RefusalReason::StoreUnavailable);
             }
             if !cell.knows(job) && lock(&self.lag).sheds() {
-                log::info!("event=refused job={job} why=overload epoch={}", self.epoch);
+                log::info!("event=job-refused job={job} why=overload epoch={}", self.epoch);
                 return OwnerMessage::Refused(RefusalReason::Overload);
             }
             match cell.batch_of(job) {
@@ -468,13 +487,13 @@
         }
     }
 
-    /// Whether new jobs are taken: the store took the last batch, and a heartbeat a moment ago.
+    /// Whether new jobs are accepted: the store accepted the last batch and a recent heartbeat.
     fn can_accept_jobs(&self) -> bool {
         let is_fresh = lock(&self.authority).age(self.node.now()) < HEARTBEAT_MAX_AGE;
         is_fresh && self.store_up.load(Ordering::Relaxed)
     }
 
-    /// Waits until a batch is in the store; `false`: this is not the owner any more.
+    /// Waits until a batch is in the store. Returns `false` if the ownership ends before.
     async fn wait_stored(&self, batch: u64) -> bool {
         let mut stored = self.stored_batch.subscribe();
         let mut ended = self.ended.subscribe();
@@ -484,7 +503,7 @@
         }
     }
 
-    /// Writes what is left, as well as the store allows within `timeout`.
+    /// Waits until all records are written, for `timeout` at the most.
     pub async fn flush(&self, timeout: Millis) {
         let deadline = self.node.now() + timeout;
         while self.node.now() < deadline && lock(&self.cell).is_unkept() {
