--- a/src/node/owner/forward.rs
+++ b/src/node/owner/forward.rs
@@ -1,4 +1,4 @@
-//! Jobs that run in another cell than their home.
+//! Forwards jobs from their home cell to another cell.
 
 use crate::cell::owner::balance::{self, Choice, Load};
 use crate::clock::Millis;
@@ -10,23 +10,26 @@
 use crate::workload::{JobKey, Work};
 use std::sync::Arc;
 
-/// How long the home of a forgotten job is asked to forget it too. Without an answer its record stays
-/// there, some 30 bytes.
+/// How long to try to reach the home cell of a forgotten job so that it drops its record too.
+/// Without an answer the record, some 30 bytes, stays there.
 const FORGET_TIMEOUT: Millis = Millis(3_000);
 
 impl Owner {
-    /// What the cell has to do.
+    /// The load of the cell by service.
     pub fn loads(&self) -> Vec<Load> {
         lock(&self.loads).clone()
     }
 
-    /// The other cell that a job was sent to.
+    /// The cell that a job was forwarded to.
     pub(super) fn forwarded_to(&self, job: JobKey) -> Option<u32> {
         lock(&self.cell).forwarded(job)
     }
 
-    /// Sends a job that is not known here to another cell, if that should run it. An error: no worker of
-    /// its service is here, and no other cell is known to have one.
+    /// Forwards a job that is not known here to another cell, if that cell should run it.
+    ///
+    /// # Errors
+    /// [`RefusalReason::NoWorker`]: this cell has no worker of the job's service, and no other cell
+    /// is known to have one.
     pub(super) fn forward_job(
         &self,
         job: JobKey,
@@ -40,7 +43,8 @@
         let Some(cells) = self.node.cells() else { return Ok(()) };
         let queue = self.node.policy().queues.get(queue).cloned();
         let Some(service) = queue.map(|queue| queue.service.clone()) else { return Ok(()) };
-        // All that counts for a bound is counted here, as long as anything can run here.
+        // The limits of a workspace are enforced in its home cell, so its jobs stay here as long as
+        // any of them can run here.
         if self.has_limits(workspace) && lock(&self.cell).processors(&service) > 0 {
             return Ok(());
         }
@@ -48,7 +52,7 @@
         let target = match near_data.or_else(|| self.less_loaded_cell(&cells, &service, job)) {
             Some(target) if target != self.view.cell => target,
             None if lock(&self.cell).processors(&service) == 0 => {
-                log::info!("event=refused job={job} why=no-worker service={service}");
+                log::info!("event=job-refused job={job} why=no-worker service={service}");
                 return Err(RefusalReason::NoWorker);
             }
             _ => return Ok(()),
@@ -58,13 +62,15 @@
         Ok(())
     }
 
+    /// Whether the policy limits what a workspace may run.
     fn has_limits(&self, workspace: Option<&Name>) -> bool {
         let policy = self.node.policy();
         let workspace = workspace.and_then(|name| policy.workspaces.get(name));
         workspace.is_some_and(|workspace| workspace.is_bounded())
     }
 
-    /// The cell with the rack that most of a job's tasks want to be on.
+    /// The cell with the rack that is preferred by a job's largest step with such a preference, if
+    /// that cell accepts jobs.
     fn cell_near_data(&self, cells: &Cells, work: &Work) -> Option<u32> {
         let steps = work.steps.iter().filter(|step| !step.near.is_empty());
         let rack = &steps.max_by_key(|step| step.count)?.near;
@@ -73,13 +79,13 @@
         Some(target)
     }
 
-    /// A cell that has far less to do than this one, or has workers of the service where this one has
-    /// none left.
+    /// A cell with far less load than this one, or one that has workers of the service if this one
+    /// has none.
     fn less_loaded_cell(&self, cells: &Cells, service: &Name, job: JobKey) -> Option<u32> {
         let share = lock(&self.loads).iter().find(|load| load.service == *service).map(|l| l.share);
         let own_share = match share {
             Some(share) => share,
-            // Its workers were not heard yet.
+            // The load is not known yet: none of the workers has reported.
             None if lock(&self.cell).processors(service) > 0 => return None,
             None => u32::MAX,
         };
@@ -88,6 +94,8 @@
         balance::choose(own_share, &others, job)
     }
 
+    /// Adds the first steps of a forwarded job to the load of the target cell, until its owner
+    /// sends a newer figure.
     fn add_forwarded_load(&self, cells: &Cells, target: u32, service: &Name, work: &Work) {
         let cpu: u64 = work
             .steps
@@ -101,7 +109,7 @@
         }
     }
 
-    /// Tells the home of a job that this cell has forgotten it.
+    /// Tells the home cell of a job that this cell has forgotten the job.
     pub(super) fn forget_at_home_cell(self: &Arc<Self>, job: JobKey, workspace: Option<&Name>) {
         let Some(cells) = self.node.cells() else { return };
         let Some(home) = cells.of_job(job, workspace).filter(|home| home.cell != self.view.cell)
@@ -112,7 +120,7 @@
         tokio::spawn(async move {
             let deadline = home.now() + FORGET_TIMEOUT;
             if let Err(err) = home.request(EntryMessage::Forget { job }, deadline).await {
-                log::info!("event=not-forgotten job={job} home={} error={err:?}", home.cell);
+                log::info!("event=forget-failed job={job} home={} error={err:?}", home.cell);
             }
         });
     }
