--- a/src/node/owner/history.rs
+++ b/src/node/owner/history.rs
@@ -1,4 +1,4 @@
-//! What owners and other entries tell each other of the time before a takeover.
+//! Exchanges with the other entries what is known about the time before a takeover.
 
 use crate::cell::owner::witness::Word;
 use crate::clock::Millis;
@@ -8,7 +8,8 @@
 use std::sync::atomic::Ordering;
 
 impl Owner {
-    /// Takes in what an entry knows of the time before.
+    /// Adds what an entry knows about the time before this epoch. Once enough entries confirm that
+    /// no earlier owner started tasks without a record, the stored records are trusted.
     pub fn add_log_history(&self, entry: &Name, history: Word) {
         let now = self.node.now();
         lock(&self.authority).expect(now, history.entries);
@@ -25,15 +26,17 @@
         }
     }
 
-    /// How many other entries there are. If this process does not own the cell any more, it tells the next owner.
+    /// The number of other entries. It is also kept in the view, from where a later owner is told
+    /// it.
     pub fn entry_count(&self) -> u32 {
         let entry_count = lock(&self.authority).known(self.node.now()) as u32;
         self.view.entry_count.store(entry_count, Ordering::Relaxed);
         entry_count
     }
 
-    /// This owner goes on without the log. It is no witness that no start was sent without a record: a later owner would
-    /// count it beside the half of the entries that can read the log.
+    /// Notes that this owner sends starts without a record because the log cannot be read. It must
+    /// not confirm to a later owner that there were no such starts: that owner would count it along
+    /// with the half of the entries that can read the log.
     pub fn note_unlogged_starts(&self, now: Millis) {
         lock(&self.node.history).note_lost(now);
     }
