--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -1,4 +1,4 @@
-//! What an owner keeps in the store, and how it reads it again after a takeover.
+//! Writes the records of a cell to the store, and reads them back after a takeover.
 
 use crate::cell::records::journal::{Batch, Snapshot, job_of};
 use crate::clock::Millis;
@@ -11,36 +11,38 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The topic that holds jobs, their progress and the workers in use.
+/// The topic with the records of jobs, their progress and the workers in use.
 const TOPIC: &str = "keyed.jobs";
-/// The producer's name on the owner's partition.
+/// The name of the owner as a producer on its partition.
 const PRODUCER: &str = "cell";
-/// The least time between two appends of an owner: what comes meanwhile goes together. An append
-/// costs as much as 35 KB in the store, and a job's objective has at least 250 ms to spare.
+/// The least time between the starts of two appends, so that the records of that time share one
+/// append. An append costs the store as much as 35 KB of data, and the objective of a job leaves at
+/// least 250 ms to spare.
 const MIN_APPEND_INTERVAL: Millis = Millis(20);
-/// The longest wait for an append's answer: the slowest store of the platform's contract takes 60
-/// times its usual 4 ms.
+/// Timeout of an append. The slowest store that the platform's contract allows takes 240 ms, 60
+/// times the usual 4 ms.
 const APPEND_TIMEOUT: Millis = Millis(600);
-/// The longest wait for a read's answer.
+/// Timeout of a read.
 pub(super) const READ_TIMEOUT: Millis = Millis(2_000);
-/// An append without an answer for this long is overdue: the slowest store of the platform's
-/// contract answers within 240 ms.
+/// An append is overdue if it is not answered within this time. The slowest store that the
+/// platform's contract allows answers within 240 ms.
 const OVERDUE_AFTER: Millis = Millis(300);
-/// New jobs whose batch is refused this long are given back to their callers: a store that is
-/// merely asked too often takes them before.
+/// New jobs are withdrawn once the store has refused their batch for this long. A store that only
+/// limits the rate of calls accepts the batch sooner.
 const WITHDRAW_AFTER: Millis = Millis(600);
 
-/// What became of a batch.
+/// The outcome of writing a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WriteOutcome {
-    /// The store has it.
+    /// The batch is in the store.
     Stored,
-    /// It held nothing but new jobs, which were given back.
+    /// The batch held only new jobs, and these were withdrawn.
     Withdrawn,
-    /// Another entry owns the cell.
+    /// Another entry owns the cell, and the store accepts no more batches from this one.
     Deposed,
 }
 
+/// Encodes records as the body of an append.
 fn encode_records(records: &[&(String, Vec<u8>)]) -> Bytes {
     let mut body = BytesMut::new();
     for (key, value) in records {
@@ -50,7 +52,8 @@
 }
 
 impl CellView {
-    /// Fences earlier owners off the store, and reads what it holds; `None`: deposed meanwhile.
+    /// Fences earlier owners off the store and reads its records, retrying until that works.
+    /// Returns `None` if another entry claims the cell first.
     pub(super) async fn recover(&self, epoch: u64) -> Option<(Snapshot, Vec<Listed>)> {
         loop {
             if !self.is_leader(epoch) {
@@ -60,7 +63,7 @@
                 Ok(found) => return Some(found),
                 Err(StoreError::Fenced) => return None,
                 Err(err) => {
-                    log::info!("event=takeover-waits epoch={epoch} error={err:?}");
+                    log::info!("event=takeover-retried epoch={epoch} error={err:?}");
                     tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
                 }
             }
@@ -73,8 +76,9 @@
         let part = self.partition(&mut topic);
         let store = &self.node.store;
         match store.append(part, guard, Bytes::new(), APPEND_TIMEOUT).await {
-            // The fence is there already: its first answer was lost. A later epoch would be
-            // `Fenced`. Without this the takeover waited for good.
+            // The fence is set already, but the answer to the first attempt was lost. A fence of a
+            // later epoch would give `Fenced`. If this were an error, the takeover would be retried
+            // forever.
             Ok(_) | Err(StoreError::Sequence) => {}
             Err(err) => return Err(err),
         }
@@ -91,7 +95,7 @@
 }
 
 impl Owner {
-    /// Appends what has to last, a batch at a time.
+    /// Appends the records of the cell to the store, one batch at a time.
     pub(super) async fn write_batches(self: Arc<Self>) {
         let mut seq = 0;
         loop {
@@ -113,14 +117,15 @@
             lock(&self.cell).keep(self.node.now(), batch.no);
             self.stored_batch.send_replace(batch.no);
             self.schedule_wake.notify_one();
-            // A store that is slow makes the pause by itself.
+            // With a slow store the append has taken longer than that, and there is no pause.
             tokio::time::sleep_until(started + MIN_APPEND_INTERVAL.duration()).await;
         }
     }
 
-    /// Waits for the answer to an append. Once it is overdue, no more jobs are taken, and those that
-    /// wait for a later batch are given back: their callers are told at once, and truthfully, that
-    /// they were not run. An owner behind a cut would leave them in doubt.
+    /// Waits for the answer to an append. Once it is overdue, no more jobs are accepted, and jobs
+    /// that wait for a later batch are withdrawn, so that their callers are told at once and for
+    /// certain that these were not run. Otherwise an owner behind a network partition would leave
+    /// their callers in doubt.
     async fn append_or_withdraw<T>(&self, batch: u64, append: impl Future<Output = T>) -> T {
         tokio::pin!(append);
         let overdue = tokio::time::sleep(OVERDUE_AFTER.duration());
@@ -131,13 +136,14 @@
         self.store_up.store(false, Ordering::Relaxed);
         let withdrawn = lock(&self.cell).withdraw_after(batch);
         log::info!("event=append-overdue batch={batch} withdrawn={}", withdrawn.len());
-        // Callers that wait report_wake again.
+        // Callers that wait for a withdrawn job have to see that it is gone.
         self.stored_batch.send_modify(|_| {});
         append.await
     }
 
-    /// Appends one batch, however long that takes. While the store surely has not taken it, its new
-    /// jobs are given back, so that their callers are told at once that they were not run.
+    /// Appends one batch, retrying for as long as it takes. If the store refuses the batch for
+    /// [`WITHDRAW_AFTER`] and certainly does not have it, its new jobs are withdrawn, so that their
+    /// callers are told that these were not run.
     async fn write_batch(&self, batch: &Batch, seq: u64) -> WriteOutcome {
         let mut records: Vec<&(String, Vec<u8>)> = batch.records.iter().collect();
         let mut may_be_stored = false;
@@ -151,7 +157,7 @@
             let err = match self.append_or_withdraw(batch.no, append).await {
                 Ok(_) => {
                     if !self.store_up.swap(true, Ordering::Relaxed) {
-                        log::info!("event=store-back batch={}", batch.no);
+                        log::info!("event=store-recovered batch={}", batch.no);
                     }
                     lock(&self.authority).recover();
                     self.node.metrics.observe_append(self.node.now().since(started));
@@ -164,17 +170,18 @@
                 Err(err) => err,
             };
             if self.store_up.swap(false, Ordering::Relaxed) {
-                log::info!("event=store-lost batch={} error={err:?}", batch.no);
+                log::info!("event=store-unavailable batch={} error={err:?}", batch.no);
             }
             self.store_failed();
             may_be_stored = may_be_stored || !matches!(err, StoreError::Refused(_));
             if !may_be_stored && self.node.now().since(started) >= WITHDRAW_AFTER {
                 let withdrawn = lock(&self.cell).withdraw(batch.no);
-                // All that is of them: a binding that stayed would be taken for one of the same job, submitted again.
+                // Drops all records of the withdrawn jobs: if a binding stayed, it would count for
+                // the same job when that is submitted again.
                 records.retain(|(key, _)| {
                     !job_of(key).is_some_and(|(job, _)| withdrawn.contains(&job))
                 });
-                // Callers that wait report_wake again.
+                // Callers that wait for a withdrawn job have to see that it is gone.
                 self.stored_batch.send_modify(|_| {});
                 if records.is_empty() {
                     return WriteOutcome::Withdrawn;
