--- a/src/node/owner/transfer.rs
+++ b/src/node/owner/transfer.rs
@@ -1,5 +1,5 @@
-//! When an owner gives the cell to another entry: that one has more processors, this one does not
-//! keep up, or the store turns only this one away.
+//! Gives the cell to another entry if that one has more processors, if this one does not keep up,
+//! or if only this one cannot reach the store.
 
 use crate::cell::mechanism::Mechanism;
 use crate::cell::owner::lag::BACK_OFF;
@@ -11,14 +11,15 @@
 use crate::node::owner::Owner;
 use std::sync::Arc;
 
-/// How often an owner looks whether a larger entry should have the cell. A transfer holds up starts
-/// for some 300 ms, so it is not worth more haste.
+/// Time between two checks of whether another entry should own the cell. A transfer delays starts
+/// by some 300 ms, so checking more often gains little.
 const CHECK_INTERVAL: Millis = Millis(1_000);
-/// A larger entry has at least this many times the processors.
+/// The cell is transferred to an entry with at least this many times the processors of its owner.
 const MIN_SIZE_RATIO: u32 = 2;
 
 impl Owner {
-    /// The store failed this owner: the others are asked whether it fails them too.
+    /// Notes that a call of this owner to the store failed. If it keeps failing, the other entries
+    /// are asked whether they can read the log.
     pub fn store_failed(&self) {
         let now = self.node.now();
         let is_due = {
@@ -27,12 +28,13 @@
             authority.should_probe(now)
         };
         if is_due {
-            log::info!("event=store-probed epoch={}", self.epoch);
+            log::info!("event=log-probe-sent epoch={}", self.epoch);
             self.broadcast(&OwnerMessage::ProbeLog);
         }
     }
 
-    /// An entry says whether it could read the log. If most can, one of them should own the cell.
+    /// Notes whether an entry could read the log. If most can, this owner gives up the cell so that
+    /// one of them claims it.
     pub fn handle_log_probe(&self, entry: &Name, readable: bool) {
         let is_isolated = {
             let mut authority = lock(&self.authority);
@@ -40,28 +42,29 @@
             authority.is_isolated(self.node.now())
         };
         if is_isolated && !self.has_ended() {
-            log::info!("event=isolated epoch={}", self.epoch);
+            log::info!("event=owner-isolated epoch={}", self.epoch);
             self.end();
             self.broadcast(&OwnerMessage::SteppedDown { epoch: self.epoch });
         }
     }
 
+    /// Sends a message to all connected entries.
     fn broadcast(&self, message: &OwnerMessage) {
         for (entry, sender) in lock(&self.peers).iter() {
             let sent = encode(0, message.clone()).map(|frame| sender.try_send(frame));
             if !matches!(sent, Ok(Ok(()))) {
-                log::info!("event=not-told entry={entry} message={message:?}");
+                log::info!("event=broadcast-not-sent entry={entry} message={message:?}");
             }
         }
     }
 
-    /// The processors of the largest other entry that could own the cell, in thousandths.
+    /// The processors of the largest other entry that could own the cell, in thousandths of one.
     pub fn largest_peer_cpu(&self) -> u32 {
         lock(&self.authority).largest(self.node.now())
     }
 
-    /// Hands the cell over once an entry with far more processors could own it, or once this one
-    /// does not keep up and another one could.
+    /// Transfers the cell once an entry with far more processors could own it, or once this one
+    /// does not keep up and another entry could own it.
     pub(super) async fn watch_for_transfer(self: Arc<Self>) {
         if self.node.settings.off.has(Mechanism::Transfer) {
             return std::future::pending().await;
@@ -78,7 +81,7 @@
                 continue;
             }
             log::info!(
-                "event=transfer cell={} epoch={} cpu={cpu} largest={largest} late={is_overloaded}",
+                "event=cell-transfer cell={} epoch={} cpu={cpu} largest={largest} late={is_overloaded}",
                 self.view.cell,
                 self.epoch
             );
