--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -1,4 +1,4 @@
-//! How an owner follows the list of workers, asks them for reports and gives them orders.
+//! Follows the list of workers, asks workers for reports and sends them orders.
 
 use crate::cell::Action;
 use crate::clock::Millis;
@@ -14,26 +14,29 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// The topic in which workers list themselves.
+/// The topic in which workers register themselves.
 const WORKERS_PART: Part<'static> = Part { topic: worker::TOPIC, part: 0 };
-/// Time between two looks at the list of workers. Each worker rewrites its entry every 1.5 s, so
-/// waiting for the next record would return at once.
+/// Time between two reads of the list of workers. The reads don't wait for the next record: every
+/// worker rewrites its own each 1.5 s, so such a wait would end at once.
 const READ_INTERVAL: Millis = Millis(400);
-/// Workers whose entries went away are looked up again this much later: the list is read read_all_at.
+/// Time between two reads of the whole list, which show the workers whose records were removed.
 const FULL_READ_INTERVAL: Millis = Millis(5_000);
-/// How long a report waits for an end at the worker. If the answer is lost, ends there are not
-/// known for this long and longer; a shorter wait costs more reports.
+/// How long a worker holds back a report until a run ends. If the answer is lost, the owner learns
+/// of ended runs at least this much later; a shorter time costs more reports.
 const REPORT_WAIT: Millis = Millis(800);
-/// Time between two reports of a worker that does not answer.
+/// Delay before the next request for a report to a worker that does not answer.
 const REPORT_RETRY_DELAY: Millis = Millis(250);
-/// Ends are confirmed with the next report; it waits this long at the most for the store to have them, twice what
-/// that usually takes. With a store that is slow, later ends at the worker would not be known until then.
+/// How long the request for a report waits until the store has the ended runs that it confirms to
+/// the worker: twice the time that this usually takes. A longer wait would keep the owner from
+/// learning of later ends while the store is slow.
 const CONFIRM_WAIT: Millis = Millis(60);
-/// A start is not sent this long after it was decided: the worker's room may have shrunk, or another entry
-/// may own the cell. Starts wait for each other for 1.2 s at the most where a worker answers none.
+/// A start is withheld if this much time has passed since it was decided: the worker may have less
+/// capacity by now, or another entry may own the cell. Starts queue for 1.2 s at the most if the
+/// worker does not answer.
 const ORDER_MAX_AGE: Millis = Millis(2_000);
-/// Orders that a worker is given at once. An order takes some 2 ms; each more at once opens another
-/// connection, which is dear. With half as many, orders wait behind ones that get no answer.
+/// The most orders in flight to one worker. An order takes some 2 ms, and each concurrent one needs
+/// another connection, which is expensive to open. With half as many, orders queue behind ones that
+/// get no answer.
 const MAX_WORKER_ORDERS: usize = 6;
 
 fn new_order_permits() -> Arc<Semaphore> {
@@ -41,7 +44,7 @@
 }
 
 impl Node {
-    /// Reads the whole list of workers, and where it ends.
+    /// Reads the whole list of workers. Also returns the end offset of the list.
     pub(in crate::node) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
         let (items, end) = self.store.newest_all(WORKERS_PART, READ_TIMEOUT).await?;
         let items = items.into_iter().filter(|item| !item.value.is_empty());
@@ -53,21 +56,21 @@
     match worker::parse_listed(id.clone(), value) {
         Ok(listed) => Some(listed),
         Err(err) => {
-            log::warn!("event=worker-unreadable worker={id} error={err}");
+            log::warn!("event=worker-record-invalid worker={id} error={err}");
             None
         }
     }
 }
 
 impl CellView {
-    /// As [`Node::list_workers`], but only the workers of this cell.
+    /// Like [`Node::list_workers`], but returns only the workers of this cell.
     pub(super) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
         let (mut listed, end) = self.node.list_workers().await?;
         listed.retain(|worker| self.contains(worker));
         Ok((listed, end))
     }
 
-    /// Whether a worker belongs to the cell, and to a service that the policy names.
+    /// Whether a worker belongs to this cell and to a service that is in the policy.
     fn contains(&self, worker: &Listed) -> bool {
         let is_named = self.node.policy.borrow().services.contains(&worker.service);
         let cells = self.node.cells();
@@ -76,7 +79,7 @@
 }
 
 impl Owner {
-    /// Sends an order and tells the cell what became of it.
+    /// Sends an order to a worker and reports its outcome to the cell.
     pub(super) async fn send_order(self: Arc<Self>, action: Action) {
         let name = match &action {
             Action::Start { worker, .. }
@@ -89,13 +92,14 @@
         let Some(life) = lock(&self.cell).life(&name) else { return };
         let permits =
             lock(&self.order_permits).entry(name.clone()).or_insert_with(new_order_permits).clone();
-        // A closed gate would only mean that the worker is gone, and orders to it fail by themselves.
+        // Acquiring fails only if the semaphore is closed, and it never is.
         let _permit = permits.acquire().await;
         let sent = self.node.now();
         let timeout = lock(&self.lag).timeouts().order;
-        // Where it waited for its turn, another entry may own the cell by now.
+        // Another entry may have claimed the cell while the order waited for its permit.
         let has_authority = self.has_authority();
-        // Another life refuses nothing that this one would: it has seen no fence and no stop.
+        // A restarted worker has seen neither the fence nor the stops that its earlier process had
+        // seen, so it would not refuse an outdated order.
         let has_restarted = || lock(&self.cell).has_restarted(&life);
         let is_withheld = !has_authority || sent.since(decided) >= ORDER_MAX_AGE || has_restarted();
         if has_restarted() && !matches!(action, Action::Start { .. }) {
@@ -124,7 +128,7 @@
         let now = self.node.now();
         let is_start = matches!(action, Action::Start { .. });
         self.node.metrics.observe_order(is_start, &outcome, now.since(sent));
-        // Which of the two lives answered is not known.
+        // It is not known whether the worker answered before or after its restart.
         let outcome = if has_restarted() { Outcome::Unknown } else { outcome };
         {
             let mut cell = lock(&self.cell);
@@ -141,18 +145,19 @@
         Some(Worker::new(self.node.http.clone(), addr, name.clone(), self.epoch))
     }
 
-    /// Asks a worker for reports as long as the cell knows it.
+    /// Asks a worker for reports for as long as the cell knows the worker.
     pub(super) async fn watch_worker(self: Arc<Self>, listed: Listed) {
         let name = listed.id;
         let report_wake = lock(&self.report_wakes).entry(name.clone()).or_default().clone();
-        // The first report only tells what runs, and the clock: the lease needs that.
+        // The first report is not held back: it tells which tasks run and what the worker's clock
+        // shows, and without the clock no lease can be given.
         let mut wait = Millis(0);
         while !self.has_ended() {
             self.wait_for_ends(&name).await;
             let can_renew = self.has_authority();
             let sent = self.node.now();
             let Some(hold) = lock(&self.cell).hold(sent, &name, can_renew) else { return };
-            // Its next life may be at another address.
+            // A restarted worker may have another address.
             let Some(client) = self.worker_client(&name) else { return };
             let timeouts = lock(&self.lag).timeouts();
             let result = tokio::select! {
@@ -163,7 +168,7 @@
                 }
             };
             let now = self.node.now();
-            let pause = match &result {
+            let retry_later = match &result {
                 Ok(report) => {
                     lock(&self.cell).held(now, sent, &name, report);
                     wait = if hold.until.is_some() { REPORT_WAIT } else { Millis(0) };
@@ -175,25 +180,25 @@
                 }
             };
             self.schedule_wake.notify_one();
-            let pause = if pause { REPORT_RETRY_DELAY } else { timeouts.pause };
+            let pause = if retry_later { REPORT_RETRY_DELAY } else { timeouts.pause };
             if pause > Millis(0) {
                 tokio::time::sleep(pause.duration()).await;
             }
         }
     }
 
-    /// Waits until the store has the ends that a worker listed last, so that the next report
+    /// Waits until the store has the ended runs of a worker's last report, so that the next request
     /// confirms them.
     async fn wait_for_ends(&self, name: &Name) {
         let Some(batch) = lock(&self.cell).awaited(name) else { return };
         let mut stored = self.stored_batch.subscribe();
         let wait = stored.wait_for(|stored| *stored >= batch);
         if tokio::time::timeout(CONFIRM_WAIT.duration(), wait).await.is_err() {
-            log::debug!("event=ends-not-kept worker={name} batch={batch}");
+            log::debug!("event=ended-runs-not-stored worker={name} batch={batch}");
         }
     }
 
-    /// Follows the list of workers.
+    /// Keeps the cell's list of workers up to date.
     pub(super) async fn follow_workers(self: Arc<Self>) {
         let mut known: HashMap<Name, Listed> = HashMap::new();
         let mut next_offset = 0;
@@ -213,7 +218,7 @@
             };
             self.check_for_pause(self.node.now());
             match result {
-                // It may have been read before the pause.
+                // The list may have been read before the pause, so the whole of it is read again.
                 _ if self.node.clock.pauses() != pauses => {
                     read_all_at = Millis(0);
                     continue;
@@ -226,14 +231,15 @@
                 Ok(false) => {}
                 Err(err) => {
                     read_all_at = Millis(0);
-                    log::debug!("event=workers-unread error={err:?}");
+                    log::debug!("event=worker-list-read-failed error={err:?}");
                 }
             }
             tokio::time::sleep(READ_INTERVAL.duration()).await;
         }
     }
 
-    /// Reads what workers wrote since; whether it changes anything.
+    /// Reads the records that workers wrote since `next_offset`. Returns whether they change the
+    /// list.
     async fn read_changes(
         &self,
         known: &mut HashMap<Name, Listed>,
