--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -1,4 +1,5 @@
-//! The claims on a cell: how an entry follows them, makes one, and shows that it lives as the owner.
+//! The claims on a cell in the platform's log: reading them, claiming the cell, and sending
+//! heartbeats as its owner.
 
 use crate::cell::owner::election::{BEAT, Leader, Record};
 use crate::clock::Millis;
@@ -10,30 +11,32 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The topic with the claims on cells and their owners' heartbeats.
+/// The topic with the claims on cells and the heartbeats of their owners.
 const TOPIC: &str = "claims";
-/// How long a read waits for the next record on the claims: longer than an owner's heartbeat.
+/// How long a read waits for the next record: longer than the time between two heartbeats of an
+/// owner.
 const READ_WAIT: Millis = Millis(900);
-/// How much longer an answer may take.
+/// How much longer than [`READ_WAIT`] the answer to a read may take.
 const READ_MARGIN: Millis = Millis(500);
-/// The longest wait for an append's answer.
+/// Timeout of an append.
 const APPEND_TIMEOUT: Millis = Millis(900);
-/// The longest wait for the store's answer after it failed: connections that were started while it
-/// was away hang, and a store 60 times slower than usual answers within 240 ms. With the usual
-/// limits entries would notice late that it is back.
+/// Timeout of a call to the store after it has failed. Connections that were opened while it was
+/// down hang, and a store that is 60 times slower than usual answers within 240 ms. With the usual
+/// timeouts entries would notice late that the store is back.
 const PROBE_TIMEOUT: Millis = Millis(450);
-/// Time between two looks at whether to claim.
+/// Time between two checks of whether to claim the cell, without the jitter.
 const CLAIM_INTERVAL: Millis = Millis(150);
-/// Entries of other cells leave a free cell to those that belong to it for so long: as long as a small
-/// one of these leaves it to a large one.
+/// How much later an entry claims a free cell that is not its home. It is the time that a small
+/// entry of that cell leaves to a large one.
 const FOREIGN_CELL_DELAY: Millis = Millis(350);
-/// An entry leaves a free cell to others this long for each cell that it owns.
+/// How much later an entry claims a free cell for each cell that it owns already.
 const OWNED_CELL_DELAY: Millis = Millis(300);
-/// Entries claim a free cell up to this much apart, so that mostly the first one wins.
+/// Entries claim a free cell up to this many milliseconds apart, so that usually the first one
+/// wins.
 const CLAIM_JITTER_MS: u64 = 120;
 
 impl CellView {
-    /// Keeps the owner by the last claim.
+    /// Reads the claims on the cell, and keeps the current owner up to date.
     pub(super) async fn follow_claims(self: Arc<Self>) {
         let mut reachable = true;
         let mut follows_claims = self.follows_claims.subscribe();
@@ -45,12 +48,12 @@
             match self.read_claims(wait, timeout).await {
                 Ok(()) => {
                     if !std::mem::replace(&mut reachable, true) {
-                        log::info!("event=log-back cell={}", self.cell);
+                        log::info!("event=log-readable cell={}", self.cell);
                     }
                 }
                 Err(err) => {
                     if std::mem::replace(&mut reachable, false) {
-                        log::info!("event=log-lost cell={} error={err:?}", self.cell);
+                        log::info!("event=log-unreadable cell={} error={err:?}", self.cell);
                     }
                     tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
                 }
@@ -58,6 +61,7 @@
         }
     }
 
+    /// Reads new records once, waiting up to `wait` for the first one.
     async fn read_claims(&self, wait: Millis, timeout: Millis) -> Result<(), StoreError> {
         let from = lock(&self.election).end();
         let mut topic = TOPIC.to_string();
@@ -94,6 +98,7 @@
         Ok(())
     }
 
+    /// Publishes the owner by the last claim. Ends an ownership here that it supersedes.
     fn set_leader(&self, leader: Option<Leader>) {
         let changed = self.leader.send_if_modified(|current| {
             let changed = *current != leader;
@@ -103,7 +108,12 @@
             changed
         });
         let Some(leader) = leader.filter(|_| changed) else { return };
-        log::info!("event=owner cell={} owner={} epoch={}", self.cell, leader.owner, leader.epoch);
+        log::info!(
+            "event=owner-changed cell={} owner={} epoch={}",
+            self.cell,
+            leader.owner,
+            leader.epoch
+        );
         let owner = self.owner.borrow().clone();
         if let Some(owner) = owner.filter(|owner| owner.epoch() < leader.epoch) {
             log::info!("event=deposed cell={} epoch={} by=claim", self.cell, owner.epoch());
@@ -116,7 +126,8 @@
         self.read_claims(Millis(0), PROBE_TIMEOUT).await.is_ok()
     }
 
-    /// Claims the cell when it needs an owner; takes it over and sends heartbeats as its owner.
+    /// Claims the cell when it needs an owner. After a successful claim, starts the takeover and
+    /// the heartbeats.
     pub(super) async fn campaign(self: Arc<Self>) {
         let jitter = hash(&[self.entry_name().as_bytes()]) % CLAIM_JITTER_MS;
         let mut last_epoch = 0;
@@ -143,6 +154,7 @@
         }
     }
 
+    /// Claims the cell if the election allows it now.
     async fn claim(&self) {
         if self.node.stopping.load(Ordering::Relaxed) || self.node.policy.borrow().version == 0 {
             return;
@@ -158,13 +170,14 @@
         let record = Record::Claim { owner, addr };
         let cell = self.cell;
         match self.append_claim(end, &record, APPEND_TIMEOUT).await {
-            Ok(()) => log::info!("event=claimed cell={cell} end={end}"),
+            Ok(()) => log::info!("event=cell-claimed cell={cell} end={end}"),
             Err(err) => log::info!("event=claim-failed cell={cell} end={end} error={err:?}"),
         }
         self.claim_wake.notify_one();
     }
 
-    /// How much later than others this entry claims the cell, for what it has to do already.
+    /// How much later than others this entry claims the cell, because of its home and of the cells
+    /// that it owns already.
     fn extra_claim_delay(&self) -> Millis {
         let cells = self.node.cells();
         let views = cells.iter().flat_map(|cells| &cells.views);
@@ -173,6 +186,7 @@
         foreign + Millis(OWNED_CELL_DELAY.0 * owned as u64)
     }
 
+    /// Appends a record to the claims, on the condition that they end at `end`.
     async fn append_claim(
         &self,
         end: u64,
@@ -185,14 +199,15 @@
         put_record(&mut body, &bytes);
         let mut topic = TOPIC.to_string();
         let part = self.partition(&mut topic);
-        let done = self.node.store.append(part, Guard::End(end), body.freeze(), timeout).await?;
-        lock(&self.election).add(self.now(), done.offset, record.clone());
+        let appended =
+            self.node.store.append(part, Guard::End(end), body.freeze(), timeout).await?;
+        lock(&self.election).add(self.now(), appended.offset, record.clone());
         let leader = lock(&self.election).leader().cloned();
         self.set_leader(leader);
         Ok(())
     }
 
-    /// Shows the other entries that the owner lives, as long as it is the owner.
+    /// Sends heartbeats for as long as this entry owns the cell in `epoch`.
     async fn send_heartbeats(self: Arc<Self>, epoch: u64) {
         let mut timeout = APPEND_TIMEOUT;
         while self.is_leader(epoch) && !self.has_ended_epoch(epoch) {
@@ -214,7 +229,10 @@
                     tokio::time::sleep(CONFLICT_RETRY_DELAY.duration()).await
                 }
                 Err(err) => {
-                    log::debug!("event=beat-failed cell={} epoch={epoch} error={err:?}", self.cell);
+                    log::debug!(
+                        "event=heartbeat-failed cell={} epoch={epoch} error={err:?}",
+                        self.cell
+                    );
                     if let Some(owner) = self.local_owner_in(epoch) {
                         owner.store_failed();
                     }
@@ -225,15 +243,15 @@
         }
     }
 
-    /// Gives the cell up by plan, so that another entry claims it at once. A heartbeat under way
-    /// may come first: then it is tried again.
+    /// Appends a record that gives up the cell, so that another entry claims it at once. The append
+    /// is retried if it fails, for example because a heartbeat was appended first.
     pub(super) async fn release(&self, record: Record, epoch: u64) {
         let deadline = self.now() + RELEASE_TIMEOUT;
         while self.is_leader(epoch) && self.now() < deadline {
             let end = lock(&self.election).end();
             match self.append_claim(end, &record, APPEND_TIMEOUT).await {
                 Ok(()) => {
-                    return log::info!("event=released cell={} epoch={epoch}", self.cell);
+                    return log::info!("event=cell-released cell={} epoch={epoch}", self.cell);
                 }
                 Err(err) => {
                     log::debug!("event=release-failed epoch={epoch} error={err:?}");
@@ -241,11 +259,13 @@
                 }
             }
         }
-        log::info!("event=not-released cell={} epoch={epoch}", self.cell);
+        log::info!("event=release-timed-out cell={} epoch={epoch}", self.cell);
     }
 }
 
-/// A record that came second is sent again once the reader had time to catch up.
+/// Delay before an append is retried after another record came first: in that time the new record
+/// is read.
 const CONFLICT_RETRY_DELAY: Millis = Millis(20);
-/// How long an owner that stops tries to say so; without it the others wait for its silence.
+/// How long to try to append the record that gives up the cell. Without the record other entries
+/// claim the cell only once the owner's heartbeats have been missing for a while.
 const RELEASE_TIMEOUT: Millis = Millis(1_000);
