--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -1,4 +1,5 @@
-//! The cells of the fleet: how an entry learns how workers and jobs are dealt to them, or decides it.
+//! The cells of the fleet, and the map that assigns workers and jobs to them: every entry reads the
+//! map from the store, and the first one writes it.
 
 use crate::cell::owner::map::CellMap;
 use crate::clock::Millis;
@@ -11,25 +12,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The topic that holds the map, and its key there.
+/// The topic of the map, and the key of its record.
 const MAP_PART: Part<'static> = Part { topic: "keyed.map", part: 0 };
 const MAP_KEY: &str = "map";
-/// The longest wait for the store's answer to a write.
+/// Timeout of writing the map.
 const WRITE_TIMEOUT: Millis = Millis(2_000);
-/// The longest wait for the map itself, which is small: a store 60 times slower than usual answers within
-/// 240 ms, and a connection that was started while it was away hangs.
+/// Timeout of reading the map, which is small. A store that is 60 times slower than usual answers
+/// within 240 ms, and a connection that was opened while it was down hangs.
 const READ_TIMEOUT: Millis = Millis(450);
-/// Entries count the workers up to this much apart, from when the first ones are listed.
+/// After their first count of the workers, entries wait for up to this long, each for another time.
 const START_SPREAD: Duration = Duration::from_millis(1_500);
-/// Few go early: the others do not read the long list of workers before the first one has written the map.
+/// Exponent that makes most of those delays long, so that few entries read the long list of workers
+/// before the first one has written the map.
 const START_EXPONENT: f64 = 0.25;
-/// Time between two attempts at the list of workers. It has to stand still so long: they list themselves
+/// Time between two counts of the workers, which must not differ. Workers register themselves
 /// within 1.5 s of each other.
 const COUNT_INTERVAL: Millis = Millis(600);
-/// The map is made after so many attempts, however the list changes.
+/// After this many counts the map is written even if the number of workers still changes.
 const MAX_COUNTS: u32 = 8;
 
-/// All cells, by number.
+/// All cells of the fleet.
 #[derive(Debug)]
 pub(super) struct Cells {
     pub map: CellMap,
@@ -37,24 +39,25 @@
 }
 
 impl Cells {
-    /// The cell of a job: that of its workspace, if it has one.
+    /// The home cell of a job: that of its workspace if it has one, otherwise that of its key.
     pub fn of_job(&self, job: JobKey, workspace: Option<&Name>) -> Option<&Arc<CellView>> {
         let of_job = || self.map.of_job(job);
         let cell = workspace.map_or_else(of_job, |name| self.map.of_workspace(name));
         self.views.get(cell as usize)
     }
 
-    /// A cell by its number.
+    /// The cell with a given number.
     pub fn get(&self, cell: u32) -> Option<&Arc<CellView>> {
         self.views.get(cell as usize)
     }
 
-    /// The cell that this entry belongs to.
+    /// The home cell of this entry.
     pub fn home(&self) -> Option<&Arc<CellView>> {
         self.views.iter().find(|view| view.is_home)
     }
 
-    /// Whether callers can be served: the owners of more than half of the cells take jobs.
+    /// Whether the owners of more than half of the cells accept jobs, so that callers can be
+    /// served.
     pub fn accept_jobs(&self) -> bool {
         let accepting = self.views.iter().filter(|view| view.accepts_jobs()).count();
         2 * accepting > self.views.len()
@@ -62,7 +65,7 @@
 }
 
 impl Node {
-    /// Learns the map, and follows every cell from then on.
+    /// Loads the map, then starts following every cell.
     pub(super) async fn discover_cells(self: Arc<Self>) {
         let mut worker_count = WorkerCount::new();
         let mut is_logged = false;
@@ -71,14 +74,14 @@
                 Ok(Some(map)) => break map,
                 Ok(None) => {}
                 Err(err @ StoreError::Malformed(_)) if !std::mem::replace(&mut is_logged, true) => {
-                    log::error!("event=map-unreadable error={err}");
+                    log::error!("event=cell-map-invalid error={err}");
                 }
-                Err(err) => log::debug!("event=map-unread error={err:?}"),
+                Err(err) => log::debug!("event=cell-map-read-failed error={err:?}"),
             }
             tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
         };
         let home = map.of_entry(&self.id.name);
-        log::info!("event=cells count={} home={home}", map.cells());
+        log::info!("event=cell-map-loaded count={} home={home}", map.cells());
         let view = |cell| Arc::new(CellView::new(self.clone(), cell, map.cells(), cell == home));
         let views: Vec<Arc<CellView>> = (0..map.cells()).map(view).collect();
         for view in &views {
@@ -87,8 +90,9 @@
         self.cells.send_replace(Some(Arc::new(Cells { map, views })));
     }
 
-    /// Reads the map, or makes it if there is none; `None`: it is not time yet, or another entry may
-    /// just have made it.
+    /// Reads the map, or writes it if there is none. Returns `None` if the map has to be read
+    /// again, because the workers are not counted yet, or because this or another entry has just
+    /// written it.
     async fn load_or_create_map(
         &self,
         worker_count: &mut WorkerCount,
@@ -112,19 +116,19 @@
         put_keyed(&mut body, MAP_KEY, &bytes);
         let cells = map.cells();
         match self.store.append(MAP_PART, Guard::End(end), body.freeze(), WRITE_TIMEOUT).await {
-            Ok(_) => log::info!("event=map-made cells={cells} workers={}", listed.len()),
-            Err(err) => log::info!("event=map-not-made cells={cells} error={err:?}"),
+            Ok(_) => log::info!("event=cell-map-written cells={cells} workers={}", listed.len()),
+            Err(err) => log::info!("event=cell-map-write-failed cells={cells} error={err:?}"),
         }
         Ok(None)
     }
 
-    /// How much later than the first entry this one counts workers.
+    /// The delay of this entry, between zero and [`START_SPREAD`], by the hash of its name.
     fn start_delay(&self) -> Duration {
         let part = hash(&[self.id.name.as_bytes()]) as f64 / u64::MAX as f64;
         START_SPREAD.mul_f64(part.powf(START_EXPONENT))
     }
 
-    /// The map, if there is one that can be read, and where its topic ends.
+    /// Reads the map, if there is one. Also returns the end offset of its topic.
     async fn read_map(&self) -> Result<(Option<CellMap>, u64), StoreError> {
         let (items, end) = self.store.newest_all(MAP_PART, READ_TIMEOUT).await?;
         let Some(item) = items.iter().find(|item| *item.key == *MAP_KEY) else {
@@ -132,17 +136,19 @@
         };
         match postcard::from_bytes(&item.value) {
             Ok(map) => Ok((Some(map), end)),
-            Err(err) => Err(StoreError::Malformed(format!("the map of cells: {err}"))),
+            Err(err) => {
+                Err(StoreError::Malformed(format!("the map of cells cannot be decoded: {err}")))
+            }
         }
     }
 }
 
-/// The number of workers that are listed, over time.
+/// Repeated counts of the registered workers.
 #[derive(Debug)]
 struct WorkerCount {
     last: usize,
     attempts: u32,
-    /// None were listed so far.
+    /// The delay after the first count is still to come.
     delay_pending: bool,
 }
 
@@ -151,7 +157,7 @@
         Self { last: 0, attempts: 0, delay_pending: true }
     }
 
-    /// Whether so many workers are all that will list themselves, as far as can be told.
+    /// Whether the workers seem complete: the count has not changed, or the attempts are used up.
     fn is_complete(&mut self, count: usize) -> bool {
         let is_unchanged = std::mem::replace(&mut self.last, count) == count;
         if count == 0 {
