--- a/src/node/frame.rs
+++ b/src/node/frame.rs
@@ -1,4 +1,5 @@
-//! FrameReader between entries: a length in front, then a message in `postcard`.
+//! Frames on the connections between entries: a length prefix, then a message encoded by
+//! `postcard`.
 
 use crate::clock::Millis;
 use crate::node::msg::{Frame, MAX_FRAME_BYTES};
@@ -11,16 +12,16 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// A connection on which nothing came for this long is given up: three pings may be late.
+/// A connection on which nothing was received for this long is closed: three pings may be late.
 pub(super) const IDLE_TIMEOUT: Millis = Millis(700);
 
-/// FrameReader on their way out.
+/// Queue of encoded frames that wait to be written to a connection.
 pub(super) type FrameSender = mpsc::Sender<Bytes>;
 
-/// A frame as bytes.
+/// Encodes a message and its id as a frame.
 ///
 /// # Errors
-/// It cannot be encoded.
+/// The message cannot be encoded.
 pub(super) fn encode<T: Serialize>(id: u64, body: T) -> io::Result<Bytes> {
     let bytes = postcard::to_stdvec(&Frame { id, body });
     bytes.map(Bytes::from).map_err(io::Error::other)
@@ -34,12 +35,13 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Writes frames until the channel or the connection closes; what waits goes out together.
+/// Writes queued frames until the queue or the connection closes. Frames that wait together are
+/// flushed together.
 pub(super) async fn write_frames(
-    half: OwnedWriteHalf,
+    write_half: OwnedWriteHalf,
     mut queue: mpsc::Receiver<Bytes>,
 ) -> io::Result<()> {
-    let mut sink = FramedWrite::new(half, codec());
+    let mut sink = FramedWrite::new(write_half, codec());
     while let Some(frame) = queue.recv().await {
         sink.feed(frame).await?;
         while let Ok(more) = queue.try_recv() {
@@ -50,27 +52,28 @@
     Ok(())
 }
 
-/// The frames of a connection.
+/// Reads frames from a connection.
 pub(super) struct FrameReader {
     read: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
     idle_timeout: Millis,
 }
 
 impl FrameReader {
-    /// Reads from a connection that is given up once nothing came for `idle_timeout`.
-    pub fn new(half: OwnedReadHalf, idle_timeout: Millis) -> Self {
-        Self { read: FramedRead::new(half, codec()), idle_timeout }
+    /// A reader that ends once nothing was received for `idle_timeout`.
+    pub fn new(read_half: OwnedReadHalf, idle_timeout: Millis) -> Self {
+        Self { read: FramedRead::new(read_half, codec()), idle_timeout }
     }
 
-    /// The connection is given up only after this time.
+    /// Sets another idle timeout.
     pub fn set_idle_timeout(&mut self, idle_timeout: Millis) {
         self.idle_timeout = idle_timeout;
     }
 
-    /// The next frame; `None`: the peer closed, or said nothing for too long.
+    /// Reads the next frame. Returns `None` if the peer closed the connection or the idle timeout
+    /// has passed.
     ///
     /// # Errors
-    /// The connection broke, or the frame cannot be read.
+    /// The connection broke, or the frame cannot be decoded.
     pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<Option<Frame<T>>> {
         match tokio::time::timeout(self.idle_timeout.duration(), self.read.next()).await {
             Err(_) | Ok(None) => Ok(None),
