--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -1,4 +1,5 @@
-//! The connection from an entry to the owner of the cell, and the owner's side of it.
+//! The connection from an entry to the owner of a cell, on the side of the entry and on that of the
+//! owner.
 
 use crate::cell::owner::election::Leader;
 use crate::clock::Millis;
@@ -16,71 +17,75 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time between two pings. A silent connection is given up after [`IDLE_TIMEOUT`].
+/// Time between two pings to the owner of the home cell. A connection without any answer is closed
+/// after [`IDLE_TIMEOUT`].
 const PING_INTERVAL: Millis = Millis(150);
-/// The most time beyond [`PING_INTERVAL`] between two pings from one owner to another: they tell each other what
-/// their cells have to do.
+/// The most time beyond [`PING_INTERVAL`] between two pings from one owner to another: the answers
+/// tell owners the loads of each other's cells.
 const MAX_OWNER_PING_DELAY: Millis = Millis(450);
-/// After this time without a frame nothing new is sent: a caller whose request may have been sent
-/// and is not answered cannot be told that it was not run.
+/// After this time without a frame from the owner no new requests are sent. The caller of a request
+/// that was sent but not answered cannot be told that its job was not run.
 const MAX_SILENCE: Millis = Millis(350);
-/// The longest wait for the answer to a question that changes nothing: 40 times the way to another
-/// failure domain and back, as long as an owner whose processor is shared may stand still.
+/// Timeout of the check that the owner answers. It is 40 times the round trip to another failure
+/// domain, and as long as an owner on a shared processor may be stalled.
 const CHECK_TIMEOUT: Millis = Millis(80);
-/// The most time for opening a connection: a hundred times the way between failure domains.
+/// Timeout of opening a connection: a hundred times the latency between failure domains.
 const CONNECT_TIMEOUT: Millis = Millis(300);
-/// Time between attempts to reach an owner.
+/// Delay before a failed connection is retried.
 const RETRY_DELAY: Millis = Millis(60);
-/// The number of answers to pings, which no question has.
+/// The id of answers to pings. No request has it.
 const PONG_ID: u64 = u64::MAX;
-/// FrameReader that may wait to be written; a slower peer loses its connection.
+/// The most frames that may wait to be written. A peer that reads too slowly for that loses its
+/// connection.
 const QUEUE_CAPACITY: usize = 4_096;
 
 /// An open connection to an owner.
 #[derive(Debug)]
 pub(super) struct OwnerConnection {
     frames: FrameSender,
+    /// Requests that wait for an answer, by id.
     waiting: Mutex<HashMap<u64, oneshot::Sender<OwnerMessage>>>,
     next_id: AtomicU64,
-    /// When the last frame came, in milliseconds.
+    /// When the last frame was received, in milliseconds.
     heard: AtomicU64,
-    /// The owner takes new jobs, by its last answer to a ping.
+    /// The owner accepts new jobs, by its last answer to a ping.
     accepts_jobs: AtomicBool,
     is_closed: AtomicBool,
     /// The time between two pings beyond [`PING_INTERVAL`].
     ping_delay: Millis,
 }
 
-/// Why a question got no answer.
+/// Why a request got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionError {
-    /// It was not sent.
+    /// The request was not sent.
     Unsent,
-    /// It may have reached the owner.
+    /// The connection broke after the request may have reached the owner.
     Broken,
 }
 
 impl OwnerConnection {
-    /// Whether the owner was heard a moment ago.
+    /// Whether a frame of the owner was received recently.
     pub fn is_live(&self, now: Millis) -> bool {
         now.since(Millis(self.heard.load(Ordering::Relaxed))) < MAX_SILENCE + self.ping_delay
     }
 
-    /// Whether the owner was heard a moment ago and takes new jobs. An entry beside an owner that a
-    /// cut keeps from the store would be ready, and refuse its callers until the cut heals instead of having them
-    /// sent to other failure domains.
+    /// Whether a frame of the owner was received recently and the owner accepts new jobs. Without
+    /// the second condition, an entry on the same side of a network partition as an owner that
+    /// cannot reach the store would report itself as ready. It would refuse its callers until the
+    /// partition heals, and the balancer would not send them to other failure domains.
     pub fn accepts_jobs(&self, now: Millis) -> bool {
         self.is_live(now) && self.accepts_jobs.load(Ordering::Relaxed)
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request and waits for the answer.
     ///
     /// # Errors
-    /// [`ConnectionError::Unsent`] only if surely nothing was sent.
+    /// [`ConnectionError::Unsent`] only if it is certain that nothing was sent.
     pub async fn request(&self, message: EntryMessage) -> Result<OwnerMessage, ConnectionError> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
         let frame = encode(id, message).map_err(|err| {
-            log::error!("event=message-not-encoded error={err:?}");
+            log::error!("event=message-encoding-failed error={err:?}");
             ConnectionError::Unsent
         })?;
         let (tx, rx) = oneshot::channel();
@@ -90,46 +95,49 @@
             return Err(ConnectionError::Unsent);
         }
         if let Err(err) = self.frames.try_send(frame) {
-            // The owner reads too slowly or is gone: nothing left, so the question may be repeated.
-            log::info!("event=question-not-sent no={id} error={err}");
+            // The owner reads too slowly or is gone. Nothing was sent, so the request may be
+            // repeated.
+            log::info!("event=request-not-sent no={id} error={err}");
             lock(&self.waiting).remove(&id);
             return Err(ConnectionError::Unsent);
         }
         rx.await.map_err(|_| {
-            log::debug!("event=question-unanswered no={id}");
+            log::debug!("event=request-unanswered no={id}");
             ConnectionError::Broken
         })
     }
 
-    /// Asks for the state of a job that is to be submitted. Only an owner that answers is sent the
-    /// job: behind a cut its caller can still be told truthfully that it was not run. Else each
-    /// cut of a failure domain leaves jobs in doubt, whose callers do not come back.
+    /// Checks that the owner answers, by asking for the state of a job that is about to be
+    /// submitted. A job is sent only to an owner that answers, so that during a network partition
+    /// its caller can be told that the job was not run. Otherwise each partition of a failure
+    /// domain would leave jobs whose outcome is unknown, and callers don't retry those.
     ///
     /// # Errors
-    /// [`ConnectionError::Unsent`]: there was no answer, and the job was not sent.
+    /// [`ConnectionError::Unsent`]: the owner did not answer, and the job must not be sent.
     pub async fn check_owner(&self, job: JobKey) -> Result<(), ConnectionError> {
         let state = self.request(EntryMessage::State { job, workspace: None });
         match tokio::time::timeout(CHECK_TIMEOUT.duration(), state).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) | Err(_) => {
-                log::debug!("event=owner-silent job={job}");
+                log::debug!("event=owner-check-unanswered job={job}");
                 Err(ConnectionError::Unsent)
             }
         }
     }
 
+    /// Passes an answer to the task that waits for it.
     fn resolve(&self, frame: Frame<OwnerMessage>) {
         if let Some(waiter) = lock(&self.waiting).remove(&frame.id) {
             if waiter.send(frame.body).is_err() {
-                // Its caller went away, and does not read the answer.
+                // The caller has gone, and the task that waited was dropped.
                 log::debug!("event=answer-unread no={}", frame.id);
             }
         }
     }
 }
 
-/// Ends all questions of a connection when it is over, also when its task is dropped because
-/// another entry owns the cell: they are asked again there.
+/// Fails all open requests of a connection when it ends, also when its task is dropped because
+/// another entry owns the cell: the requests are then repeated there.
 struct CloseGuard(Arc<OwnerConnection>);
 
 impl Drop for CloseGuard {
@@ -140,7 +148,7 @@
 }
 
 impl CellView {
-    /// Keeps a connection to whoever owns the cell.
+    /// Keeps a connection to the current owner of the cell, if that is another entry.
     pub(super) async fn keep_connection(self: Arc<Self>) {
         let mut leaders = self.leader.subscribe();
         loop {
@@ -164,7 +172,7 @@
         }
     }
 
-    /// Connects to an owner and stays until the connection ends.
+    /// Connects to an owner and serves the connection until it ends.
     async fn connect_to(self: &Arc<Self>, leader: &Leader) {
         let connecting = TcpStream::connect(&*leader.addr);
         let stream = match tokio::time::timeout(CONNECT_TIMEOUT.duration(), connecting).await {
@@ -181,20 +189,21 @@
         };
         if let Err(err) = self.run_connection(stream, leader).await {
             log::info!(
-                "event=owner-lost owner={} epoch={} error={err:?}",
+                "event=owner-connection-lost owner={} epoch={} error={err:?}",
                 leader.owner,
                 leader.epoch
             );
         }
     }
 
+    /// Sends the greeting, then reads, writes and pings until the connection ends.
     async fn run_connection(
         self: &Arc<Self>,
         stream: TcpStream,
         leader: &Leader,
     ) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let (read, half) = stream.into_split();
+        let (read_half, write_half) = stream.into_split();
         let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
         let connection = Arc::new(OwnerConnection {
             frames: sender.clone(),
@@ -211,16 +220,19 @@
         let hello = EntryMessage::Hello { entry, cell, epoch, cpu, is_home, history };
         sender.try_send(encode(0, hello)?).map_err(io::Error::other)?;
         let _closer = CloseGuard(connection.clone());
-        let frames =
-            FrameReader::new(read, IDLE_TIMEOUT + connection.ping_delay + connection.ping_delay);
-        let read = self.read_owner_messages(frames, connection.clone(), leader);
+        let frames = FrameReader::new(
+            read_half,
+            IDLE_TIMEOUT + connection.ping_delay + connection.ping_delay,
+        );
+        let reader = self.read_owner_messages(frames, connection.clone(), leader);
         tokio::select! {
-            result = write_frames(half, queue) => result,
-            result = read => result,
+            result = write_frames(write_half, queue) => result,
+            result = reader => result,
             result = self.ping(&connection) => result,
         }
     }
 
+    /// Handles what the owner sends until the connection ends.
     async fn read_owner_messages(
         self: &Arc<Self>,
         mut frames: FrameReader,
@@ -232,9 +244,9 @@
             self.set_follows_claims(false);
             match frame {
                 Frame { id: 0, body: OwnerMessage::Ack } => {
-                    // The owner greets: it is at work.
+                    // The owner has accepted the greeting and serves requests.
                     log::info!(
-                        "event=owner-found cell={} owner={} epoch={}",
+                        "event=owner-connected cell={} owner={} epoch={}",
                         self.cell,
                         leader.owner,
                         leader.epoch
@@ -254,7 +266,7 @@
                         let sent = encode(0, EntryMessage::LogProbed { readable })
                             .map(|frame| sender.try_send(frame));
                         if !matches!(sent, Ok(Ok(()))) {
-                            log::info!("event=probe-lost readable={readable}");
+                            log::info!("event=log-probe-result-not-sent readable={readable}");
                         }
                     });
                 }
@@ -271,7 +283,7 @@
                             .request(EntryMessage::Advice { step, candidates: workers, answer })
                             .await;
                         if let Err(err) = sent {
-                            log::info!("event=advice-lost step={step} error={err:?}");
+                            log::info!("event=advice-not-delivered step={step} error={err:?}");
                         }
                     });
                 }
@@ -289,8 +301,9 @@
         Ok(())
     }
 
-    /// How much more time than at home passes between two pings to the owner of another cell: so an
-    /// owner hears some 200 pings a second however many entries and cells there are.
+    /// The time beyond [`PING_INTERVAL`] between two pings to the owner of a cell that is not the
+    /// home cell. It grows with the number of cells, so that an owner receives some 200 pings a
+    /// second however many entries and cells there are.
     fn extra_ping_delay(&self) -> Millis {
         match self.is_home {
             true => Millis(0),
@@ -298,8 +311,9 @@
         }
     }
 
-    /// Pings the owner. While it is suspected of being lost, or the store cannot be read, that is done
-    /// as often as at home: then the owner needs this entry's history, or this entry another owner.
+    /// Pings the owner. While the owner may be lost or the log cannot be read, pings are as
+    /// frequent as in the home cell: without a readable log the owner depends on what this entry
+    /// tells it, and if the owner is lost this entry needs another one soon.
     async fn ping(&self, connection: &OwnerConnection) -> io::Result<()> {
         let mut follows_claims = self.follows_claims.subscribe();
         loop {
@@ -328,14 +342,14 @@
                 && !self.is_home
                 && self.now().since(heard) >= IDLE_TIMEOUT + connection.ping_delay
             {
-                return Err(io::Error::other("the owner is silent"));
+                return Err(io::Error::other("the owner does not answer pings"));
             }
         }
     }
 }
 
 impl Node {
-    /// Whether the platform's log can be read now.
+    /// Reads the platform's log and returns whether that worked.
     async fn probe_log(&self) -> bool {
         let home = self.cells().and_then(|cells| cells.home().cloned());
         match home {
@@ -344,7 +358,7 @@
         }
     }
 
-    /// Takes connections of other entries.
+    /// Accepts connections of other entries.
     pub(super) async fn serve_peers(self: Arc<Self>, listener: tokio::net::TcpListener) {
         loop {
             match listener.accept().await {
@@ -352,7 +366,7 @@
                     let node = self.clone();
                     tokio::spawn(async move {
                         if let Err(err) = node.serve_peer(stream).await {
-                            log::debug!("event=peer-lost from={from} error={err:?}");
+                            log::debug!("event=peer-connection-lost from={from} error={err:?}");
                         }
                     });
                 }
@@ -364,18 +378,20 @@
         }
     }
 
+    /// Serves the connection of another entry until it ends.
     async fn serve_peer(self: Arc<Self>, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let (read, half) = stream.into_split();
+        let (read_half, write_half) = stream.into_split();
         let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
-        let writer = write_frames(half, queue);
-        let reader = self.serve_entry(FrameReader::new(read, IDLE_TIMEOUT), sender);
+        let writer = write_frames(write_half, queue);
+        let reader = self.serve_entry(FrameReader::new(read_half, IDLE_TIMEOUT), sender);
         tokio::select! {
             result = writer => result,
             result = reader => result,
         }
     }
 
+    /// Reads the greeting of an entry, then serves its requests if this process owns the cell.
     async fn serve_entry(
         self: &Arc<Self>,
         mut frames: FrameReader,
@@ -397,7 +413,7 @@
         let (Some(view), Some(owner)) = (view, owner) else {
             let refused = OwnerMessage::Refused(RefusalReason::NotOwner);
             sender.try_send(encode(0, refused)?).map_err(io::Error::other)?;
-            // The refusal has to leave before the connection closes.
+            // Leaves time to write the refusal before the connection is closed.
             tokio::time::sleep(RETRY_DELAY.duration()).await;
             return Ok(());
         };
@@ -414,6 +430,7 @@
         result
     }
 
+    /// Answers the messages of an entry until its connection or the ownership ends.
     async fn serve_requests(
         self: &Arc<Self>,
         owner: &Arc<Owner>,
@@ -440,7 +457,7 @@
                         let message = owner.handle_request(&entry, body).await;
                         let sent = encode(id, message).map(|frame| sender.try_send(frame));
                         if !matches!(sent, Ok(Ok(()))) {
-                            log::info!("event=answer-lost entry={entry}");
+                            log::info!("event=answer-not-sent entry={entry}");
                         }
                     });
                 }
@@ -451,7 +468,8 @@
 }
 
 impl CellView {
-    /// The owner of an epoch, once it has taken over; `None`: this process will not be it.
+    /// Waits until this process has taken over the cell in an epoch. Returns `None` if it will not
+    /// be the owner in that epoch.
     async fn wait_for_owner(&self, epoch: u64) -> Option<Arc<Owner>> {
         let mut owners = self.owner.subscribe();
         let mut leaders = self.leader.subscribe();
