--- a/src/node/http_server.rs
+++ b/src/node/http_server.rs
@@ -1,4 +1,4 @@
-//! What callers reach: jobs over HTTP, and what the balancer and operators ask.
+//! The HTTP servers of an entry: jobs for callers, readiness for the balancer, and metrics.
 
 use crate::cell::owner::access::{Access, access, is_fresh};
 use crate::cell::owner::admission::LEAST;
@@ -21,14 +21,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What is left of a caller's time for the answer's way back.
+/// The part of a caller's time that is reserved for sending the answer.
 const ANSWER_MARGIN: Millis = Millis(40);
-/// The most time that a caller waits who does not say.
+/// The time to answer a caller that names no deadline.
 const DEFAULT_TIMEOUT: Millis = Millis(3_000);
-/// Pause after a failure to accept a connection.
+/// Delay after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Millis = Millis(20);
 
-/// Takes connections until `stop` closes or says so, and serves each by `answer`.
+/// Accepts connections until `stop` is set or closes, and answers their requests with `handler`.
 pub(super) async fn serve<F, R>(
     listener: TcpListener,
     node: Arc<Node>,
@@ -55,13 +55,14 @@
     }
 }
 
-/// Ready when the channel says stop, or closes.
+/// Waits until the channel is set to `true` or closes.
 async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
-        log::debug!("event=listener-closes");
+        log::debug!("event=stop-channel-closed");
     }
 }
 
+/// Serves one connection. Once `stop` is set, answers the request in progress and closes.
 async fn serve_connection<F, R>(
     stream: TcpStream,
     node: Arc<Node>,
@@ -72,7 +73,7 @@
     R: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!("event=connection-odd error={err:?}");
+        log::debug!("event=nodelay-not-set error={err:?}");
     }
     let limits = node.policy().limits;
     let service = service_fn(move |request| {
@@ -94,11 +95,11 @@
         }
     };
     if let Err(err) = result {
-        log::debug!("event=connection-ended error={err:?}");
+        log::debug!("event=connection-failed error={err:?}");
     }
 }
 
-/// Answers a caller.
+/// Answers the request of a caller.
 pub(super) async fn handle_job_call(
     node: Arc<Node>,
     request: Request<Incoming>,
@@ -107,7 +108,8 @@
     let (call, reply) = route_call(&node, request, started).await;
     let mut response = reply.response();
     if matches!(reply, Reply::Busy { .. }) && !node.is_ready() {
-        // Behind a cut the balancer sends new connections elsewhere, but an open one stays here.
+        // During a network partition the balancer sends new connections to other entries, but open
+        // ones stay here unless they are closed.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     let status = response.status().as_u16();
@@ -115,6 +117,8 @@
     response
 }
 
+/// Authorizes a request and passes it to the cell of its job. Also returns the kind of the call for
+/// the metrics.
 async fn route_call(
     node: &Arc<Node>,
     request: Request<Incoming>,
@@ -127,7 +131,7 @@
     let path = request.uri().path().to_string();
     let age = node.policy_age();
     let Some(route) = policy.route(host(&request), &path) else {
-        // It may have been added since.
+        // If the policy here may be outdated, the queue may have been added since.
         let reply = if is_fresh(age) { Reply::NoQueue } else { Reply::Busy { after: LEAST } };
         return ("none", reply);
     };
@@ -139,7 +143,7 @@
                 _ => Reply::NoKey,
             };
             log::info!(
-                "event=denied queue={} policy={} age_ms={age} has_key={} reply={reply:?}",
+                "event=call-denied queue={} policy={} age_ms={age} has_key={} reply={reply:?}",
                 route.queue.name,
                 policy.version,
                 key(&request).is_some()
@@ -171,9 +175,10 @@
 }
 
 impl Node {
-    /// Whether a caller may call on a route with its key.
+    /// Whether a caller may use a route with its key.
     fn access(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
-        // By the settings too: a policy that was written without workspaces would let anybody in.
+        // The settings count too: otherwise a policy that was written without workspaces would
+        // admit everybody.
         match policy.has_keys || self.settings.has_workspaces {
             true => access(&policy.workspaces, route.is_open, key, age),
             false => Access::Granted(None),
@@ -181,7 +186,7 @@
     }
 }
 
-/// Answers the balancer: whether new callers may come.
+/// Tells the balancer whether this entry takes new callers.
 pub(super) async fn handle_ready(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.is_ready() {
         true => Reply::Accepted.response(),
@@ -189,7 +194,7 @@
     }
 }
 
-/// Answers whoever collects metrics.
+/// Serves the metrics.
 pub(super) async fn handle_metrics(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.metrics.render(crate::logs::dropped()) {
         Ok(text) => Response::new(Full::from(text)),
