--- a/src/node/job_call.rs
+++ b/src/node/job_call.rs
@@ -1,4 +1,5 @@
-//! What callers ask about jobs, and how it is answered.
+//! Calls of the job API: submitting a job, asking for its state, cancelling it, and counting the
+//! jobs that wait.
 
 use crate::cell::State;
 use crate::cell::owner::admission::{self, retry_after};
@@ -18,21 +19,21 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// A caller's call about one job.
+/// A caller's request about one job.
 pub(super) struct JobCall<'a> {
-    /// The job's cell.
+    /// The home cell of the job.
     pub view: &'a CellView,
     pub policy: &'a Policy,
     pub route: &'a Route,
     pub job: JobKey,
-    /// The caller's workspace.
+    /// The workspace of the caller, if any.
     pub workspace: Option<Name>,
-    /// When the answer has to leave.
+    /// When the answer has to be sent.
     pub deadline: Millis,
 }
 
 impl JobCall<'_> {
-    /// Answers; the name of the call is for metrics.
+    /// Handles the request. Also returns the kind of the call for the metrics.
     pub async fn reply(&self, request: Request<Incoming>) -> (&'static str, Reply) {
         match *request.method() {
             Method::POST => ("submit", self.submit(request).await),
@@ -67,7 +68,7 @@
             Ok(_) | Err(RequestError::Unknown) => Reply::InDoubt,
         };
         log::info!(
-            "event=not-accepted job={job} cell={} queue={} policy={} answer={answer:?} waited_ms={} \
+            "event=job-not-accepted job={job} cell={} queue={} policy={} answer={answer:?} waited_ms={} \
              reply={reply:?}",
             view.cell,
             route.queue.name,
@@ -77,7 +78,10 @@
         reply
     }
 
-    /// The job in a request; an error says what is wrong with it.
+    /// Reads a job from the body of a request.
+    ///
+    /// # Errors
+    /// The text says what is wrong with the job.
     async fn read_job(&self, request: Request<Incoming>) -> Result<Work, String> {
         let body = Limited::new(request.into_body(), self.policy.limits.body).collect();
         let remaining = self.deadline - self.view.now();
@@ -90,7 +94,8 @@
         Ok(work)
     }
 
-    /// Asks the job's home, and the cell where the job is if that is another one.
+    /// Sends a message to the home cell of the job, then to the cell that the job was forwarded to,
+    /// if any.
     async fn request(&self, message: EntryMessage) -> Result<OwnerMessage, RequestError> {
         match self.view.request(message.clone(), self.deadline).await {
             Ok(OwnerMessage::Moved { cell }) => self.request_from_cell(cell, message).await,
@@ -98,6 +103,7 @@
         }
     }
 
+    /// Sends a message to the cell that the job was forwarded to.
     async fn request_from_cell(
         &self,
         cell: u32,
@@ -107,7 +113,7 @@
         match cells.as_ref().and_then(|cells| cells.get(cell)) {
             Some(view) => view.request(message, self.deadline).await,
             None => {
-                log::error!("event=no-such-cell job={} cell={cell}", self.job);
+                log::error!("event=unknown-cell job={} cell={cell}", self.job);
                 Err(RequestError::Unsent)
             }
         }
@@ -147,7 +153,8 @@
     }
 }
 
-/// How many jobs of a queue wait, over all cells. One cell that cannot be requests leaves that unknown.
+/// Counts the waiting jobs of a queue in all cells. The count is unknown if any cell does not
+/// answer.
 pub(super) async fn pending(cells: &Cells, route: &Route, deadline: Millis) -> Reply {
     let mut requests = JoinSet::new();
     for view in &cells.views {
