--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry on the platform, in the format of Prometheus.
+//! Metrics of an entry on the platform, in the Prometheus text format.
 
 use crate::cell::Load;
 use crate::clock::Millis;
@@ -6,11 +6,11 @@
 use crate::registry;
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
-/// Upper bounds of the buckets for times, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const BUCKETS_SECONDS: [f64; 11] =
     [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
 
-/// The metrics.
+/// The metrics of an entry. Gauges show the cell that this entry owns and updated last.
 #[derive(Debug)]
 pub(super) struct Metrics {
     registry: registry::Metrics,
@@ -30,15 +30,15 @@
     abandoned_jobs: IntGauge,
     restarted_workers: IntGauge,
     expired_waits: IntGauge,
-    /// Takeovers by this entry.
+    /// Takeovers of a cell by this entry.
     pub takeovers: IntCounter,
 }
 
 impl Metrics {
-    /// All metrics at zero.
+    /// Registers all metrics, at zero.
     ///
     /// # Errors
-    /// Two metrics have one name.
+    /// Two metrics have the same name.
     pub fn new() -> prometheus::Result<Self> {
         let registry = registry::Metrics::default();
         let counts =
@@ -89,13 +89,13 @@
         })
     }
 
-    /// A caller got its answer.
+    /// Counts a request of a caller, by the kind of the call and the status of the answer.
     pub fn observe_call(&self, call: &str, status: u16, took: Millis) {
         self.requests.with_label_values(&[call, &status.to_string()]).inc();
         self.request_time.observe(seconds(took));
     }
 
-    /// An order to a worker came to an end.
+    /// Counts an order to a worker, by its outcome.
     pub fn observe_order(&self, is_start: bool, outcome: &Outcome, took: Millis) {
         let outcome = match outcome {
             Outcome::Done(_) => "done",
@@ -109,17 +109,17 @@
         self.order_time.observe(seconds(took));
     }
 
-    /// A batch is in the store.
+    /// Records how long it took to store a batch.
     pub fn observe_append(&self, took: Millis) {
         self.append_time.observe(seconds(took));
     }
 
-    /// The advice service answered.
+    /// Records how long the advice service took to answer.
     pub fn observe_advice(&self, took: Millis) {
         self.advice_time.observe(seconds(took));
     }
 
-    /// What the owner holds.
+    /// Sets the gauges of the cell that this entry owns.
     pub fn set_load(&self, load: &Load) {
         self.open_jobs.set(load.jobs as i64);
         self.runs.set(load.runs as i64);
@@ -132,10 +132,11 @@
         self.expired_waits.set(load.expired_waits as i64);
     }
 
-    /// All metrics as text; `dropped`: log lines that found no room.
+    /// Renders all metrics as text. `dropped` is the number of log lines that were dropped because
+    /// the log buffer was full.
     ///
     /// # Errors
-    /// They cannot be written.
+    /// The metrics cannot be encoded.
     pub fn render(&self, dropped: u64) -> prometheus::Result<Vec<u8>> {
         self.dropped_lines.set(dropped as i64);
         self.registry.text()
