--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! One entry on the platform: the tasks, timers and sockets around the decisions in `cell`.
+//! An entry, one process of the scheduler on the platform: the tasks, timers and sockets around the
+//! decisions that are made in [`crate::cell`].
 
 mod cells;
 mod claims;
@@ -32,26 +33,27 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How long runs go on without a renewal: longer than a takeover and a restart of the owner
-/// together, short enough that tasks of a lost worker start elsewhere within seconds.
+/// How long runs go on without a renewal of their lease. It is longer than a takeover and a restart
+/// of the owner together, and short enough that tasks of a lost worker start elsewhere within
+/// seconds.
 const RUN_LEASE: Millis = Millis(6_000);
-/// How much longer than reckoned an answer of the advice service may take.
+/// How much longer than expected an answer of the advice service may take.
 const ADVICE_MARGIN: Millis = Millis(700);
-/// Time between attempts after a failure of the store: 25 times its usual answer.
+/// Delay before a failed call to the store is retried: 25 times the usual time of an answer.
 const STORE_RETRY_DELAY: Millis = Millis(100);
 
-/// Why an entry cannot serve.
+/// Why an entry cannot start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// An address cannot be listened on.
+    /// The entry cannot listen on an address.
     #[error("cannot listen on {0}: {1}")]
     Listen(Name, std::io::Error),
-    /// The metrics have a fault.
-    #[error("metrics: {0}")]
+    /// The metrics cannot be registered.
+    #[error("cannot register the metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// An entry.
+/// An entry and what its tasks share.
 #[derive(Debug)]
 pub struct Node {
     id: EntryId,
@@ -62,15 +64,17 @@
     adviser: Option<Adviser>,
     metrics: Metrics,
     policy: watch::Sender<Arc<Policy>>,
-    /// When the policy was last known to be the operators' newest.
+    /// When the policy was last known to be the newest one.
     policy_read_at: Mutex<Millis>,
-    /// The cells; `None`: it is not known yet how workers are dealt to them.
+    /// The cells. `None` until the map that assigns workers to them is loaded.
     cells: watch::Sender<Option<Arc<Cells>>>,
+    /// A planned stop has begun.
     stopping: AtomicBool,
-    /// What this process told owners of the log.
+    /// When this process last told an owner that the log cannot be read.
     history: Mutex<History>,
 }
 
+/// Locks a mutex, also one that is poisoned.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -81,12 +85,12 @@
     let socket = tokio::net::TcpSocket::new_v4().map_err(fail)?;
     socket.set_reuseaddr(true).map_err(fail)?;
     socket.bind(parsed).map_err(fail)?;
-    // The backlog holds a burst of callers while the processor is not ours.
+    // The backlog holds a burst of callers while this process gets no processor time.
     socket.listen(512).map_err(fail)
 }
 
 impl Node {
-    /// Serves until a planned stop is done; `stop` begins one.
+    /// Runs an entry until a planned stop, which `stop` begins, is done.
     ///
     /// # Errors
     /// See [`NodeError`].
@@ -117,7 +121,7 @@
         let peer = listen(&self.settings.peer).await?;
         let metrics = listen(&self.settings.metrics).await?;
         log::info!(
-            "event=up entry={} domain={} front={} store={}",
+            "event=entry-started entry={} domain={} front={} store={}",
             self.id,
             self.settings.domain,
             self.settings.front,
@@ -138,7 +142,7 @@
         tokio::spawn(self.clone().discover_cells());
         self.shut_down_on_signal(stop, close).await;
         drop(stay_open);
-        log::info!("event=down entry={}", self.id);
+        log::info!("event=entry-stopped entry={}", self.id);
         Ok(())
     }
 
@@ -147,6 +151,7 @@
         self.clock.now()
     }
 
+    /// How long runs go on without a renewal, within the bound of the settings.
     fn lease(&self) -> Millis {
         RUN_LEASE.min(self.settings.lease_max)
     }
@@ -155,7 +160,7 @@
         self.policy.borrow().clone()
     }
 
-    /// How long ago the policy was known to be the operators' newest.
+    /// The time since the policy was last known to be the newest one.
     fn policy_age(&self) -> Millis {
         self.now().since(*lock(&self.policy_read_at))
     }
@@ -164,26 +169,28 @@
         self.cells.borrow().clone()
     }
 
-    /// Whether new callers may come: there is a policy, and owners that can be asked.
+    /// Whether new callers can be served: there is a policy, and most cells have an owner that
+    /// accepts jobs.
     fn is_ready(&self) -> bool {
         let stopping = self.stopping.load(Ordering::Relaxed);
         let accepts = self.cells.borrow().as_ref().is_some_and(|cells| cells.accept_jobs());
         !stopping && self.policy.borrow().version > 0 && accepts
     }
 
-    /// Whether this entry owns a cell.
+    /// Whether this entry owns any cell.
     fn is_owner(&self) -> bool {
         let cells = self.cells();
         cells.is_some_and(|cells| cells.views.iter().any(|view| view.local_owner().is_some()))
     }
 
-    /// Whether waiting for an owner is of no use: the log cannot be read, so nobody can claim.
+    /// Whether the log cannot be read. Then no entry that is in the same position can claim a cell,
+    /// and waiting for an owner is useless.
     fn is_log_lost(&self) -> bool {
         let home = self.cells().and_then(|cells| cells.home().cloned());
         home.is_none_or(|home| !lock(&home.election).is_fresh(self.now()))
     }
 
-    /// Asks the advice service for the owner.
+    /// Asks the advice service about a step on behalf of an owner.
     async fn advise(&self, step: StepKey, workers: &[Name], cost: Millis) -> Option<Cleared> {
         let adviser = self.adviser.as_ref()?;
         let started = self.now();
