--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -1,4 +1,5 @@
-//! Messages between an entry and the owner of the cell: length-delimited frames of `postcard`.
+//! Messages between an entry and the owner of a cell. They are sent as length-delimited frames,
+//! encoded by `postcard`.
 
 use crate::cell::State;
 use crate::cell::owner::balance::Load;
@@ -10,19 +11,21 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The largest frame, in bytes: a job's text and its steps fit many times.
+/// The largest frame in bytes, several times the size of the largest job.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 
-/// What an entry asks the owner.
+/// A message from an entry to the owner of a cell.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EntryMessage {
-    /// The sender, the cell, the epoch in which it takes the receiver for its owner, what the sender
-    /// may use of processors, in thousandths of one, whether it belongs to the cell, and what it knows of
-    /// the time before.
+    /// The first message on a connection. `epoch`: the one in which the sender takes the receiver
+    /// for the owner of the cell. `cpu`: the processors that the sender may use, in thousandths of
+    /// one. `is_home`: the cell is the sender's home. `history`: what the sender knows about the
+    /// time before this epoch.
     Hello { entry: Name, cell: u32, epoch: u64, cpu: u32, is_home: bool, history: Word },
-    /// Whether the sender can read the platform's log.
+    /// Tells whether the sender can read the platform's log. Answered by [`OwnerMessage::Pong`].
     Ping { log_readable: bool },
-    /// A caller submits a job for its workspace; `stay`: its home sent it here, so it goes to no other cell.
+    /// A caller submits a job for its workspace. `is_forwarded`: the home cell of the job has
+    /// forwarded it here, so it must not be forwarded again.
     Submit {
         job: JobKey,
         queue: Name,
@@ -32,20 +35,21 @@
     },
     /// A caller of a workspace asks for a job's state.
     State { job: JobKey, workspace: Option<Name> },
-    /// A caller of a workspace withdraws a job.
+    /// A caller of a workspace cancels a job.
     Cancel { job: JobKey, workspace: Option<Name> },
-    /// A caller asks how many jobs wait.
+    /// A caller asks how many jobs of a queue wait.
     Pending { queue: Name },
-    /// The cell to which the receiver sent a job has forgotten it.
+    /// The cell to which the receiver forwarded a job has forgotten that job.
     Forget { job: JobKey },
-    /// Whether the sender could read the platform's log when it was asked to.
+    /// Answers [`OwnerMessage::ProbeLog`]: whether the sender could read the platform's log.
     LogProbed { readable: bool },
-    /// The advice service answered, or did not.
+    /// Answers [`OwnerMessage::AskAdvice`] about the candidate workers. `None`: the advice service
+    /// gave no answer.
     Advice { step: StepKey, candidates: Vec<Name>, answer: Option<Cleared> },
 }
 
 impl EntryMessage {
-    /// Whether a caller waits for the answer.
+    /// Whether this is a request of a caller, who waits for the answer.
     pub fn is_from_caller(&self) -> bool {
         match self {
             Self::Submit { .. } | Self::State { .. } => true,
@@ -56,57 +60,59 @@
     }
 }
 
-/// What the owner answers, or says unasked.
+/// A message from the owner of a cell to an entry: an answer, or one that the owner sends on its
+/// own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OwnerMessage {
-    /// Nothing to say.
+    /// The message was received; it needs no other answer.
     Ack,
-    /// The answer to a ping: whether the owner takes new jobs, what its cell has to do, and how many other entries
-    /// the owner counts.
+    /// Answers a ping: whether the owner accepts new jobs, the load of its cell by service, and how
+    /// many other entries the owner knows.
     Pong { accepts_jobs: bool, loads: Vec<Load>, entry_count: u32 },
-    /// The job runs in another cell: ask there.
+    /// The job was forwarded to another cell, which has to be asked instead.
     Moved { cell: u32 },
     /// The job is in the store.
     Accepted,
-    /// Nothing was done and nothing will be: come back later.
+    /// Nothing was done, and nothing will be. The request may be repeated later.
     Refused(RefusalReason),
-    /// It may be done later.
+    /// The request may or may not take effect.
     InDoubt,
-    /// The state of a job; `None`: there is no such job.
+    /// The state of a job. `None`: there is no such job.
     State(Option<State>),
-    /// Whether there was such a job; if so, it ended, and that is in the store.
+    /// Whether the job existed. If so it has ended, and its end is in the store.
     Cancelled(bool),
-    /// The number of jobs that wait.
+    /// The number of waiting jobs.
     Pending(u32),
-    /// Read the platform's log and say whether that works; sent unasked.
+    /// Asks the entry to read the platform's log and to tell whether that works. Not an answer.
     ProbeLog,
-    /// The sender gave the cell up and cannot write that to the log; sent unasked.
+    /// The sender has given up the cell but cannot write that to the log. Not an answer.
     SteppedDown { epoch: u64 },
-    /// EntryMessage the advice service this; sent unasked.
+    /// Asks the entry to query the advice service about a step. Not an answer.
     AskAdvice { step: StepKey, workers: Vec<Name>, cost: Millis },
 }
 
-/// Why an owner did nothing.
+/// Why an owner refused a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// It is not the owner, or not yet.
+    /// It is not the owner of the cell, or not yet.
     NotOwner,
     /// It does not know the queue yet.
     UnknownQueue,
-    /// The store does not take records.
+    /// The store does not accept records.
     StoreUnavailable,
-    /// More comes than the owner's processor can do.
+    /// The owner's processor does not keep up with the load.
     Overload,
     /// No cell is known to have a worker of the service.
     NoWorker,
-    /// The job is another workspace's.
+    /// The job belongs to another workspace.
     OtherWorkspace,
 }
 
-/// A message with the number that pairs a question with its answer; 0: unasked.
+/// A message with the id that pairs a request with its answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame<T> {
-    /// The number.
+    /// The id of the request that is sent or answered; 0 if no answer is expected or the message is
+    /// not an answer.
     pub id: u64,
     /// The message.
     pub body: T,
