--- a/src/node/policy.rs
+++ b/src/node/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' policy, as an entry follows it in the platform's store.
+//! Follows the operators' policy in the platform's store.
 
 use crate::clock::Millis;
 use crate::node::{Node, STORE_RETRY_DELAY, lock};
@@ -6,16 +6,16 @@
 use crate::platform::store::{Part, StoreError, split_keyed};
 use std::sync::Arc;
 
-/// The operators' records.
+/// The partition with the operators' records.
 const POLICY_PART: Part<'static> = Part { topic: TOPIC, part: 0 };
-/// How long a read waits for the next record of the operators: a silent connection is noticed
-/// within this time, and a change must be in force within two seconds.
+/// How long a read waits for the next record of the operators. A dead connection is noticed within
+/// this time, and a change of the policy has to be in force within two seconds.
 const READ_WAIT: Millis = Millis(1_000);
-/// How much longer an answer may take.
+/// How much longer than [`READ_WAIT`] the answer to a read may take.
 const READ_MARGIN: Millis = Millis(500);
 
 impl Node {
-    /// Keeps the policy as the operators published it last.
+    /// Keeps the policy at the newest version that the operators have published.
     pub(super) async fn follow_policy(self: Arc<Self>) {
         let mut next = None;
         loop {
@@ -30,7 +30,7 @@
                 }
                 Err(StoreError::Gone(_)) => next = None,
                 Err(err) => {
-                    log::debug!("event=policy-unread error={err:?}");
+                    log::debug!("event=policy-read-failed error={err:?}");
                     next = None;
                     tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
                 }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Reads the newest policy.
+    /// Reads the newest policy. Returns the offset from which to read on.
     async fn read_policy(&self) -> Result<u64, StoreError> {
         let (items, end) = self.store.newest_all(POLICY_PART, READ_WAIT + READ_MARGIN).await?;
         if let Some(item) = items.iter().find(|item| *item.key == *KEY) {
@@ -47,7 +47,7 @@
         Ok(end)
     }
 
-    /// Waits for the next records of the operators.
+    /// Waits for the next records of the operators. Returns the offset from which to read on.
     async fn wait_for_policy(&self, from: u64) -> Result<u64, StoreError> {
         let timeout = READ_WAIT + READ_MARGIN;
         let read = self.store.read(POLICY_PART, from, READ_WAIT, timeout).await?;
@@ -56,14 +56,14 @@
         if let Some((_, value)) = keyed.filter(|(key, _)| **key == *KEY).last() {
             self.set_policy(&value);
         }
-        // Records that went away between two reads leave a gap before the first one kept.
+        // Records that were removed between two reads leave a gap before the first remaining one.
         match read.end > from && read.records.is_empty() {
             true => self.read_policy().await,
             false => Ok(end),
         }
     }
 
-    /// Puts a policy in force unless a later one is.
+    /// Puts a policy in force if it is newer than the current one.
     fn set_policy(&self, text: &[u8]) {
         match Policy::parse(text) {
             Ok(policy) => {
@@ -73,14 +73,14 @@
                         let (version, queues) = (policy.version, policy.queues.len());
                         let workspaces = policy.workspaces.len();
                         log::info!(
-                            "event=policy version={version} queues={queues} workspaces={workspaces}"
+                            "event=policy-updated version={version} queues={queues} workspaces={workspaces}"
                         );
                         *current = Arc::new(policy);
                     }
                     newer
                 });
             }
-            Err(err) => log::error!("event=policy-unreadable error={err:?}"),
+            Err(err) => log::error!("event=policy-invalid error={err:?}"),
         }
     }
 }
