--- a/src/node/stop.rs
+++ b/src/node/stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop: the cell goes to another entry, callers go elsewhere, requests in flight end.
+//! A planned stop: transfers the owned cells to other entries, waits until the balancer sends
+//! callers elsewhere, and finishes the open requests.
 
 use crate::cell::owner::election::Record;
 use crate::clock::Millis;
@@ -10,18 +11,19 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// How long an owner that stops waits for the store to have all that it knows.
+/// How long an owner that stops waits until all its records are in the store.
 const FLUSH_TIMEOUT: Millis = Millis(150);
-/// The balancer sends no new callers after two questions a second apart, each of which may be
-/// half a second late.
+/// How long the balancer may go on sending new callers: until two readiness checks have failed,
+/// which are a second apart and may each be half a second late.
 const DEREGISTRATION_TIME: Millis = Millis(2_600);
-/// The part at the end of the grace in which connections are not waited for.
+/// The last part of the grace period, in which open connections are no longer waited for.
 const GRACE_MARGIN: Millis = Millis(700);
-/// Time between looks.
+/// Time between two checks whether the callers have gone elsewhere.
 const POLL_INTERVAL: Millis = Millis(50);
 
 impl CellView {
-    /// Has another entry own the cell, because this one stops or does not keep up: what is known is written first, as far as that goes at once.
+    /// Gives up the cell so that another entry claims it, because this one stops or does not keep
+    /// up. Writes the open records first, as far as that works within [`FLUSH_TIMEOUT`].
     pub(super) async fn transfer(&self, owner: &Owner, is_overloaded: bool) {
         owner.flush(FLUSH_TIMEOUT).await;
         owner.end();
@@ -35,14 +37,14 @@
 }
 
 impl Node {
-    /// Returns when a planned stop has started and is done.
+    /// Waits for the signal to stop, then stops. Closes the callers' connections through `close`.
     pub(super) async fn shut_down_on_signal(
         self: &Arc<Self>,
         mut stop: watch::Receiver<bool>,
         close: watch::Sender<bool>,
     ) {
         if stop.wait_for(|stop| *stop).await.is_err() {
-            log::warn!("event=signals-lost");
+            log::warn!("event=signal-channel-closed");
         }
         let started = self.now();
         self.stopping.store(true, Ordering::Relaxed);
@@ -61,17 +63,17 @@
             tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
         close.send_replace(true);
-        // Each connection holds a receiver until its last answer has left. Counting requests in place of them
-        // lost one whose head was read after the last look.
+        // Each connection holds a receiver until its last answer is sent. Counting requests instead
+        // missed one whose head was read after the last check.
         let remaining = (grace - GRACE_MARGIN) - self.now().since(started);
         if tokio::time::timeout(remaining.duration(), close.closed()).await.is_err() {
             log::info!(
-                "event=callers-left entry={} connections={}",
+                "event=connections-still-open entry={} connections={}",
                 self.id,
                 close.receiver_count()
             );
         }
-        // The last answers have to leave.
+        // Leaves time to send the last answers.
         tokio::time::sleep(POLL_INTERVAL.duration()).await;
     }
 }
