--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one cell, and its part in it.
+//! What an entry knows about one cell, and how it sends requests to the cell's owner.
 
 use crate::cell::owner::balance::{Choice, Load};
 use crate::cell::owner::election::{Election, Leader};
@@ -15,55 +15,58 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{Notify, watch};
 
-/// A question that could not be sent for this long is refused, so that its caller tries another
-/// entry: a takeover mostly takes less.
+/// A request that could not be sent for this long fails, so that its caller tries another entry.
+/// Most takeovers take less time.
 const SEND_TIMEOUT: Millis = Millis(1_500);
-/// What an owner said of its cell's load is good for so long: three of its words.
+/// How long the load that an owner last reported may be used: three intervals between its reports.
 const LOAD_MAX_AGE: Millis = Millis(2_000);
-/// Time between attempts to ask.
+/// Delay before a request is retried.
 const REQUEST_RETRY_DELAY: Millis = Millis(25);
 
-/// Why a question to the owner got no answer.
+/// Why a request to the owner of a cell got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestError {
-    /// Surely nothing was done.
+    /// It is certain that nothing was done.
     Unsent,
-    /// It may have been done.
+    /// The request may have been carried out.
     Unknown,
 }
 
 /// A cell as one entry sees it.
 ///
-/// Every entry can ask the owner of every cell. It follows the claims on its home cell all the time,
-/// and on another one only while it does not hear that one's owner: with
-/// many cells and entries reading all heartbeats would take more calls than the store has.
+/// Every entry can send requests to the owner of every cell. It always follows the claims on its
+/// home cell, and those on another cell only while it does not hear from that cell's owner: with
+/// many cells and entries, reading all heartbeats would take more calls than the store can serve.
 #[derive(Debug)]
 pub(super) struct CellView {
     pub node: Arc<Node>,
     /// The number of the cell, from 0.
     pub cell: u32,
-    /// How many cells there are.
+    /// The number of cells.
     pub cell_count: u32,
-    /// This entry belongs to the cell.
+    /// The cell is the home of this entry.
     pub is_home: bool,
     pub election: Mutex<Election>,
+    /// The owner by the last claim that was read.
     pub leader: watch::Sender<Option<Leader>>,
-    /// The owner may have to be replaced.
+    /// Wakes [`CellView::campaign`] because the owner may have to be replaced.
     pub claim_wake: Notify,
+    /// The connection to the owner, if that is another entry and can be reached.
     pub connection: watch::Sender<Option<Arc<OwnerConnection>>>,
+    /// The owner, if it is this entry.
     pub owner: watch::Sender<Option<Arc<Owner>>>,
-    /// The last epoch that this entry owned and gave up or lost.
+    /// The last epoch in which this entry owned the cell and no longer does; 0 if there is none.
     pub ended_epoch: AtomicU64,
-    /// What the cell has to do, as its owner last said, and when.
+    /// The load of the cell by service as its owner last reported it, and when it did.
     pub loads: Mutex<(Millis, Vec<Load>)>,
-    /// How many other entries the last owner counted; 0: none was heard.
+    /// How many other entries the last owner knew; 0 if none has told.
     pub entry_count: AtomicU32,
-    /// The claims on the cell are followed.
+    /// Whether the claims on the cell are read.
     pub follows_claims: watch::Sender<bool>,
 }
 
 impl CellView {
-    /// Nothing is known of the cell yet.
+    /// A view of a cell of which nothing is known yet.
     pub fn new(node: Arc<Node>, cell: u32, cell_count: u32, is_home: bool) -> Self {
         let election = Election::new(node.id.clone(), node.settings.cpu, node.now());
         Self {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Follows the cell for as long as the process lives.
+    /// Starts the tasks that follow the cell for as long as the process runs.
     pub fn follow(self: &Arc<Self>) {
         tokio::spawn(self.clone().follow_claims());
         tokio::spawn(self.clone().campaign());
@@ -95,8 +98,8 @@
         self.node.now()
     }
 
-    /// The cell's part of one of the project's topics in the store. Cells beyond the parts of one
-    /// topic have the next one.
+    /// The partition of the cell in a topic of the store. A topic has a limited number of
+    /// partitions: further cells use another topic, whose name has a number appended to `topic`.
     pub fn partition<'a>(&self, topic: &'a mut String) -> Part<'a> {
         let parts = self.node.settings.parts.max(1);
         if self.cell >= parts {
@@ -105,40 +108,40 @@
         Part { topic, part: self.cell % parts }
     }
 
-    /// The owner here, if it is that of an epoch.
+    /// The owner in this process, if it owns the cell in `epoch`.
     pub fn local_owner_in(&self, epoch: u64) -> Option<Arc<Owner>> {
         self.owner.borrow().clone().filter(|owner| owner.epoch() == epoch && !owner.has_ended())
     }
 
-    /// The owner here, if this entry is it.
+    /// The owner in this process, if it owns the cell.
     pub fn local_owner(&self) -> Option<Arc<Owner>> {
         self.owner.borrow().clone().filter(|owner| !owner.has_ended())
     }
 
-    /// Whether this entry is the owner by the last claim that was read, and in this epoch.
+    /// Whether this entry is the owner by the last claim that was read, and in `epoch`.
     pub fn is_leader(&self, epoch: u64) -> bool {
         let election = lock(&self.election);
         election.is_mine() && election.leader().is_some_and(|leader| leader.epoch == epoch)
     }
 
-    /// Whether this entry owned the cell in an epoch and does so no more.
+    /// Whether this entry owned the cell in `epoch` or a later epoch and no longer does.
     pub fn has_ended_epoch(&self, epoch: u64) -> bool {
         self.ended_epoch.load(Ordering::Relaxed) >= epoch
     }
 
-    /// Whether the cell's owner can be asked and takes new jobs.
+    /// Whether the owner of the cell can be reached and accepts new jobs.
     pub fn accepts_jobs(&self) -> bool {
         let owned = self.owner.borrow().as_ref().is_some_and(|owner| owner.is_serving());
-        let linked = self
+        let connected = self
             .connection
             .borrow()
             .as_ref()
             .is_some_and(|connection| connection.accepts_jobs(self.now()));
-        owned || linked
+        owned || connected
     }
 
-    /// The cell as one that a job of a service could go to; `None`: it takes none, or has said nothing
-    /// lately.
+    /// The cell as a target for forwarding jobs of a service. `None` if it accepts no jobs, has no
+    /// workers of the service, or has not reported its load recently.
     pub fn choice(&self, service: &str) -> Option<Choice> {
         let loads = lock(&self.loads);
         let (at, loads) = &*loads;
@@ -148,8 +151,8 @@
         (is_fresh && self.accepts_jobs()).then_some(choice)
     }
 
-    /// Counts work that was just sent to the cell, in thousandths of its processors, until its owner
-    /// speaks again.
+    /// Adds work that was just forwarded to the cell, in thousandths of its processors, to its load
+    /// until its owner reports again.
     pub fn add_load(&self, service: &str, share: u32) {
         let mut loads = lock(&self.loads);
         if let Some(load) = loads.1.iter_mut().find(|load| *load.service == *service) {
@@ -157,13 +160,16 @@
         }
     }
 
-    /// Follows the claims, or leaves them unread. At home and as the owner they are always followed.
+    /// Starts or stops reading the claims on the cell. Those on the home cell are always read. An
+    /// owner reads the claims on its cell too, because only messages of another owner stop the
+    /// reading.
     pub fn set_follows_claims(&self, wanted: bool) {
         let wanted = wanted || self.is_home;
         self.follows_claims.send_if_modified(|follows_claims| {
             let changed = *follows_claims != wanted;
             if changed && wanted {
-                // What was written meanwhile was not read: error counts from here on.
+                // Records of the time before were not read, so the silence of the owner counts from
+                // now.
                 lock(&self.election).resume(self.now());
             }
             *follows_claims = wanted;
@@ -171,7 +177,8 @@
         });
     }
 
-    /// Asks whoever owns the cell, again if the owner changes, until an answer or `deadline`.
+    /// Sends a request to the owner of the cell, and again if the owner changes, until it is
+    /// answered or `deadline` has passed.
     pub async fn request(
         &self,
         message: EntryMessage,
@@ -208,6 +215,7 @@
         }
     }
 
+    /// Sends a request once, to the owner as it is known now.
     async fn request_once(&self, message: EntryMessage) -> Result<OwnerMessage, ConnectionError> {
         if let Some(owner) = self.local_owner() {
             return Ok(owner.handle_request(&self.node.id.name, message).await);
@@ -224,7 +232,8 @@
         }
     }
 
-    /// As [`OwnerConnection::check_owner`]; an owner that does not answer is suspected of being lost.
+    /// Like [`OwnerConnection::check_owner`]. If the owner does not answer, also starts reading the
+    /// claims, because it may be lost.
     async fn check_owner(
         &self,
         connection: &OwnerConnection,
@@ -237,13 +246,13 @@
         checked
     }
 
-    /// What this entry tells a new owner of the time before.
+    /// What this entry tells a new owner about the time before its epoch.
     pub fn log_history(&self) -> Word {
         let is_steady = lock(&self.node.history).is_steady(self.now());
         Word { is_steady, entries: self.entry_count.load(Ordering::Relaxed) }
     }
 
-    /// The name under which other entries know this one.
+    /// The name of this entry.
     pub fn entry_name(&self) -> &Name {
         &self.node.id.name
     }
