--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -21,10 +21,10 @@
 /// within 240 ms, and a connection that was opened while it was down hangs.
 const READ_TIMEOUT: Millis = Millis(450);
 /// After their first count of the workers, entries wait for up to this long, each for another time.
-const START_SPREAD: Duration = Duration::from_millis(1_500);
+const MAX_START_DELAY: Duration = Duration::from_millis(1_500);
 /// Exponent that makes most of those delays long, so that few entries read the long list of workers
 /// before the first one has written the map.
-const START_EXPONENT: f64 = 0.25;
+const START_DELAY_EXPONENT: f64 = 0.25;
 /// Time between two counts of the workers, which must not differ. Workers register themselves
 /// within 1.5 s of each other.
 const COUNT_INTERVAL: Millis = Millis(600);
@@ -122,10 +122,10 @@
         Ok(None)
     }
 
-    /// The delay of this entry, between zero and [`START_SPREAD`], by the hash of its name.
+    /// The delay of this entry, between zero and [`MAX_START_DELAY`], by the hash of its name.
     fn start_delay(&self) -> Duration {
         let part = hash(&[self.id.name.as_bytes()]) as f64 / u64::MAX as f64;
-        START_SPREAD.mul_f64(part.powf(START_EXPONENT))
+        MAX_START_DELAY.mul_f64(part.powf(START_DELAY_EXPONENT))
     }
 
     /// Reads the map, if there is one. Also returns the end offset of its topic.
--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -318,7 +318,7 @@
         let mut follows_claims = self.follows_claims.subscribe();
         loop {
             tokio::time::sleep(PING_INTERVAL.duration()).await;
-            let log_readable = !self.node.is_log_lost();
+            let log_readable = !self.node.is_log_unreadable();
             if log_readable && !*follows_claims.borrow_and_update() {
                 let pause = match self.node.is_owner() {
                     true => connection.ping_delay.min(MAX_OWNER_PING_DELAY),
@@ -329,7 +329,7 @@
                     changed = follows_claims.changed() => changed.map_err(io::Error::other)?,
                 }
             }
-            let log_readable = !self.node.is_log_lost();
+            let log_readable = !self.node.is_log_unreadable();
             if !log_readable {
                 lock(&self.node.history).note_lost(self.now());
             }
--- a/src/node/frame.rs
+++ b/src/node/frame.rs
@@ -54,14 +54,14 @@
 
 /// Reads frames from a connection.
 pub(super) struct FrameReader {
-    read: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
+    reader: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
     idle_timeout: Millis,
 }
 
 impl FrameReader {
     /// A reader that ends once nothing was received for `idle_timeout`.
     pub fn new(read_half: OwnedReadHalf, idle_timeout: Millis) -> Self {
-        Self { read: FramedRead::new(read_half, codec()), idle_timeout }
+        Self { reader: FramedRead::new(read_half, codec()), idle_timeout }
     }
 
     /// Sets another idle timeout.
@@ -75,7 +75,7 @@
     /// # Errors
     /// The connection broke, or the frame cannot be decoded.
     pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<Option<Frame<T>>> {
-        match tokio::time::timeout(self.idle_timeout.duration(), self.read.next()).await {
+        match tokio::time::timeout(self.idle_timeout.duration(), self.reader.next()).await {
             Err(_) | Ok(None) => Ok(None),
             Ok(Some(bytes)) => decode(&bytes?).map(Some),
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -185,7 +185,7 @@
 
     /// Whether the log cannot be read. Then no entry that is in the same position can claim a cell,
     /// and waiting for an owner is useless.
-    fn is_log_lost(&self) -> bool {
+    fn is_log_unreadable(&self) -> bool {
         let home = self.cells().and_then(|cells| cells.home().cloned());
         home.is_none_or(|home| !lock(&home.election).is_fresh(self.now()))
     }
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -18,9 +18,9 @@
 const WORKERS_PART: Part<'static> = Part { topic: worker::TOPIC, part: 0 };
 /// Time between two reads of the list of workers. The reads don't wait for the next record: every
 /// worker rewrites its own each 1.5 s, so such a wait would end at once.
-const READ_INTERVAL: Millis = Millis(400);
+const LIST_READ_INTERVAL: Millis = Millis(400);
 /// Time between two reads of the whole list, which show the workers whose records were removed.
-const FULL_READ_INTERVAL: Millis = Millis(5_000);
+const FULL_LIST_INTERVAL: Millis = Millis(5_000);
 /// How long a worker holds back a report until a run ends. If the answer is lost, the owner learns
 /// of ended runs at least this much later; a shorter time costs more reports.
 const REPORT_WAIT: Millis = Millis(800);
@@ -88,7 +88,7 @@
             _ => return,
         };
         let Some(client) = self.worker_client(&name) else { return };
-        let decided = self.node.now();
+        let decided_at = self.node.now();
         let Some(life) = lock(&self.cell).life(&name) else { return };
         let permits =
             lock(&self.order_permits).entry(name.clone()).or_insert_with(new_order_permits).clone();
@@ -101,7 +101,8 @@
         // A restarted worker has seen neither the fence nor the stops that its earlier process had
         // seen, so it would not refuse an outdated order.
         let has_restarted = || lock(&self.cell).has_restarted(&life);
-        let is_withheld = !has_authority || sent.since(decided) >= ORDER_MAX_AGE || has_restarted();
+        let is_withheld =
+            !has_authority || sent.since(decided_at) >= ORDER_MAX_AGE || has_restarted();
         if has_restarted() && !matches!(action, Action::Start { .. }) {
             return log::debug!("event=order-withheld worker={name} why=restarted");
         }
@@ -206,11 +207,11 @@
         loop {
             let now = self.node.now();
             let pauses = self.node.clock.pauses();
-            let result = if read_all_at == Millis(0) || now.since(read_all_at) >= FULL_READ_INTERVAL
+            let result = if read_all_at == Millis(0) || now.since(read_all_at) >= FULL_LIST_INTERVAL
             {
                 self.view.list_workers().await.map(|(listed, end)| {
                     (read_all_at, next_offset) = (now, end);
-                    known = listed.into_iter().map(|one| (one.id.clone(), one)).collect();
+                    known = listed.into_iter().map(|worker| (worker.id.clone(), worker)).collect();
                     true
                 })
             } else {
@@ -234,7 +235,7 @@
                     log::debug!("event=worker-list-read-failed error={err:?}");
                 }
             }
-            tokio::time::sleep(READ_INTERVAL.duration()).await;
+            tokio::time::sleep(LIST_READ_INTERVAL.duration()).await;
         }
     }
 
--- a/src/node/policy.rs
+++ b/src/node/policy.rs
@@ -17,21 +17,21 @@
 impl Node {
     /// Keeps the policy at the newest version that the operators have published.
     pub(super) async fn follow_policy(self: Arc<Self>) {
-        let mut next = None;
+        let mut next_offset = None;
         loop {
-            let result = match next {
+            let result = match next_offset {
                 None => self.read_policy().await,
                 Some(from) => self.wait_for_policy(from).await,
             };
             match result {
                 Ok(end) => {
                     *lock(&self.policy_read_at) = self.now();
-                    next = Some(end);
+                    next_offset = Some(end);
                 }
-                Err(StoreError::Gone(_)) => next = None,
+                Err(StoreError::Gone(_)) => next_offset = None,
                 Err(err) => {
                     log::debug!("event=policy-read-failed error={err:?}");
-                    next = None;
+                    next_offset = None;
                     tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
                 }
             }
@@ -68,8 +68,8 @@
         match Policy::parse(text) {
             Ok(policy) => {
                 self.policy.send_if_modified(|current| {
-                    let newer = policy.version > current.version;
-                    if newer {
+                    let is_newer = policy.version > current.version;
+                    if is_newer {
                         let (version, queues) = (policy.version, policy.queues.len());
                         let workspaces = policy.workspaces.len();
                         log::info!(
@@ -77,7 +77,7 @@
                         );
                         *current = Arc::new(policy);
                     }
-                    newer
+                    is_newer
                 });
             }
             Err(err) => log::error!("event=policy-invalid error={err:?}"),
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -144,8 +144,8 @@
     /// workers of the service, or has not reported its load recently.
     pub fn choice(&self, service: &str) -> Option<Choice> {
         let loads = lock(&self.loads);
-        let (at, loads) = &*loads;
-        let is_fresh = self.now().since(*at) < LOAD_MAX_AGE;
+        let (reported_at, loads) = &*loads;
+        let is_fresh = self.now().since(*reported_at) < LOAD_MAX_AGE;
         let load = loads.iter().find(|load| *load.service == *service)?;
         let choice = Choice { cell: self.cell, share: load.share };
         (is_fresh && self.accepts_jobs()).then_some(choice)
@@ -191,10 +191,10 @@
             if remaining == Millis(0) {
                 return Err(error);
             }
-            let answered =
+            let result =
                 tokio::time::timeout(remaining.duration(), self.request_once(message.clone()))
                     .await;
-            match answered {
+            match result {
                 Ok(Ok(OwnerMessage::Refused(
                     RefusalReason::NotOwner | RefusalReason::UnknownQueue,
                 ))) => {}
@@ -204,7 +204,7 @@
                 Ok(Ok(message)) => return Ok(message),
                 Ok(Err(ConnectionError::Unsent))
                     if error == RequestError::Unsent
-                        && (self.now() >= send_until || self.node.is_log_lost()) =>
+                        && (self.now() >= send_until || self.node.is_log_unreadable()) =>
                 {
                     return Err(error);
                 }
