--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -20,13 +20,14 @@
 /// Timeout of reading the map, which is small. A store that is 60 times slower than usual answers
 /// within 240 ms, and a connection that was opened while it was down hangs.
 const READ_TIMEOUT: Millis = Millis(450);
-/// After their first count of the workers, entries wait for up to this long, each for another time.
+/// After their first count of the workers, entries wait for up to this long, each for a different
+/// time.
 const MAX_START_DELAY: Duration = Duration::from_millis(1_500);
 /// Exponent that makes most of those delays long, so that few entries read the long list of workers
 /// before the first one has written the map.
 const START_DELAY_EXPONENT: f64 = 0.25;
-/// Time between two counts of the workers, which must not differ. Workers register themselves
-/// within 1.5 s of each other.
+/// Time between two counts of the workers. The map is written once two counts in a row are equal:
+/// workers register within 1.5 s of each other, so the count changes until all are there.
 const COUNT_INTERVAL: Millis = Millis(600);
 /// After this many counts the map is written even if the number of workers still changes.
 const MAX_COUNTS: u32 = 8;
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -10,7 +10,8 @@
 const BUCKETS_SECONDS: [f64; 11] =
     [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
 
-/// The metrics of an entry. Gauges show the cell that this entry owns and updated last.
+/// The metrics of an entry. If the entry owns several cells, the gauges about a cell show the one
+/// that was updated last.
 #[derive(Debug)]
 pub(super) struct Metrics {
     registry: registry::Metrics,
@@ -119,7 +120,7 @@
         self.advice_time.observe(seconds(took));
     }
 
-    /// Sets the gauges of the cell that this entry owns.
+    /// Sets the gauges about a cell that this entry owns.
     pub fn set_load(&self, load: &Load) {
         self.open_jobs.set(load.jobs as i64);
         self.runs.set(load.runs as i64);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -115,6 +115,7 @@
         node.serve(stop).await
     }
 
+    /// Starts the listeners and tasks, then runs until the planned stop is done.
     async fn serve(self: Arc<Self>, stop: watch::Receiver<bool>) -> Result<(), NodeError> {
         let front = listen(&self.settings.front).await?;
         let ready = listen(&self.settings.ready).await?;
@@ -183,8 +184,8 @@
         cells.is_some_and(|cells| cells.views.iter().any(|view| view.local_owner().is_some()))
     }
 
-    /// Whether the log cannot be read. Then no entry that is in the same position can claim a cell,
-    /// and waiting for an owner is useless.
+    /// Whether the log cannot be read. Nobody can claim a cell then, so waiting for an owner is
+    /// useless.
     fn is_log_unreadable(&self) -> bool {
         let home = self.cells().and_then(|cells| cells.home().cloned());
         home.is_none_or(|home| !lock(&home.election).is_fresh(self.now()))
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -64,7 +64,8 @@
 /// own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OwnerMessage {
-    /// The message was received; it needs no other answer.
+    /// The message was received; it needs no other answer. Sent with id 0, it accepts the sender of
+    /// [`EntryMessage::Hello`].
     Ack,
     /// Answers a ping: whether the owner accepts new jobs, the load of its cell by service, and how
     /// many other entries the owner knows.
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// The topic in which workers register themselves.
+/// The partition in which workers register themselves.
 const WORKERS_PART: Part<'static> = Part { topic: worker::TOPIC, part: 0 };
 /// Time between two reads of the list of workers. The reads don't wait for the next record: every
-/// worker rewrites its own each 1.5 s, so such a wait would end at once.
+/// worker rewrites its own every 1.5 s, so such a wait would end at once.
 const LIST_READ_INTERVAL: Millis = Millis(400);
 /// Time between two reads of the whole list, which show the workers whose records were removed.
 const FULL_LIST_INTERVAL: Millis = Millis(5_000);
