--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -47,7 +47,7 @@
     waiting: Mutex<HashMap<u64, oneshot::Sender<OwnerMessage>>>,
     next_id: AtomicU64,
     /// When the last frame was received, in milliseconds.
-    heard: AtomicU64,
+    received_at: AtomicU64,
     /// The owner accepts new jobs, by its last answer to a ping.
     accepts_jobs: AtomicBool,
     is_closed: AtomicBool,
@@ -67,7 +67,7 @@
 impl OwnerConnection {
     /// Whether a frame of the owner was received recently.
     pub fn is_live(&self, now: Millis) -> bool {
-        now.since(Millis(self.heard.load(Ordering::Relaxed))) < MAX_SILENCE + self.ping_delay
+        now.since(Millis(self.received_at.load(Ordering::Relaxed))) < MAX_SILENCE + self.ping_delay
     }
 
     /// Whether a frame of the owner was received recently and the owner accepts new jobs. Without
@@ -209,7 +209,7 @@
             frames: sender.clone(),
             waiting: Mutex::default(),
             next_id: AtomicU64::new(0),
-            heard: AtomicU64::new(self.now().0),
+            received_at: AtomicU64::new(self.now().0),
             accepts_jobs: AtomicBool::new(true),
             is_closed: AtomicBool::new(false),
             ping_delay: self.extra_ping_delay(),
@@ -240,7 +240,7 @@
         leader: &Leader,
     ) -> io::Result<()> {
         while let Some(frame) = frames.next::<OwnerMessage>().await? {
-            connection.heard.store(self.now().0, Ordering::Relaxed);
+            connection.received_at.store(self.now().0, Ordering::Relaxed);
             self.set_follows_claims(false);
             match frame {
                 Frame { id: 0, body: OwnerMessage::Ack } => {
@@ -337,10 +337,10 @@
                 .frames
                 .try_send(encode(0, EntryMessage::Ping { log_readable })?)
                 .map_err(io::Error::other)?;
-            let heard = Millis(connection.heard.load(Ordering::Relaxed));
+            let received_at = Millis(connection.received_at.load(Ordering::Relaxed));
             if *follows_claims.borrow()
                 && !self.is_home
-                && self.now().since(heard) >= IDLE_TIMEOUT + connection.ping_delay
+                && self.now().since(received_at) >= IDLE_TIMEOUT + connection.ping_delay
             {
                 return Err(io::Error::other("the owner does not answer pings"));
             }
