--- a/tests/authority.rs
+++ b/tests/authority.rs
@@ -1,18 +1,18 @@
-//! How long an owner may act without the log.
+//! How long an owner may act without access to the log.
 
 use sprucerudder::cell::owner::authority::Authority;
 use sprucerudder::clock::Millis;
 
-fn heard(authority: &mut Authority, now: u64, entries: &[&str], log: bool) {
+fn hear_from(authority: &mut Authority, now: u64, entries: &[&str], log: bool) {
     for entry in entries {
         authority.hear(Millis(now), &(*entry).into(), log);
     }
 }
 
 #[test]
-fn for_a_while_after_a_heartbeat_no_other_owner_can_be() {
+fn no_other_owner_can_exist_for_a_while_after_a_heartbeat() {
     let mut authority = Authority::new(Millis(0));
-    heard(&mut authority, 0, &["b", "c"], true);
+    hear_from(&mut authority, 0, &["b", "c"], true);
     assert!(authority.holds(Millis(1_100)));
     assert!(!authority.holds(Millis(1_300)));
     authority.confirm(Millis(1_250));
@@ -20,28 +20,29 @@
 }
 
 #[test]
-fn while_nobody_reads_the_log_the_owner_goes_on() {
+fn the_owner_continues_while_no_entry_reads_the_log() {
     let mut authority = Authority::new(Millis(0));
-    heard(&mut authority, 5_000, &["b", "c", "d"], false);
+    hear_from(&mut authority, 5_000, &["b", "c", "d"], false);
     assert!(authority.holds(Millis(5_100)));
-    assert!(!authority.holds(Millis(6_000)), "their words are old");
+    assert!(!authority.holds(Millis(6_000)), "their answers are too old");
 }
 
 #[test]
-fn an_owner_behind_a_cut_does_not_count_only_the_entries_on_its_side() {
+fn a_partitioned_owner_does_not_count_only_the_entries_on_its_side() {
     let mut authority = Authority::new(Millis(0));
-    heard(&mut authority, 1_000, &["b", "c", "d", "e", "f", "g"], true);
-    heard(&mut authority, 3_000, &["b"], false);
+    hear_from(&mut authority, 1_000, &["b", "c", "d", "e", "f", "g"], true);
+    hear_from(&mut authority, 3_000, &["b"], false);
     assert!(!authority.holds(Millis(3_100)));
 }
 
 #[test]
-fn a_single_entry_goes_on_alone() {
+fn a_single_entry_continues_alone() {
     assert!(Authority::new(Millis(0)).holds(Millis(10_000)));
 }
 
-/// An owner that the store has failed since 1,000, heard by three entries.
-fn failing() -> Authority {
+/// The authority of an owner whose calls to the store have failed since 1,000, and which is
+/// connected to three entries.
+fn with_failing_store() -> Authority {
     let mut authority = Authority::new(Millis(0));
     for entry in ["b", "c", "d"] {
         authority.join(Millis(0), &entry.into(), 250);
@@ -51,18 +52,18 @@
 }
 
 #[test]
-fn others_are_asked_once_the_store_has_failed_the_owner_for_a_moment() {
-    let mut authority = failing();
-    assert!(!authority.should_probe(Millis(1_050)), "one failure may pass");
+fn peers_are_asked_once_the_owners_calls_to_the_store_keep_failing() {
+    let mut authority = with_failing_store();
+    assert!(!authority.should_probe(Millis(1_050)), "a single failure is not enough");
     assert!(authority.should_probe(Millis(1_200)));
     assert!(!authority.should_probe(Millis(1_250)), "they were just asked");
     authority.confirm(Millis(1_300));
-    assert!(!authority.should_probe(Millis(2_000)), "the store is back");
+    assert!(!authority.should_probe(Millis(2_000)), "the store is available again");
 }
 
 #[test]
-fn an_owner_is_isolated_when_most_others_read_the_log_after_it_failed() {
-    let mut authority = failing();
+fn an_owner_is_isolated_when_most_peers_read_the_log_after_it_failed() {
+    let mut authority = with_failing_store();
     authority.probed(&"b".into(), true);
     authority.probed(&"c".into(), true);
     assert!(!authority.is_isolated(Millis(1_100)), "they were not asked yet");
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -8,51 +8,52 @@
     shares.iter().enumerate().map(choice).collect()
 }
 
-/// A key of which nothing follows.
-fn key(no: u64) -> JobKey {
-    JobKey(no.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+/// A key without any pattern.
+fn key(index: u64) -> JobKey {
+    JobKey(index.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
 #[test]
-fn a_home_with_room_keeps_its_jobs() {
-    assert!((0..100).all(|no| choose(800, &others(&[0, 0]), key(no)).is_none()));
+fn a_home_cell_with_room_keeps_its_jobs() {
+    assert!((0..100).all(|index| choose(800, &others(&[0, 0]), key(index)).is_none()));
 }
 
 #[test]
-fn a_full_home_keeps_jobs_that_would_wait_elsewhere_as_long() {
-    assert!((0..100).all(|no| choose(1_000, &others(&[950, 900]), key(no)).is_none()));
-    assert!((0..100).all(|no| choose(1_000, &[], key(no)).is_none()));
+fn a_full_home_cell_keeps_jobs_that_would_wait_as_long_elsewhere() {
+    assert!((0..100).all(|index| choose(1_000, &others(&[950, 900]), key(index)).is_none()));
+    assert!((0..100).all(|index| choose(1_000, &[], key(index)).is_none()));
 }
 
 #[test]
-fn of_two_others_the_emptier_one_gets_the_jobs_of_a_full_home() {
-    assert!((0..100).all(|no| choose(1_000, &others(&[900, 300]), key(no)) == Some(2)));
+fn the_emptier_of_two_cells_gets_the_jobs_of_a_full_home_cell() {
+    assert!((0..100).all(|index| choose(1_000, &others(&[900, 300]), key(index)) == Some(2)));
 }
 
 #[test]
-fn of_many_others_no_single_one_gets_all() {
+fn jobs_of_a_full_home_cell_are_spread_over_many_cells() {
     let others = others(&[500; 14]);
     let mut counts = [0; 15];
-    for no in 0..1_400 {
-        let cell = choose(1_200, &others, key(no)).unwrap();
+    for index in 0..1_400 {
+        let cell = choose(1_200, &others, key(index)).unwrap();
         counts[cell as usize] += 1;
     }
     assert!(counts[1..].iter().all(|count| (30..300).contains(count)), "{counts:?}");
 }
 
-/// Jobs of very unlike sizes at 81 % of all processors: what finds no room in three cells, summed over
-/// time, in thousandths of a cell's processors, with and without a choice. Each job takes its share for ten seconds.
+/// Jobs of very different sizes at 81 % of the whole CPU capacity: the demand beyond the capacity
+/// of three cells, summed over time in thousandths of a cell's cores, with and without forwarding.
+/// Each job uses its share for ten seconds.
 #[test]
 fn uneven_jobs_fill_the_cells_evenly() {
-    let waits = |moves: bool| {
+    let overflow = |moves: bool| {
         let mut cells = [Vec::new(), Vec::new(), Vec::new()];
-        let mut waits = 0;
-        for no in 0..3_000_u64 {
+        let mut overflow = 0;
+        for index in 0..3_000_u64 {
             for cell in &mut cells {
-                cell.retain(|(end, _): &(u64, u32)| *end > no);
+                cell.retain(|(end, _): &(u64, u32)| *end > index);
             }
             let share = |cell: &Vec<(u64, u32)>| cell.iter().map(|(_, size)| size).sum::<u32>();
-            let key = key(no);
+            let key = key(index);
             let home = (key.0 % 3) as usize;
             let others: Vec<Choice> = (0..3)
                 .filter(|cell| *cell != home)
@@ -61,11 +62,11 @@
             let to = choose(share(&cells[home]), &others, JobKey(key.0 >> 7)).filter(|_| moves);
             // One job in ten is as large as all others together.
             let size = if key.0 >> 32 & 0xff < 25 { 128 } else { 13 };
-            cells[to.map_or(home, |cell| cell as usize)].push((no + 100, size));
-            waits += cells.iter().map(|cell| share(cell).saturating_sub(1_000)).sum::<u32>();
+            cells[to.map_or(home, |cell| cell as usize)].push((index + 100, size));
+            overflow += cells.iter().map(|cell| share(cell).saturating_sub(1_000)).sum::<u32>();
         }
-        waits
+        overflow
     };
-    let (fixed, moved) = (waits(false), waits(true));
+    let (fixed, moved) = (overflow(false), overflow(true));
     assert!(moved * 5 <= fixed, "{moved} against {fixed}");
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,4 +1,4 @@
-//! Who claims the cell, and when.
+//! When an entry claims the cell.
 
 use sprucerudder::cell::owner::authority::Authority;
 use sprucerudder::cell::owner::election::{Election, Record, SILENCE};
@@ -13,7 +13,7 @@
     EntryId { name: name.into(), inc: 1 }
 }
 
-/// An entry that has read a claim and a heartbeat of an owner that hears from a large entry.
+/// An entry that has read a claim and a heartbeat of an owner, which hears from a large entry.
 fn follower(name: &str, cpu: u32) -> Election {
     let mut election = Election::new(entry(name), cpu, Millis(0));
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
@@ -24,10 +24,10 @@
     election
 }
 
-/// When an entry claims, looking every 10 ms and reading the log all the time.
-fn claims_at(election: &mut Election) -> u64 {
-    let looks = (0..1_000).map(|no| 10 + no * 10);
-    let mut claims = looks.filter(|at| {
+/// The time of an entry's first claim, if it checks every 10 ms and can always read the log.
+fn first_claim(election: &mut Election) -> u64 {
+    let times = (0..1_000).map(|index| 10 + index * 10);
+    let mut claims = times.filter(|at| {
         election.caught_up(Millis(*at));
         election.claim(Millis(*at)).is_some()
     });
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn a_large_entry_claims_at_once_and_a_small_one_leaves_it_time() {
-    let large = claims_at(&mut follower("large", LARGE));
-    let small = claims_at(&mut follower("small", SMALL));
+fn a_large_entry_claims_at_once_and_a_small_one_later() {
+    let large = first_claim(&mut follower("large", LARGE));
+    let small = first_claim(&mut follower("small", SMALL));
     assert!(large <= 2 + SILENCE.0 + 10, "{large}");
     assert!(small >= large + 200, "{small} after {large}");
     assert!(small <= large + 400, "{small} after {large}");
@@ -48,14 +48,14 @@
     let mut election = follower("one", SMALL);
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
     election.add(Millis(3), 2, Record::Beat { epoch: 1, owner, addr, most: SMALL });
-    assert!(claims_at(&mut election) <= 3 + SILENCE.0 + 10);
+    assert!(first_claim(&mut election) <= 3 + SILENCE.0 + 10);
 }
 
 #[test]
-fn without_a_first_owner_the_large_ones_go_first() {
+fn without_an_owner_the_large_entries_claim_first() {
     let mut large = Election::new(entry("large"), LARGE, Millis(0));
     let mut small = Election::new(entry("small"), SMALL, Millis(0));
-    assert!(claims_at(&mut large) + 200 <= claims_at(&mut small));
+    assert!(first_claim(&mut large) + 200 <= first_claim(&mut small));
 }
 
 #[test]
@@ -66,17 +66,17 @@
     assert_eq!(election.claim(Millis(late)), None);
     let record = Record::Claim { owner: entry("large"), addr: "1.2.3.4:6".into() };
     election.add(Millis(late + 1), 2, record);
-    assert!(claims_at(&mut election) >= late + SILENCE.0);
+    assert!(first_claim(&mut election) >= late + SILENCE.0);
 }
 
 #[test]
-fn only_an_entry_that_was_heard_for_a_while_and_reads_the_log_counts_as_larger() {
+fn only_an_entry_heard_for_a_while_that_reads_the_log_counts_as_larger() {
     let (mut authority, name) = (Authority::new(Millis(0)), "large".into());
     authority.join(Millis(100), &name, LARGE);
-    assert_eq!(authority.largest(Millis(200)), 0, "it has just come");
+    assert_eq!(authority.largest(Millis(200)), 0, "it has just connected");
     authority.hear(Millis(1_900), &name, true);
     assert_eq!(authority.largest(Millis(2_000)), LARGE);
-    assert_eq!(authority.largest(Millis(2_900)), 0, "it was not heard lately");
+    assert_eq!(authority.largest(Millis(2_900)), 0, "it has not been heard lately");
     authority.hear(Millis(3_000), &name, false);
     assert_eq!(authority.largest(Millis(3_010)), 0, "it cannot read the log");
 }
@@ -89,44 +89,45 @@
     election.add(Millis(1), 0, Record::Claim { owner: owner.clone(), addr });
     let beat = Record::Beat { epoch: 1, owner, addr: "1.2.3.4:5".into(), most: LARGE };
     election.add(Millis(2), 1, beat);
-    assert_eq!(claims_at(&mut election), 10);
+    assert_eq!(first_claim(&mut election), 10);
 }
 
 #[test]
-fn after_a_gap_a_living_owner_has_the_time_to_be_heard_and_no_more() {
+fn after_a_gap_in_the_log_a_claim_waits_only_until_a_live_owner_would_be_heard() {
     let mut election = follower("large", LARGE);
     let back = 5_000;
-    let looks = (0..300).map(|no| back + no * 10);
-    let mut claims = looks.filter(|at| {
+    let times = (0..300).map(|index| back + index * 10);
+    let mut claims = times.filter(|at| {
         election.caught_up(Millis(*at));
         election.claim(Millis(*at)).is_some()
     });
     let claimed = claims.next().unwrap_or(u64::MAX) - back;
-    assert!((800..900).contains(&claimed), "{claimed} ms after the log was back");
+    assert!((800..900).contains(&claimed), "{claimed} ms after the log became readable");
 }
 
-const TICK: Millis = Millis(100);
+const TICK_INTERVAL: Millis = Millis(100);
 
-/// Ticks that come `late` after they are due, from `from` on for two seconds.
-fn ticks(lag: &mut Lag, from: u64, late: u64) -> u64 {
+/// Runs ticks that come `late` milliseconds after they are due, for two seconds from `from` on;
+/// returns the time then.
+fn tick_late(lag: &mut Lag, from: u64, late: u64) -> u64 {
     let mut now = from;
     while now < from + 2_000 {
-        now += TICK.0 + late;
-        lag.tick(Millis(now), TICK);
+        now += TICK_INTERVAL.0 + late;
+        lag.tick(Millis(now), TICK_INTERVAL);
     }
     now
 }
 
 #[test]
-fn an_owner_that_does_not_keep_up_gives_the_cell_up_and_not_at_once() {
+fn an_overloaded_owner_hands_the_cell_over_but_not_at_once() {
     let mut lag = Lag::new(Millis(0));
-    let early = ticks(&mut lag, 0, 400);
+    let early = tick_late(&mut lag, 0, 400);
     assert!(!lag.is_heavy(Millis(early)), "it has just taken the cell over");
-    let steady = ticks(&mut lag, 10_000, 1);
+    let steady = tick_late(&mut lag, 10_000, 1);
     assert!(!lag.is_heavy(Millis(steady)), "it keeps up");
-    lag.tick(Millis(steady + 20_000), TICK);
+    lag.tick(Millis(steady + 20_000), TICK_INTERVAL);
     assert!(!lag.is_heavy(Millis(steady + 20_000)), "a single pause is over");
-    let slow = ticks(&mut lag, steady + 20_000, 400);
+    let slow = tick_late(&mut lag, steady + 20_000, 400);
     assert!(lag.is_heavy(Millis(slow)));
 }
 
@@ -135,61 +136,62 @@
     let mut election = follower("slow", LARGE);
     election.add(Millis(10), 2, Record::Release { epoch: 1 });
     election.back_off(Millis(3_000));
-    let claimed = claims_at(&mut election);
+    let claimed = first_claim(&mut election);
     assert!((3_000..3_100).contains(&claimed), "{claimed}");
 }
 
 #[test]
-fn an_owner_that_does_not_keep_up_turns_new_jobs_away_and_takes_them_again_once_it_does() {
-    const TICK: Millis = Millis(100);
+fn an_overloaded_owner_rejects_new_jobs_until_it_has_recovered() {
+    const TICK_INTERVAL: Millis = Millis(100);
     let mut lag = Lag::new(Millis(0));
     let mut now = 0;
     let mut run = |lag: &mut Lag, ticks: u64, late: u64| {
         (0..ticks).find(|_| {
             let before = lag.sheds();
-            now += TICK.0 + late;
-            lag.tick(Millis(now), TICK);
+            now += TICK_INTERVAL.0 + late;
+            lag.tick(Millis(now), TICK_INTERVAL);
             lag.sheds() != before
         })
     };
-    // A processor that keeps up, also with a pause of a second.
+    // The owner keeps up, also with a pause of a second.
     assert_eq!(run(&mut lag, 50, 1), None);
     assert_eq!(run(&mut lag, 1, 1_000), None);
     assert_eq!(run(&mut lag, 50, 1), None);
-    // Three times the load that it holds: each tick waits for what came before it.
-    let begins = run(&mut lag, 100, 300).expect("new jobs are turned away");
-    assert!(begins < 15, "after {begins} ticks");
-    assert_eq!(run(&mut lag, 100, 300), None, "as long as the load lasts");
-    let ends = run(&mut lag, 100, 1).expect("new jobs are taken again");
-    assert!((5..30).contains(&ends), "after {ends} ticks");
+    // Three times the load that it can handle: each tick waits for the work before it.
+    let first_shed = run(&mut lag, 100, 300).expect("new jobs are rejected");
+    assert!(first_shed < 15, "after {first_shed} ticks");
+    assert_eq!(run(&mut lag, 100, 300), None, "new jobs are rejected as long as the load lasts");
+    let recovered = run(&mut lag, 100, 1).expect("new jobs are accepted again");
+    assert!((5..30).contains(&recovered), "after {recovered} ticks");
 }
 
 #[test]
-fn a_cell_is_not_handed_on_again_by_an_owner_that_got_it_for_that_reason() {
+fn an_owner_that_got_a_cell_for_overload_does_not_hand_it_over_again() {
     let mut election = follower("one", SMALL);
     assert!(election.may_hand_over(Millis(10)));
     election.add(Millis(100), 2, Record::Overloaded { epoch: 1 });
-    assert!(election.is_vacant(), "it is free at once");
+    assert!(election.is_vacant(), "it is vacant at once");
     let (owner, addr) = (entry("one"), "1.2.3.5:5".into());
     election.add(Millis(200), 3, Record::Claim { owner, addr });
     assert!(!election.is_vacant());
-    assert!(!election.may_hand_over(Millis(20_000)), "the load is what is too much");
+    assert!(!election.may_hand_over(Millis(20_000)), "the load is too high for any owner");
     assert!(election.may_hand_over(Millis(40_000)));
 }
 
-/// An owner on a small machine gave up reports that lay unread there after 1 s, and opened a connection for
-/// each: 32,585 in 48 s, which left it less time for the reports.
+/// An owner on a small VM gave up calls after 1 s although the reports had arrived and lay unread,
+/// and opened a new connection for each of them: 32,585 in 48 s, which left it less time for the
+/// reports.
 #[test]
-fn an_owner_that_does_not_keep_up_waits_longer_for_workers_until_it_does() {
+fn an_overloaded_owner_waits_longer_for_workers_until_it_has_recovered() {
     let mut lag = Lag::new(Millis(0));
-    let calm = lag.timeouts();
-    let steady = ticks(&mut lag, 0, 1);
-    assert_eq!(lag.timeouts(), calm, "it keeps up");
-    lag.tick(Millis(steady + 1_000), TICK);
-    assert_eq!(lag.timeouts(), calm, "a single pause");
-    let slow = ticks(&mut lag, steady + 1_000, 400);
+    let usual = lag.timeouts();
+    let steady = tick_late(&mut lag, 0, 1);
+    assert_eq!(lag.timeouts(), usual, "it keeps up");
+    lag.tick(Millis(steady + 1_000), TICK_INTERVAL);
+    assert_eq!(lag.timeouts(), usual, "a single pause");
+    let slow = tick_late(&mut lag, steady + 1_000, 400);
     let late = lag.timeouts();
-    assert!(late.report > calm.report && late.order > calm.order && late.pause > calm.pause);
-    ticks(&mut lag, slow, 1);
-    assert_eq!(lag.timeouts(), calm, "it keeps up again");
+    assert!(late.report > usual.report && late.order > usual.order && late.pause > usual.pause);
+    tick_late(&mut lag, slow, 1);
+    assert_eq!(lag.timeouts(), usual, "it keeps up again");
 }
--- a/tests/map.rs
+++ b/tests/map.rs
@@ -1,4 +1,4 @@
-//! How workers and jobs are dealt to cells.
+//! How workers and jobs are assigned to cells.
 
 use proptest::prelude::*;
 use sprucerudder::cell::owner::map::{CELL_WORKERS, CellMap};
@@ -7,24 +7,27 @@
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 
-const RACK: usize = 8;
+const RACK_SIZE: usize = 8;
 
-fn worker(no: usize, domains: usize, service: &str) -> Listed {
-    let domain = no % domains;
+fn worker(index: usize, domains: usize, service: &str) -> Listed {
+    let domain = index % domains;
     Listed {
-        id: format!("i-{service}-{no}").into(),
+        id: format!("i-{service}-{index}").into(),
         born: None,
         service: service.into(),
-        addr: format!("10.0.0.1:{no}").into(),
+        addr: format!("10.0.0.1:{index}").into(),
         domain: format!("d{domain}").into(),
         room: Room { cpu: 16_000, mem: 32_768, gpu: 0 },
-        labels: vec!["a".into(), format!("r-{service}-{domain}-{}", no / domains / RACK).into()],
+        labels: vec![
+            "a".into(),
+            format!("r-{service}-{domain}-{}", index / domains / RACK_SIZE).into(),
+        ],
         leaving: None,
     }
 }
 
 fn fleet(count: usize, service: &str) -> Vec<Listed> {
-    (0..count).map(|no| worker(no, 5, service)).collect()
+    (0..count).map(|index| worker(index, 5, service)).collect()
 }
 
 fn sizes(map: &CellMap, workers: &[Listed]) -> HashMap<u32, usize> {
@@ -49,10 +52,10 @@
         let map = CellMap::new(&workers, CELL_WORKERS);
         let sizes = sizes(&map, &workers);
         assert_eq!(sizes.len() as u32, map.cells());
-        let (least, most) = (sizes.values().min().unwrap(), sizes.values().max().unwrap());
-        assert!(least + 2 * RACK >= CELL_WORKERS.get(), "{count}: {least}");
-        assert!(*most < 2 * CELL_WORKERS.get(), "{count}: {most}");
-        assert!(least * 10 >= most * 8, "{count}: {least} to {most}");
+        let (smallest, largest) = (sizes.values().min().unwrap(), sizes.values().max().unwrap());
+        assert!(smallest + 2 * RACK_SIZE >= CELL_WORKERS.get(), "{count}: {smallest}");
+        assert!(*largest < 2 * CELL_WORKERS.get(), "{count}: {largest}");
+        assert!(smallest * 10 >= largest * 8, "{count}: {smallest} to {largest}");
     }
 }
 
@@ -65,7 +68,7 @@
             workers.iter().filter(|worker| *worker.service == *service).cloned().collect();
         for (cell, size) in sizes(&map, &of_service) {
             let share = count / map.cells() as usize;
-            assert!(size + 2 * RACK >= share, "{service} in cell {cell}: {size} of {share}");
+            assert!(size + 2 * RACK_SIZE >= share, "{service} in cell {cell}: {size} of {share}");
         }
     }
 }
@@ -74,7 +77,7 @@
 fn jobs_spread_evenly_and_stay_where_they_are() {
     let map = CellMap::new(&fleet(3_000, "s"), CELL_WORKERS);
     let mut counts: HashMap<u32, u64> = HashMap::new();
-    for job in (0..30_000).map(|no| JobKey(no * 0x9e37_79b9)) {
+    for job in (0..30_000).map(|index| JobKey(index * 0x9e37_79b9)) {
         assert_eq!(map.of_job(job), map.of_job(job));
         *counts.entry(map.of_job(job)).or_default() += 1;
     }
@@ -84,18 +87,19 @@
 }
 
 proptest! {
-    /// A worker that comes later, or back under another id, has a cell, and its rack decides which.
+    /// A worker that joins later, or restarts with another id, has a cell that only its rack
+    /// decides.
     #[test]
     fn a_rack_is_never_split(count in 5_usize..900, size in 1_usize..300, later in 0_usize..2_000) {
         let size = NonZeroUsize::new(size).unwrap();
         let map = CellMap::new(&fleet(count, "s"), size);
         let one = worker(later, 5, "s");
-        let reborn = Listed { id: "i-new".into(), addr: "10.0.0.2:1".into(), ..one.clone() };
+        let restarted = Listed { id: "i-new".into(), addr: "10.0.0.2:1".into(), ..one.clone() };
         prop_assert!(map.of_worker(&one) < map.cells());
-        prop_assert_eq!(map.of_worker(&one), map.of_worker(&reborn));
+        prop_assert_eq!(map.of_worker(&one), map.of_worker(&restarted));
     }
 
-    /// Every entry comes to the same result from what the store holds.
+    /// Every entry computes the same map from what the store holds.
     #[test]
     fn the_map_reads_back_as_it_was_written(count in 1_usize..900) {
         let map = CellMap::new(&fleet(count, "s"), CELL_WORKERS);
@@ -106,13 +110,13 @@
 
 #[test]
 fn no_cell_is_without_workers() {
-    // Three racks of which four cells could be made by the number of workers.
+    // Three racks, where the number of workers would allow four cells.
     let few: Vec<Listed> = (0..8)
-        .map(|no| Listed { labels: vec!["a".into(), "r".into()], ..worker(no, 3, "s") })
+        .map(|index| Listed { labels: vec!["a".into(), "r".into()], ..worker(index, 3, "s") })
         .collect();
     let map = CellMap::new(&few, NonZeroUsize::new(2).unwrap());
     assert_eq!((map.cells(), sizes(&map, &few).len()), (3, 3));
-    // A service of two racks does not keep the others in two cells.
+    // A service with only two racks does not limit the others to two cells.
     let mixed: Vec<Listed> = [fleet(4_000, "core"), fleet(10, "desk")].concat();
     let map = CellMap::new(&mixed, CELL_WORKERS);
     assert_eq!((map.cells(), sizes(&map, &mixed).len()), (10, 10));
