--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Ends the simulation soon after all jobs have ended. The remaining time shows starts that
     /// should not happen.
     pub(super) fn end_when_settled(&mut self) {
         let Some(owner) = self.owners.last() else { return };
         let is_over = |job: &JobKey| matches!(owner.cell.state(*job), Some(State::Closed(_)));
         let mut ending = self.accepted.iter().filter(|job| !self.is_lasting(**job));
-        let all = self.accepted.len() == self.works.len() && ending.all(is_over);
-        if self.now > FAULTS_END_MS && all {
+        let all_over = self.accepted.len() == self.works.len() && ending.all(is_over);
+        if self.now > FAULTS_END_MS && all_over {
             self.run_end = self.run_end.min(self.now + self.settle_time());
         }
     }
@@ -72,11 +72,11 @@
             alive().any(|worker| worker.running.keys().any(|task| task.step.job == step.job));
         let all: u64 = alive().map(|worker| worker.listed.room.cpu).sum();
         let taken: u64 = alive().map(|worker| used(worker).cpu).sum();
-        let twice = charge.plus(&charge);
+        let double = charge.plus(&charge);
         let has_spare_room = |worker: &SimWorker| {
             let is_partitioned = worker.partitioned_until + WAIT_GRACE_MS > self.now;
             let may_run = self.is_cleared(step, &worker.listed.id);
-            !is_partitioned && may_run && worker.listed.room.less(&used(worker)).holds(&twice)
+            !is_partitioned && may_run && worker.listed.room.less(&used(worker)).holds(&double)
         };
         // A gang needs room for all of its tasks at once.
         !spec.gang && !runs && taken * 2 < all && alive().any(has_spare_room)
@@ -122,15 +122,15 @@
         let is_done = self.done.get(&task).copied().unwrap_or(false);
         let failure_count = self.failures.get(&task).map_or(0, Vec::len);
         self.lasting.record_start(task, spec);
-        let faults = [
+        let checks = [
             (overcommitted, "a worker runs more than its capacity"),
             (is_crowded, "more tasks of a step on one worker than allowed"),
             (duplicate && !spec.copies, "a task runs twice at once"),
             (is_early, "a task starts before what it depends on is done"),
             (is_done && !spec.copies, "a task starts again after its end was confirmed"),
         ];
-        for (wrong, what) in faults {
-            if wrong {
+        for (is_violated, what) in checks {
+            if is_violated {
                 self.record_violation(format!("{what}: {task} on {name}"));
             }
         }
@@ -144,11 +144,11 @@
     /// their worker before anybody confirmed them do not count.
     pub(super) fn check_attempts(&mut self) {
         let allowed = self.base_queue.attempts as usize;
-        let wrong = self.excess_starts.iter().find(|(task, failed)| {
+        let excess = self.excess_starts.iter().find(|(task, failed)| {
             let ends = self.failures.get(task).map(Vec::as_slice).unwrap_or_default();
             ends.iter().take(*failed).filter(|(.., confirmed)| *confirmed).count() >= allowed
         });
-        if let Some((task, _)) = wrong.copied() {
+        if let Some((task, _)) = excess.copied() {
             self.record_violation(format!(
                 "a task started more often than its queue allows: {task}"
             ));
--- a/tests/cellworld/faults.rs
+++ b/tests/cellworld/faults.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn resize_worker(&mut self) {
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let name = names[self.pick(names.len() as u64) as usize].clone();
@@ -73,8 +73,8 @@
         let running: Vec<TaskKey> = self.workers[name].running.keys().copied().collect();
         let life = self.workers[name].life();
         for task in running {
-            if let Some(lives) = self.crash_tasks.get_mut(&task) {
-                lives.insert(life.clone());
+            if let Some(incarnations) = self.crash_tasks.get_mut(&task) {
+                incarnations.insert(life.clone());
             }
         }
         let until = self.now + downtime;
@@ -108,7 +108,7 @@
     /// have another capacity.
     pub(super) fn restart_same_id(&mut self, name: &Name) {
         self.id_reuses += 1;
-        let (base, cpu) = (self.pick(3_000_000), 1_200 + self.pick(1_000));
+        let (clock_base, cpu) = (self.pick(3_000_000), 1_200 + self.pick(1_000));
         // The system clock may have been set back.
         let born =
             Millis(1_000_000 * self.restart_count + self.pick(10) + self.now - self.pick(self.now));
@@ -120,7 +120,7 @@
         let until = self.now + CONTACT_MS + HEARTBEAT_MS;
         self.add_worker(name.clone(), 0);
         if let Some(worker) = self.workers.get_mut(name) {
-            (worker.clock_base, worker.clock_drift) = (base, clock_drift);
+            (worker.clock_base, worker.clock_drift) = (clock_base, clock_drift);
             worker.old_rooms.push((until, old.room));
             worker.listed = Listed { born: Some(born), room: room(cpu), ..old };
         }
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -75,7 +75,7 @@
     format!("e{index}").into()
 }
 
-impl World {
+impl Simulation {
     /// Makes every other job long-running. With `keeps_ids`, workers report their start time and
     /// usually keep their id when they restart.
     pub(super) fn add_lasting_jobs(&mut self, keeps_ids: bool) {
@@ -120,8 +120,8 @@
         let mut at = FAULTS_END_MS - 4_000 + self.pick(2_000);
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let worker = names[self.pick(names.len() as u64) as usize].clone();
-        let gone = at + self.pick(1_500);
-        self.schedule_at(gone, Event::ReplaceWorker { worker });
+        let lost_at = at + self.pick(1_500);
+        self.schedule_at(lost_at, Event::ReplaceWorker { worker });
         for _ in 0..2 + self.pick(2) {
             self.schedule_at(at, Event::Elect);
             at += 300 + self.pick(1_700);
@@ -280,7 +280,7 @@
     fn has_candidate(&self, task: TaskKey) -> bool {
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
         let charge = spec.charge();
-        let twice = charge.plus(&charge);
+        let double = charge.plus(&charge);
         let used = |worker: &SimWorker| -> Room {
             worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge))
         };
@@ -289,7 +289,7 @@
             spec.apart == 0 || here < spec.apart as usize
         };
         self.workers.iter().any(|(name, worker)| {
-            let has_room = worker.listed.room.less(&used(worker)).holds(&twice);
+            let has_room = worker.listed.room.less(&used(worker)).holds(&double);
             worker.alive && advice_clears(task.step, name) && has_room && takes(worker)
         })
     }
--- a/tests/cellworld/limits.rs
+++ b/tests/cellworld/limits.rs
@@ -19,7 +19,7 @@
 /// For each workspace, its limits with the times from which they apply.
 pub(super) type LimitHistory = BTreeMap<Name, Vec<(u64, u64)>>;
 
-impl World {
+impl Simulation {
     /// Assigns jobs to workspaces and schedules changes of their limits.
     pub(super) fn add_limits(&mut self) {
         self.has_limits = true;
@@ -51,9 +51,9 @@
             return all;
         }
         for (name, limits) in &self.limits {
-            let now = limits.iter().rfind(|(at, _)| *at <= self.now);
+            let current = limits.iter().rfind(|(at, _)| *at <= self.now);
             let (_, cpu) =
-                now.unwrap_or_else(|| panic!("workspace {name} has no limit at the start"));
+                current.unwrap_or_else(|| panic!("workspace {name} has no limit at the start"));
             let limit = Room { cpu: *cpu, ..Room::UNLIMITED };
             all.add(Workspace { name: name.clone(), weight: 1, limit }, []);
         }
@@ -82,13 +82,13 @@
         let since = self.now.saturating_sub(LIMIT_GRACE_MS);
         // The limit that applied at that time, and all later ones.
         let first = limits.iter().rposition(|(at, _)| *at <= since).unwrap_or(0);
-        let in_force = limits[first..].iter().filter(|(at, _)| *at <= self.now);
-        let most = in_force.map(|(_, limit)| *limit).max();
+        let in_effect = limits[first..].iter().filter(|(at, _)| *at <= self.now);
+        let max_limit = in_effect.map(|(_, limit)| *limit).max();
         let used = self.cpu_in_use(&workspace);
         let wanted = used + spec.room.cpu;
-        if most.is_none_or(|most| wanted > most) && used > 0 {
+        if max_limit.is_none_or(|limit| wanted > limit) && used > 0 {
             self.record_violation(format!(
-                "{task} takes workspace {workspace} to {wanted} of {most:?}"
+                "{task} takes workspace {workspace} to {wanted} of {max_limit:?}"
             ));
         }
         self.peak_cpu = self.peak_cpu.max(wanted);
@@ -98,8 +98,8 @@
     /// to wait.
     pub(super) fn uses_half_limit(&self, job: JobKey) -> bool {
         let Some(workspace) = self.workspace_of(job) else { return false };
-        let now = self.limits[&workspace].iter().rfind(|(at, _)| *at <= self.now);
-        now.is_some_and(|(_, limit)| self.cpu_in_use(&workspace) * 2 >= *limit)
+        let current = self.limits[&workspace].iter().rfind(|(at, _)| *at <= self.now);
+        current.is_some_and(|(_, limit)| self.cpu_in_use(&workspace) * 2 >= *limit)
     }
 
     /// The store rejects a batch for good: its new jobs are withdrawn, and the rest is written
@@ -107,8 +107,8 @@
     pub(super) fn withdraw_jobs(&mut self, owner: usize, batch: &Batch) -> Batch {
         let withdrawn = self.owners[owner].cell.withdraw(batch.no);
         self.withdrawn_jobs += withdrawn.len();
-        let stays = |key: &str| !job_of(key).is_some_and(|(job, _)| withdrawn.contains(&job));
-        let records = batch.records.iter().filter(|(key, _)| stays(key)).cloned().collect();
+        let is_kept = |key: &str| !job_of(key).is_some_and(|(job, _)| withdrawn.contains(&job));
+        let records = batch.records.iter().filter(|(key, _)| is_kept(key)).cloned().collect();
         Batch { no: batch.no, records }
     }
 
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -137,8 +137,8 @@
     /// Extends the lease: it never becomes shorter, and is limited to the longest one that the
     /// contract allows.
     fn renew(&mut self, now: u64, until: u64) {
-        let most = self.clock(now) + MAX_LEASE_MS;
-        self.lease_until = self.lease_until.max(until.min(most));
+        let latest = self.clock(now) + MAX_LEASE_MS;
+        self.lease_until = self.lease_until.max(until.min(latest));
     }
 
     fn report(&self, now: u64) -> Report {
@@ -274,7 +274,7 @@
     ConnectPeers {
         owner: usize,
         /// How many tenths of them connect.
-        part: u64,
+        tenths: u64,
     },
     /// A worker is gone for good, and another one takes its place.
     ReplaceWorker {
@@ -317,7 +317,7 @@
     polled: BTreeSet<Name>,
 }
 
-pub struct World {
+pub struct Simulation {
     rng: Rng,
     disabled: Disabled,
     now: u64,
@@ -386,7 +386,7 @@
     Room { cpu, mem: cpu, gpu: 0 }
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, disabled: Disabled) -> Self {
         let base_queue = Arc::new(Queue {
             name: "q".into(),
@@ -397,7 +397,7 @@
             target: Millis(200),
             advice: None,
         });
-        let mut world = Self {
+        let mut sim = Self {
             rng: Rng::with_seed(seed),
             disabled,
             now: 0,
@@ -442,21 +442,21 @@
             trace: Vec::new(),
         };
         for index in 0..4 {
-            world.add_worker(format!("w{index}").into(), index % 2);
+            sim.add_worker(format!("w{index}").into(), index % 2);
         }
-        world.elect_owner();
+        sim.elect_owner();
         for index in 0..12 {
-            let at = world.pick(FAULTS_END_MS - 1_000);
+            let at = sim.pick(FAULTS_END_MS - 1_000);
             let job = JobKey(index + 1);
-            let work = world.random_work();
-            world.works.insert(job, work);
-            world.schedule_at(at, Event::Submit { job });
+            let work = sim.random_work();
+            sim.works.insert(job, work);
+            sim.schedule_at(at, Event::Submit { job });
         }
-        for _ in 0..world.pick(4) {
-            let at = world.pick(FAULTS_END_MS);
-            world.schedule_at(at, Event::Elect);
+        for _ in 0..sim.pick(4) {
+            let at = sim.pick(FAULTS_END_MS);
+            sim.schedule_at(at, Event::Elect);
         }
-        world
+        sim
     }
 
     fn pick(&mut self, below: u64) -> u64 {
@@ -652,7 +652,7 @@
                 self.answer_advice(owner, &entry, &question, lost);
             }
             Event::Reconnect { owner, entry } => self.reconnect(owner, entry),
-            Event::ConnectPeers { owner, part } => self.connect_peers(owner, part),
+            Event::ConnectPeers { owner, tenths } => self.connect_peers(owner, tenths),
             Event::ReplaceWorker { worker } if self.workers[&worker].alive => {
                 let next = format!("{worker}.x").into();
                 self.replace_worker(&worker, next);
@@ -738,8 +738,8 @@
         let doubt = self.doubts_records();
         if doubt {
             let owner = self.owners.len();
-            for (delay, part) in [(self.pick(300), 8), (500 + self.pick(1_500), 10)] {
-                self.schedule_after(delay, Event::ConnectPeers { owner, part });
+            for (delay, tenths) in [(self.pick(300), 8), (500 + self.pick(1_500), 10)] {
+                self.schedule_after(delay, Event::ConnectPeers { owner, tenths });
             }
         }
         let mut cell = Cell::new(epoch, bounds, queues, snapshot, doubt, Millis(self.now));
@@ -802,8 +802,10 @@
     }
 
     fn has_authority(&self, owner: usize) -> bool {
-        let free = self.disabled == Disabled::LogAuthority;
-        free || self.now - self.owners[owner].confirmed_at < 1_200 || self.relies_on_peers(owner)
+        let is_disabled = self.disabled == Disabled::LogAuthority;
+        is_disabled
+            || self.now - self.owners[owner].confirmed_at < 1_200
+            || self.relies_on_peers(owner)
     }
 
     fn advance_owner(&mut self, owner: usize) {
@@ -882,9 +884,9 @@
         let known = self.workers.get(worker).and_then(|worker| worker.running.get(task));
         let runs = known.is_some_and(|running| running.run == *run && !running.stopping);
         let job = task.step.job;
-        let goes_on = self.owners[owner].cell.state(job) == Some(State::Active);
+        let is_active = self.owners[owner].cell.state(job) == Some(State::Active);
         let gang = self.works[&job].steps[usize::from(task.step.step)].gang;
-        if runs && goes_on && !gang && job.0 % 2 == 1 {
+        if runs && is_active && !gang && job.0 % 2 == 1 {
             self.preemptions += 1;
         }
     }
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn poll_report(&mut self, owner: usize, worker: Name) {
         if self.owners[owner].deposed {
             return;
@@ -57,9 +57,9 @@
             let report = self.workers.get(&name).map(|worker| worker.report(now));
             report.ok_or(HoldError::Refused(Refusal::OtherLife))
         };
-        let busy = matches!(&result, Ok(report) if report.ended.is_empty());
-        let delay = if busy { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
-        if busy {
+        let is_polling = matches!(&result, Ok(report) if report.ended.is_empty());
+        let delay = if is_polling { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
+        if is_polling {
             // The answer is delayed and reports the state at that time.
             let again =
                 Event::ReportCall { owner, worker: name, seen, until: None, sent, lost: false };
@@ -120,9 +120,9 @@
     ) {
         let cell = &self.owners[owner].cell;
         let is_other = life.as_ref().is_some_and(|life| cell.has_restarted(life));
-        let there = self.workers.get(name).map(|worker| worker.listed.life());
+        let current_life = self.workers.get(name).map(|worker| worker.listed.life());
         match action {
-            _ if delivery == Delivery::ArrivesLate && there != life => return,
+            _ if delivery == Delivery::ArrivesLate && current_life != life => return,
             Action::Start { .. }
                 if delivery != Delivery::ArrivesLate && !self.has_authority(owner) =>
             {
--- a/tests/cellworld/outage.rs
+++ b/tests/cellworld/outage.rs
@@ -35,7 +35,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn start_outage(&mut self, length: u64) {
         self.log_event(format!("the store is unavailable for {length} ms"));
         self.outage.count += 1;
@@ -60,12 +60,12 @@
 
     /// `part` tenths of the other entries connect to a new owner and tell it what they know of the
     /// time before.
-    pub(super) fn connect_peers(&mut self, owner: usize, part: u64) {
+    pub(super) fn connect_peers(&mut self, owner: usize, tenths: u64) {
         let mut witnesses = Witnesses::default();
         let is_steady = self.outage.is_steady(self.now);
         let word = Word { is_steady, entries: PEERS as u32 };
         for index in 0..PEERS {
-            if self.pick(10) < part {
+            if self.pick(10) < tenths {
                 witnesses.add(&format!("e{index}").into(), word);
             }
         }
--- a/tests/cellworld/suspended.rs
+++ b/tests/cellworld/suspended.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Suspends all workers of a failure domain, and the owner as well if `with_owner` is set.
     pub(super) fn suspend_domain(&mut self, domain: u64, with_owner: bool) {
         let until = self.now + 100 + self.pick(LEASE_MS + LEASE_MS / 2);
@@ -66,8 +66,9 @@
                     },
                 );
                 // Only a message that was sent and reached the worker is delivered afterwards.
-                let is_there = self.workers.get(&name).map(|there| there.listed.life());
-                if self.can_reach(owner, &name) && self.has_authority(owner) && is_there == life {
+                let current_life = self.workers.get(&name).map(|worker| worker.listed.life());
+                if self.can_reach(owner, &name) && self.has_authority(owner) && current_life == life
+                {
                     self.schedule_at(
                         at,
                         Event::Order { owner, worker: name, life, action, delivery },
--- a/tests/cellworld/worker.rs
+++ b/tests/cellworld/worker.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn start_run(
         &mut self,
         owner: Option<usize>,
