--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -15,6 +15,7 @@
         }
     }
 
+    /// Checks that all accepted jobs with an end have ended.
     pub(super) fn check_all_ended(&mut self) {
         let states: Vec<(JobKey, Option<State>)> = {
             let Some(owner) = self.owners.last() else { return };
--- a/tests/cellworld/faults.rs
+++ b/tests/cellworld/faults.rs
@@ -4,6 +4,7 @@
 use super::*;
 
 impl Simulation {
+    /// Changes the capacity of a random worker.
     pub(super) fn resize_worker(&mut self) {
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let name = names[self.pick(names.len() as u64) as usize].clone();
@@ -24,6 +25,7 @@
         }
     }
 
+    /// A worker crashes because of a task, unless its run has ended meanwhile.
     pub(super) fn crash_under(&mut self, name: &Name, task: TaskKey, run: u64) {
         let Some(worker) = self.workers.get(name).filter(|worker| worker.alive) else { return };
         if worker.running.get(&task).is_none_or(|running| running.run != run) {
@@ -39,7 +41,7 @@
         self.last_disruption = self.last_disruption.max(until);
     }
 
-    /// A worker crashes for no reason of its tasks, and comes back at once or seconds later.
+    /// A worker crashes independently of its tasks, and comes back at once or seconds later.
     pub(super) fn crash_at_random(&mut self, name: &Name) {
         if !self.workers.get(name).is_some_and(|worker| worker.alive) {
             return;
@@ -90,6 +92,7 @@
         self.schedule_after(listed_for, Event::RemoveEntry { worker });
     }
 
+    /// Starts the next incarnation of a crashed worker.
     pub(super) fn restart_worker(&mut self, name: &Name) {
         self.restart_count += 1;
         let old = self.workers[name].listed.clone();
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -1,8 +1,9 @@
 //! Long-running jobs, the advice service that is asked about them, and workers that fail all their
 //! runs.
 //!
-//! By the platform's contract a long-running task is without a run for at most 6 s + 3 s, if the
-//! last 3 s and the 4 s before them were free of faults, however busy the service is.
+//! By the platform's contract a long-running task has a run again within 6 s + 3 s of the end of
+//! its last one, if the last 3 s and the 4 s before them were free of faults, however busy the
+//! service is.
 
 use super::*;
 use sprucerudder::id::hash;
@@ -17,6 +18,7 @@
 const CLEARED_TENTHS: u64 = 6;
 /// The time that a question takes, as on the deployment with the slowest advice service.
 const ADVICE: Advice = Advice { base: Millis(560), each: 8_000, valid: Millis(2_000) };
+/// The number of entries that are connected to an owner.
 const ENTRY_COUNT: usize = 9;
 
 /// State of the searches with long-running jobs.
@@ -139,6 +141,7 @@
         if self.lasting.enabled { 2 * MAX_IDLE_MS } else { SETTLE_MS }
     }
 
+    /// Whether a job is long-running.
     pub(super) fn is_lasting(&self, job: JobKey) -> bool {
         self.lasting.enabled && job.0 % 2 == 0
     }
@@ -152,6 +155,7 @@
         }
     }
 
+    /// Records a fault that lasts until a given time.
     pub(super) fn note_fault(&mut self, until: u64) {
         self.lasting.last_fault = self.lasting.last_fault.max(until);
     }
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -34,25 +34,29 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
 
+/// The lease that owners ask workers for.
 pub const LEASE_MS: u64 = 3_000;
 /// The longest lease that a worker grants.
 pub const MAX_LEASE_MS: u64 = 10_000;
 /// No faults are injected after this time, and every job has to end.
 pub const FAULTS_END_MS: u64 = 12_000;
-/// The time by which every job has to have ended: three steps with three starts of up to 13 s each,
+/// The time by which every job must have ended: three steps with three starts of up to 13 s each,
 /// and a lease.
 pub const DEADLINE_MS: u64 = 180_000;
 /// How long the simulation continues once all jobs have ended: longer than a lease and a delayed
 /// order.
 const SETTLE_MS: u64 = 8_000;
-/// How long a step may wait although a worker has room for it, and how long there must have been no
-/// fault before that, by the platform's contract.
+/// How long a step may wait although a worker has room for it, by the platform's contract.
 const MAX_WAIT_MS: u64 = 3_000;
+/// How long there must have been no fault before that wait, by the platform's contract.
 const WAIT_GRACE_MS: u64 = 4_000;
 /// The longest time that a worker takes to stop a run.
 const MAX_STOP_MS: u64 = 700;
+/// The interval of an owner's ticks.
 const TICK_MS: u64 = 100;
+/// How long a worker that has no new ends may delay its answer to a report call.
 const MAX_POLL_MS: u64 = 400;
+/// How long an owner waits for an answer of a worker.
 const CALL_TIMEOUT_MS: u64 = 300;
 /// How long after the end of its last pause an owner counts as in contact with its workers.
 const CONTACT_MS: u64 = 3_000;
@@ -107,6 +111,7 @@
     running: BTreeMap<TaskKey, Running>,
     ended: Vec<EndedRow>,
     end_count: u64,
+    /// The highest run of each task that was stopped or ended; starts up to it are refused.
     barred: BTreeMap<TaskKey, u64>,
     /// False once it has crashed or is gone for good.
     alive: bool,
@@ -245,7 +250,7 @@
     },
     /// All workers get their original capacity back.
     RestoreRooms,
-    /// A worker crashes for no reason of its tasks.
+    /// A worker crashes independently of its tasks.
     CrashWorker {
         worker: Name,
     },
@@ -330,6 +335,7 @@
     owners: Vec<Owner>,
     /// The store: records by key.
     store: BTreeMap<String, Vec<u8>>,
+    /// The highest epoch of an owner.
     epoch: u64,
     base_queue: Arc<Queue>,
     /// Jobs with odd keys go to a less urgent queue, and workers have less capacity, so that tasks
@@ -360,7 +366,9 @@
     pub withdrawn_jobs: usize,
     restart_count: u64,
     works: BTreeMap<JobKey, Arc<Work>>,
+    /// Jobs whose record the store has had.
     accepted: BTreeSet<JobKey>,
+    /// Tasks that ended successfully, and whether the end was confirmed.
     done: BTreeMap<TaskKey, bool>,
     /// The failures of each task, in order: the worker's incarnation, the number of the end, and
     /// whether it was confirmed.
@@ -379,6 +387,7 @@
     /// State of the searches in which the store becomes unavailable.
     outage: outage::Outage,
     pub violations: Vec<String>,
+    /// The events so far, one line each.
     pub trace: Vec<String>,
 }
 
@@ -459,10 +468,12 @@
         sim
     }
 
+    /// A random number below a bound; 0 if the bound is 0.
     fn pick(&mut self, below: u64) -> u64 {
         self.rng.u64(0..below.max(1))
     }
 
+    /// Whether a fault happens: true in `percent` of all cases, never after the last fault.
     fn chance(&mut self, percent: u64) -> bool {
         self.now < FAULTS_END_MS && self.pick(100) < percent
     }
@@ -801,6 +812,7 @@
         self.owners[owner].deposed = true;
     }
 
+    /// Whether an owner may send orders and renew leases.
     fn has_authority(&self, owner: usize) -> bool {
         let is_disabled = self.disabled == Disabled::LogAuthority;
         is_disabled
@@ -808,6 +820,8 @@
             || self.relies_on_peers(owner)
     }
 
+    /// Lets an owner schedule, executes its actions, and starts a write if there is something to
+    /// write.
     fn advance_owner(&mut self, owner: usize) {
         if self.owners[owner].deposed {
             return;
@@ -860,6 +874,7 @@
         }
     }
 
+    /// Writes a batch to the store, which refuses it if there is a newer owner.
     fn append(&mut self, owner: usize, batch: &Batch) {
         let is_newest = owner + 1 == self.owners.len();
         if !is_newest && self.disabled != Disabled::StoreFencing {
@@ -891,6 +906,7 @@
         }
     }
 
+    /// Submits a job to the newest owner.
     fn submit(&mut self, job: JobKey) {
         let owner = self.owners.len() - 1;
         let usable = self.owners[owner].alive && self.owners[owner].paused_until <= self.now;
@@ -911,6 +927,7 @@
     }
 }
 
+/// The owner that handles an event, which is delayed while it is paused and dropped if it has died.
 fn handling_owner(event: &Event) -> Option<usize> {
     match event {
         Event::Tick { owner }
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Simulation {
+    /// An owner calls a worker for a report.
     pub(super) fn poll_report(&mut self, owner: usize, worker: Name) {
         if self.owners[owner].deposed {
             return;
@@ -20,6 +21,7 @@
         self.schedule_after(delay, event);
     }
 
+    /// Whether messages of an owner reach a worker.
     pub(super) fn can_reach(&self, owner: usize, worker: &Name) -> bool {
         let worker = self.workers.get(worker);
         worker.is_some_and(|worker| {
@@ -29,6 +31,7 @@
         })
     }
 
+    /// A report call reaches its worker, or is lost.
     pub(super) fn deliver_report_call(
         &mut self,
         owner: usize,
@@ -97,6 +100,7 @@
         self.check_attempts();
     }
 
+    /// Answers a report call with the state after `delay` milliseconds.
     pub(super) fn answer_delayed(&mut self, delay: u64, again: Event) {
         let Event::ReportCall { owner, worker: name, sent, .. } = again else { return };
         self.now += delay;
@@ -181,6 +185,7 @@
         );
     }
 
+    /// Picks what happens to an order on its way.
     pub(super) fn pick_delivery(&mut self) -> Delivery {
         match self.chance(8) {
             false => Delivery::Answered,
--- a/tests/cellworld/outage.rs
+++ b/tests/cellworld/outage.rs
@@ -58,8 +58,8 @@
         doubt && self.disabled != Disabled::UnrecordedStarts
     }
 
-    /// `part` tenths of the other entries connect to a new owner and tell it what they know of the
-    /// time before.
+    /// On average, `tenths` in ten of the other entries connect to a new owner and tell it what they
+    /// know of the time before.
     pub(super) fn connect_peers(&mut self, owner: usize, tenths: u64) {
         let mut witnesses = Witnesses::default();
         let is_steady = self.outage.is_steady(self.now);
