--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -168,7 +168,7 @@
         let workers = &self.workers;
         let since = step.clearances.asked_at;
         let is_same =
-            |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted <= since);
+            |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted_at <= since);
         log::info!("event=advised step={key} named={} cleared={}", named.len(), cleared.rows.len());
         let advised = &mut step.clearances;
         advised.is_asking = false;
--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -98,8 +98,9 @@
             return;
         }
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
-        let is_next =
-            |other: &Worker| other.heard && other.listed.addr == addr && other.listed.id != *name;
+        let is_next = |other: &Worker| {
+            other.is_reachable && other.listed.addr == addr && other.listed.id != *name
+        };
         let is_confirmed = is_confirmed || self.workers.values().any(is_next);
         self.counts.crashed += u64::from(is_confirmed);
         for SentRun { task, since, evidence, has_started } in sent {
@@ -122,7 +123,9 @@
         name: &Name,
         task: TaskKey,
     ) {
-        let Some(worker) = self.workers.get(name).filter(|worker| !worker.heard) else { return };
+        let Some(worker) = self.workers.get(name).filter(|worker| !worker.is_reachable) else {
+            return;
+        };
         let Some(run) = sent_runs(worker).into_iter().find(|run| run.task == task) else { return };
         if worker.listed.leaving.is_some() {
             return;
@@ -243,7 +246,7 @@
             let mut runs = worker.runs.range((task, 0)..=(task, u64::MAX));
             runs.any(|((_, other), _)| *other != run)
         };
-        let mut silent = self.workers.values().filter(|worker| !worker.heard);
+        let mut silent = self.workers.values().filter(|worker| !worker.is_reachable);
         !self.task_crashes(task).is_empty() || silent.any(is_other)
     }
 
@@ -274,7 +277,7 @@
         }
         if let Some(worker) = self.workers.get_mut(name) {
             log::info!("event=quarantined task={task} worker={name}");
-            worker.quarantine = Some(task.step.job);
+            worker.quarantined_for = Some(task.step.job);
         }
     }
 }
@@ -292,19 +295,19 @@
 /// What was sent to this life of a worker. What was sent to the life before counted then: given on from life to life it
 /// would count each time.
 fn sent_runs(worker: &Worker) -> Vec<SentRun> {
-    let counts = |(_, run): &(&(TaskKey, u64), &Run)| run.is_sent && !run.is_barred;
+    let counts = |(_, run): &(&(TaskKey, u64), &Run)| run.is_sent && !run.is_stale;
     let sent = || worker.runs.iter().filter(counts);
     let jobs: BTreeSet<JobKey> = sent().map(|((task, _), _)| task.step.job).collect();
     let evidence = |run: &Run| match () {
-        () if !worker.is_settled(run.since) => Evidence::Doubtful,
+        () if !worker.is_stable(run.known_since) => Evidence::Doubtful,
         () if jobs.len() == 1 => Evidence::Alone,
         () => Evidence::Shared,
     };
     let row = |((task, _), run): (&(TaskKey, u64), &Run)| SentRun {
         task: *task,
-        since: run.since,
+        since: run.known_since,
         evidence: evidence(run),
-        has_started: run.seen,
+        has_started: run.has_started,
     };
     sent().map(row).collect()
 }
@@ -327,6 +330,6 @@
 impl Worker {
     /// The job that the worker is left to, while anything of it is there.
     pub(in crate::cell) fn quarantined_job(&self) -> Option<JobKey> {
-        self.quarantine.filter(|job| self.runs.keys().any(|(task, _)| task.step.job == *job))
+        self.quarantined_for.filter(|job| self.runs.keys().any(|(task, _)| task.step.job == *job))
     }
 }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::jobs::job::{Job, TaskStatus};
 use crate::cell::records::journal::{Fate, JobRecord, Member, Progress, Snapshot};
-use crate::cell::workers::roster::ENDED_KEEP;
+use crate::cell::workers::roster::ENDED_INCARNATION_RETENTION;
 use crate::cell::workers::worker::{Phase, Run, Worker};
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
@@ -29,7 +29,7 @@
             let lease = if born.is_some() { self.bounds.lease_max } else { self.bounds.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
             let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
-            worker.present = false;
+            worker.is_listed = false;
             self.actions.push(Action::Watch(worker.listed.clone()));
             self.workers.insert(worker.listed.id.clone(), worker);
         }
@@ -93,11 +93,11 @@
                 }
                 step.place(task.index, name.clone(), *no);
                 // The first report has to name it, or it is over.
-                let mut run = Run::bound(*no, &spec, Phase::Running(Millis(0)));
-                run.held = owner.as_ref().map(|owner| self.usages.hold(owner, spec.room));
+                let mut run = Run::new(*no, &spec, Phase::Running(Millis(0)));
+                run.usage_guard = owner.as_ref().map(|owner| self.usages.hold(owner, spec.room));
                 // It may have been sent.
-                (run.is_sent, run.since) = (true, now);
-                worker.add(TaskKey { step: step_key, index: task.index }, run);
+                (run.is_sent, run.known_since) = (true, now);
+                worker.add_run(TaskKey { step: step_key, index: task.index }, run);
             }
         }
     }
@@ -232,7 +232,7 @@
         }
         for (worker, task, run) in job.placed_runs(key) {
             if let Some(worker) = self.workers.get_mut(&worker) {
-                worker.remove(task, run);
+                worker.remove_run(task, run);
             }
         }
         self.changed = true;
@@ -246,14 +246,14 @@
             return;
         }
         known.phase = Phase::Stopping(None);
-        known.told = true;
+        known.stop_pending = true;
         self.actions.push(Action::Stop { worker: name.clone(), task, run });
     }
 
     /// A run is over, or never was, and it is not done: its task needs a worker again.
     pub(in crate::cell) fn abandon_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.remove(task, run);
+            worker.remove_run(task, run);
             self.changed = true;
         }
         self.requeue_task(task, run);
@@ -307,14 +307,14 @@
             self.timers.pop_first();
             self.open_step(now, step);
         }
-        self.stop_again();
+        self.resend_stops();
         if !self.is_late {
             self.expire_leases(now);
         }
         self.check_unknown_runs(now);
         self.expire_unconfirmed(now);
         self.note_settled(now);
-        self.ended_lives.retain(|_, since| now.since(*since) < ENDED_KEEP);
+        self.ended_lives.retain(|_, since| now.since(*since) < ENDED_INCARNATION_RETENTION);
         self.forget_closed_jobs(now);
         if self.reserved.expire(now) {
             self.changed = true;
@@ -326,7 +326,7 @@
     /// used is known, or its leases are over.
     fn check_unknown_runs(&mut self, now: Millis) {
         let Some(doubt) = self.doubt.as_mut() else { return };
-        let is_unknown = |worker: &&Worker| !worker.known && now < worker.lease_end;
+        let is_unknown = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_unknown);
         if let Some(first) = unknown.next() {
             let left = first.lease_end - now;
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -246,7 +246,7 @@
         log::info!("event=beliefs-too-old epoch={} workers={}", self.epoch, self.workers.len());
         self.is_stale = true;
         for (name, worker) in &mut self.workers {
-            worker.doubt(now);
+            worker.mark_unanswered(now);
             self.actions.push(Action::Look(name.clone()));
         }
         self.withhold_starts("pause");
@@ -393,7 +393,7 @@
     pub fn load(&self) -> Load {
         let runs = self.workers.values().map(|worker| worker.runs.len()).sum();
         let open = self.jobs.values().filter(|job| job.is_open()).count();
-        let heard = self.workers.values().filter(|worker| worker.heard).count();
+        let heard = self.workers.values().filter(|worker| worker.is_reachable).count();
         Load {
             jobs: open,
             runs,
--- a/src/cell/owner/forward.rs
+++ b/src/cell/owner/forward.rs
@@ -44,7 +44,7 @@
     /// wait for.
     pub fn loads(&self) -> Vec<Load> {
         let mut services: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
-        for worker in self.workers.values().filter(|worker| worker.is_open(self.kept)) {
+        for worker in self.workers.values().filter(|worker| worker.accepts_tasks(self.kept)) {
             let (taken, all) = services.entry(&worker.listed.service).or_default();
             *taken += worker.used.cpu.min(worker.listed.room.cpu);
             *all += worker.listed.room.cpu;
--- a/src/cell/placing/place.rs
+++ b/src/cell/placing/place.rs
@@ -63,9 +63,9 @@
             excess: worker.used.less(&worker.listed.room),
             runs: 0,
             busy: worker.runs.len(),
-            is_sound: worker.is_sound(),
-            is_settled: worker.is_settled(now),
-            serves: worker.runs.values().any(|run| run.tail.0 > 0),
+            is_sound: worker.is_healthy(),
+            is_settled: worker.is_stable(now),
+            serves: worker.runs.values().any(|run| run.tail_limit.0 > 0),
             is_kept: false,
         }
     }
--- a/src/cell/placing/pressure.rs
+++ b/src/cell/placing/pressure.rs
@@ -54,7 +54,7 @@
 
     /// What of a service's room is in use, and all of it.
     fn usage_of(&self, service: &Name) -> (Room, Room) {
-        let heard = self.workers.values().filter(|worker| worker.heard);
+        let heard = self.workers.values().filter(|worker| worker.is_reachable);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
         let none = (Room::default(), Room::default());
         of_service.fold(none, |(used, all), worker| {
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -149,9 +149,10 @@
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let pressure = self.pressure(now, job, key);
         let aside = |worker: &Worker| {
-            pressure == Pressure::None && ((minds && worker.is_aside(now)) || is_quarantine(worker))
+            pressure == Pressure::None
+                && ((minds && worker.is_excluded(now)) || is_quarantine(worker))
         };
-        let open = workers.filter(|(_, worker)| worker.is_open(self.kept) && !aside(worker));
+        let open = workers.filter(|(_, worker)| worker.accepts_tasks(self.kept) && !aside(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let fit = |(name, worker)| {
             let fit = Fit::new(now, name, worker);
@@ -256,12 +257,12 @@
     fn bind(&mut self, now: Millis, task: TaskKey, name: &Name, no: u64, spec: &Step, saved: &str) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut run = Run::bound(no, spec, Phase::Starting);
-        run.since = now;
-        run.held = job.workspace.as_ref().map(|owner| self.usages.hold(owner, spec.room));
+        let mut run = Run::new(no, spec, Phase::Starting);
+        run.known_since = now;
+        run.usage_guard = job.workspace.as_ref().map(|owner| self.usages.hold(owner, spec.room));
         let times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
-        run.limit = times.and_then(|times| times.limit(spec.estimate));
-        worker.add(task, run);
+        run.late_after = times.and_then(|times| times.late_after(spec.estimate));
+        worker.add_run(task, run);
         let age = now.since(job.known_since);
         job.was_placed = true;
         let text = job.work.spec.clone();
@@ -305,17 +306,17 @@
             if run.is_none_or(|run| run.phase != Phase::Starting) {
                 continue;
             }
-            if worker.is_other(worker.listed.born) {
+            if worker.is_other_incarnation(worker.listed.born) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
             }
-            if worker.is_overfull() {
+            if worker.is_overcommitted() {
                 log::info!("event=room-shrank task={} worker={name}", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
             }
-            let Some(until) = worker.lease(now, lease) else {
+            let Some(until) = worker.renew_lease(now, lease) else {
                 log::info!("event=start-given-up task={} worker={name} why=no-clock", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
--- a/src/cell/placing/settled.rs
+++ b/src/cell/placing/settled.rs
@@ -22,7 +22,7 @@
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let Some((any, all)) = step.map(count_suspects) else { return false };
         let new = fits.iter().filter(|fit| any && !fit.is_settled);
-        let times = new.filter_map(|fit| self.workers.get(&fit.name)?.settles_at());
+        let times = new.filter_map(|fit| self.workers.get(&fit.name)?.stable_from());
         self.next_settled = times.chain(self.next_settled).min();
         // A gang starts whole.
         if all || (any && spec.gang) {
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -151,7 +151,7 @@
     pub fn keep(&mut self, now: Millis, batch: u64) {
         self.kept = self.kept.max(batch);
         for worker in self.workers.values_mut() {
-            worker.keep(batch);
+            worker.mark_stored(batch);
         }
         self.fresh.retain(|(of, _)| *of > batch);
         self.send_starts(now, batch);
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -1,6 +1,6 @@
 //! What became of orders to workers: starts and stops that were followed, refused, or not answered.
 
-use crate::cell::workers::roster::Over;
+use crate::cell::workers::roster::RemovalReason;
 use crate::cell::workers::worker::Phase;
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
@@ -10,7 +10,14 @@
 
 impl Cell {
     /// What became of an order to start a run.
-    pub fn started(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64, outcome: Outcome) {
+    pub fn on_start_outcome(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        task: TaskKey,
+        run: u64,
+        outcome: Outcome,
+    ) {
         if !matches!(outcome, Outcome::Done(_)) {
             log::info!(
                 "event=start-failed task={task} run={run} worker={name} outcome={outcome:?}"
@@ -20,22 +27,22 @@
             Outcome::Done(_) => self.confirm_start(now, name, task, run),
             Outcome::Unknown => {
                 self.stop_run(name, task, run);
-                self.doubt(now, name);
+                self.suspect_worker(now, name);
             }
             Outcome::Withheld => self.abandon_run(name, task, run),
             Outcome::Unsent => {
                 self.abandon_run(name, task, run);
-                self.mark_silent(now, name);
+                self.mark_unreachable(now, name);
             }
             Outcome::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
             Outcome::Refused(Refusal::OtherLife) => {
                 // This run surely never was at the life that is over.
                 self.abandon_run(name, task, run);
-                self.remove_worker(now, name, Over::Replaced);
+                self.remove_worker(now, name, RemovalReason::Replaced);
             }
             Outcome::Refused(Refusal::Late) => {
                 self.abandon_run(name, task, run);
-                self.mark_silent(now, name);
+                self.mark_unreachable(now, name);
             }
             Outcome::Refused(Refusal::Ticket) => {
                 self.drop_ticket(task.step, name);
@@ -45,7 +52,7 @@
                 Refusal::Unwell | Refusal::Room | Refusal::Malformed | Refusal::Old,
             ) => {
                 if let Some(worker) = self.workers.get_mut(name) {
-                    worker.set_aside(now);
+                    worker.exclude(now);
                 }
                 self.abandon_run(name, task, run);
             }
@@ -57,34 +64,41 @@
         if let Some(known) = worker.runs.get_mut(&(task, run))
             && known.phase == Phase::Starting
         {
-            known.begin(now);
-            self.note_run(task.step.job);
+            known.mark_started(now);
+            self.mark_job_started(task.step.job);
         }
     }
 
     /// A worker surely began a task of a job.
-    pub(in crate::cell) fn note_run(&mut self, key: JobKey) {
+    pub(in crate::cell) fn mark_job_started(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get_mut(&key) {
             job.has_run = true;
         }
     }
 
     /// What became of an order to stop a run.
-    pub fn stopped(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64, outcome: Outcome) {
+    pub fn on_stop_outcome(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        task: TaskKey,
+        run: u64,
+        outcome: Outcome,
+    ) {
         match outcome {
             Outcome::Refused(Refusal::Fence) => return self.actions.push(Action::Deposed),
             Outcome::Refused(Refusal::OtherLife) => {
-                return self.remove_worker(now, name, Over::Replaced);
+                return self.remove_worker(now, name, RemovalReason::Replaced);
             }
             _ => {}
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(known) = worker.runs.get_mut(&(task, run)) else { return };
-        known.told = false;
+        known.stop_pending = false;
         match outcome {
             Outcome::Done(_) | Outcome::Refused(Refusal::Old) => {
                 known.phase = Phase::Stopping(Some(now));
-                if !known.seen {
+                if !known.has_started {
                     // It may never have begun: then no end will be listed, and only the next
                     // report shows that the room is free.
                     self.actions.push(Action::Look(name.clone()));
@@ -97,14 +111,14 @@
     }
 
     /// Sends stops again that were not answered.
-    pub(in crate::cell) fn stop_again(&mut self) {
+    pub(in crate::cell) fn resend_stops(&mut self) {
         for (name, worker) in &mut self.workers {
             let untold = worker
                 .runs
                 .iter_mut()
-                .filter(|(_, run)| matches!(run.phase, Phase::Stopping(None)) && !run.told);
+                .filter(|(_, run)| matches!(run.phase, Phase::Stopping(None)) && !run.stop_pending);
             for ((task, no), run) in untold {
-                run.told = true;
+                run.stop_pending = true;
                 self.actions.push(Action::Stop { worker: name.clone(), task: *task, run: *no });
             }
         }
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::jobs::job::TaskStatus;
 use crate::cell::records::journal::Fate;
-use crate::cell::workers::roster::Over;
+use crate::cell::workers::roster::RemovalReason;
 use crate::cell::workers::worker::{Phase, Run, Worker};
 use crate::cell::{Action, Cell, Hold};
 use crate::clock::Millis;
@@ -12,68 +12,71 @@
 use std::collections::BTreeSet;
 
 /// Fillers are slowed when a tail comes this close to its bound, in hundredths of it.
-const PACE_DOWN: f64 = 80.0;
+const SLOW_DOWN_PERCENT: f64 = 80.0;
 /// They are let work more below this, in hundredths of the bound.
-const PACE_UP: f64 = 55.0;
+const SPEED_UP_PERCENT: f64 = 55.0;
 /// The share that fillers get back at once, in hundredths.
-const PACE_STEP: u32 = 20;
+const SPEED_UP_STEP: u32 = 20;
 /// A share below this is set to nothing.
-const PACE_LEAST: u32 = 10;
+const MIN_SHARE_PERCENT: u32 = 10;
 /// The time between two changes at one worker: a gauge covers the last half second.
-const PACE_EVERY: Millis = Millis(600);
+const THROTTLE_INTERVAL: Millis = Millis(600);
 
 impl Cell {
     /// What to ask a worker now, and whether to renew its lease; `None` if it is not watched any
     /// more. The lease of a silent worker is not renewed: what runs there starts elsewhere when it
     /// is over.
-    pub fn hold(&mut self, now: Millis, name: &Name, renew: bool) -> Option<Hold> {
+    pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<Hold> {
         let lease = self.bounds.lease;
         let worker = self.workers.get_mut(name)?;
-        let until = if renew && worker.heard { worker.lease(now, lease) } else { None };
+        let until =
+            if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
         // It may be another life: one that was told the last end of the life before forgot ends that nobody
         // had read. A time of the other clock does no harm: it is cut down to the longest lease.
-        let seen = if worker.is_unsure() { 0 } else { worker.confirmed() };
+        let seen = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
         Some(Hold { seen, until })
     }
 
     /// The batch that must be in the store before a worker's ends can be confirmed.
-    pub fn awaited(&self, name: &Name) -> Option<u64> {
-        self.workers.get(name).and_then(Worker::awaited).filter(|batch| *batch > self.kept)
+    pub fn unstored_ends_batch(&self, name: &Name) -> Option<u64> {
+        self.workers.get(name).and_then(Worker::unstored_batch).filter(|batch| *batch > self.kept)
     }
 
     /// A worker did not report; whether to pause before it is asked again. One report may be lost
     /// on the way: the worker is taken for silent when the next one is missing too.
-    pub fn unheld(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
+    pub fn on_missing_report(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
         match why {
             HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
-            HoldError::Refused(Refusal::OtherLife) => self.remove_worker(now, name, Over::Replaced),
-            HoldError::Refused(_) => self.mark_silent(now, name),
+            HoldError::Refused(Refusal::OtherLife) => {
+                self.remove_worker(now, name, RemovalReason::Replaced)
+            }
+            HoldError::Refused(_) => self.mark_unreachable(now, name),
             HoldError::Silent(err) => {
                 log::debug!("event=hold-failed worker={name} error={err:?}");
                 if let Some(worker) = self.workers.get_mut(name) {
-                    worker.suspect();
+                    worker.suspect_restart();
                 }
                 if self.is_late {
                     return true;
                 }
                 let Some(worker) = self.workers.get_mut(name) else { return false };
-                if !worker.miss() {
-                    self.doubt(now, name);
+                if !worker.record_missing_report() {
+                    self.suspect_worker(now, name);
                     return false;
                 }
-                self.mark_silent(now, name);
+                self.mark_unreachable(now, name);
             }
         }
         true
     }
 
     /// A worker reported, when asked at `sent`.
-    pub fn held(&mut self, now: Millis, sent: Millis, name: &Name, report: &Report) {
-        if self.workers.get(name).is_some_and(|worker| worker.is_other(report.born)) {
-            self.restart(now, sent, name, report);
+    pub fn on_report(&mut self, now: Millis, sent: Millis, name: &Name, report: &Report) {
+        if self.workers.get(name).is_some_and(|worker| worker.is_other_incarnation(report.born)) {
+            self.on_worker_restart(now, sent, name, report);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if !worker.heard {
+        if !worker.is_reachable {
             let (running, ended) = (report.running.len(), report.ended.len());
             log::info!(
                 "event=worker-heard worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
@@ -81,60 +84,60 @@
                 report.born,
                 worker.listed.born,
                 report.clock,
-                worker.confirmed()
+                worker.confirmed_end()
             );
             self.changed = true;
         }
-        self.changed = self.changed || worker.is_doubted();
+        self.changed = self.changed || worker.has_unanswered();
         // An earlier owner may not have known when it started: the next one has to.
-        self.roster |= worker.hear(now, sent, report);
+        self.roster |= worker.record_report(now, sent, report);
         self.resolve_by_report(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        worker.known = true;
+        worker.has_reported = true;
         for row in &report.ended {
             let Some(worker) = self.workers.get_mut(name) else { return };
-            if worker.has_seen(row.no) {
+            if worker.has_recorded_end(row.no) {
                 continue;
             }
-            let run = worker.remove(row.task, row.run);
+            let run = worker.remove_run(row.task, row.run);
             self.changed = true;
-            if let Some(run) = run.filter(|run| row.end == End::Done && run.began.0 > 0) {
-                self.learn(row.task, now.since(run.began));
+            if let Some(run) = run.filter(|run| row.end == End::Done && run.started_at.0 > 0) {
+                self.record_run_time(row.task, now.since(run.started_at));
             }
-            self.end(now, name, row);
+            self.on_run_end(now, name, row);
             // An end that changes nothing needs no record before it is confirmed.
             let batch = if self.dirty.is_empty() { self.batch - 1 } else { self.batch };
             let kept = self.kept;
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.see(row.no, batch);
-                worker.keep(kept);
+                worker.record_end(row.no, batch);
+                worker.mark_stored(kept);
             }
         }
         for row in &report.running {
-            self.running(now, name, row);
+            self.update_run(now, name, row);
         }
-        self.sweep(sent, name, report);
-        self.copy_stragglers(now, name);
-        self.pace(now, name, report);
+        self.drop_vanished_runs(sent, name, report);
+        self.duplicate_stragglers(now, name);
+        self.throttle_fillers(now, name, report);
     }
 
     /// Finds late runs at a worker. Those whose copies may run side by side start elsewhere too.
-    fn copy_stragglers(&mut self, now: Millis, name: &Name) {
+    fn duplicate_stragglers(&mut self, now: Millis, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         for (task, run) in worker.find_stragglers(now) {
             log::info!("event=straggler task={task} run={run} worker={name}");
-            self.copy(now, name, task, run);
+            self.allow_duplicate(now, name, task, run);
         }
     }
 
     /// A run that began here is done: how long it took against its estimate.
-    fn learn(&mut self, task: TaskKey, took: Millis) {
+    fn record_run_time(&mut self, task: TaskKey, took: Millis) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(spec) = job.spec(task.step.step).filter(|spec| !spec.lasting) else { return };
         self.run_times.entry(job.queue.name.clone()).or_default().add(spec.estimate, took);
     }
 
-    fn end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
+    fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
         let task = row.task;
         log::info!("event=ended task={task} run={} worker={name} end={:?}", row.run, row.end);
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
@@ -155,12 +158,12 @@
         self.dirty.insert(task.step.job);
         match row.end {
             End::Done if !lasting => {
-                let other = placed(&state.status, row.run);
+                let other = other_run(&state.status, row.run);
                 if let Some(worker) = self.workers.get_mut(name) {
-                    worker.succeed();
+                    worker.record_success();
                 }
                 match other {
-                    _ if copies => self.stop_copies(task),
+                    _ if copies => self.stop_all_runs(task),
                     Some((worker, run)) => self.stop_run(&worker, task, run),
                     None => {}
                 }
@@ -179,7 +182,7 @@
                     "event=failed task={task} run={} worker={name} failed={failed}",
                     row.run
                 );
-                self.blame(now, name, task);
+                self.record_worker_failure(now, name, task);
                 match !lasting && failed >= attempts as usize {
                     true => self.close_job(now, task.step.job, Fate::Failed),
                     false => self.requeue_task(task, row.run),
@@ -196,36 +199,36 @@
         }
     }
 
-    fn blame(&mut self, now: Millis, name: &Name, task: TaskKey) {
+    fn record_worker_failure(&mut self, now: Millis, name: &Name, task: TaskKey) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.fail(now, task) {
+        if worker.record_failure(now, task) {
             log::info!("event=worker-aside worker={name} task={task}");
         }
     }
 
     /// A run goes on at a worker.
-    fn running(&mut self, now: Millis, name: &Name, row: &RunningRow) {
+    fn update_run(&mut self, now: Millis, name: &Name, row: &RunningRow) {
         let task = row.task;
-        let moved = !row.saved.is_empty() && self.save(task, row);
+        let moved = !row.saved.is_empty() && self.save_checkpoint(task, row);
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(run) = worker.runs.get_mut(&(task, row.run)) else {
-            return self.adopt(now, name, row);
+            return self.adopt_run(now, name, row);
         };
         run.percent = row.percent;
-        let is_new = !std::mem::replace(&mut run.seen, true);
+        let is_new = !std::mem::replace(&mut run.has_started, true);
         if run.phase == Phase::Starting {
-            run.begin(now);
+            run.mark_started(now);
         }
         if moved {
-            run.moved = now;
+            run.progressed_at = now;
         }
         if is_new {
-            self.note_run(task.step.job);
+            self.mark_job_started(task.step.job);
         }
     }
 
     /// Takes in a run's saved progress; whether it is new.
-    fn save(&mut self, task: TaskKey, row: &RunningRow) -> bool {
+    fn save_checkpoint(&mut self, task: TaskKey, row: &RunningRow) -> bool {
         let job = self.jobs.get_mut(&task.step.job);
         let step = job.and_then(|job| job.step_mut(task.step));
         let state = step.and_then(|step| step.tasks.get_mut(task.index as usize));
@@ -235,7 +238,7 @@
     }
 
     /// A run that an earlier owner started goes on, or is stopped if it is not wanted.
-    fn adopt(&mut self, now: Millis, name: &Name, row: &RunningRow) {
+    fn adopt_run(&mut self, now: Millis, name: &Name, row: &RunningRow) {
         let task = row.task;
         let job = self.jobs.get_mut(&task.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(task.step.step)).cloned();
@@ -244,11 +247,12 @@
         // been larger when it began.
         let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
-        let mut run = Run::bound(row.run, &spec, Phase::Running(now));
-        run.held = owner.map(|owner| self.usages.hold(owner, spec.room));
-        (run.seen, run.is_sent, run.percent, run.since) = (true, true, row.percent, now);
+        let mut run = Run::new(row.run, &spec, Phase::Running(now));
+        run.usage_guard = owner.map(|owner| self.usages.hold(owner, spec.room));
+        (run.has_started, run.is_sent, run.percent, run.known_since) =
+            (true, true, row.percent, now);
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.add(task, run);
+            worker.add_run(task, run);
         }
         let step = job.filter(|job| job.is_open()).and_then(|job| {
             (job.was_placed, job.has_run) = (true, true);
@@ -279,11 +283,11 @@
     }
 
     /// Runs that the worker should have named and did not are over.
-    fn sweep(&mut self, sent: Millis, name: &Name, report: &Report) {
+    fn drop_vanished_runs(&mut self, sent: Millis, name: &Name, report: &Report) {
         let listed: BTreeSet<(TaskKey, u64)> =
             report.running.iter().map(|row| (row.task, row.run)).collect();
         let Some(worker) = self.workers.get(name) else { return };
-        let confirmed = worker.confirmed();
+        let confirmed = worker.confirmed_end();
         let gone = |(key, run): (&(TaskKey, u64), &Run)| {
             let over = match run.phase {
                 Phase::Running(at) | Phase::Stopping(Some(at)) => at < sent,
@@ -304,26 +308,26 @@
     }
 
     /// Slows fillers where they come near to harming a task that serves, and lets them work again.
-    fn pace(&mut self, now: Millis, name: &Name, report: &Report) {
+    fn throttle_fillers(&mut self, now: Millis, name: &Name, report: &Report) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let fillers: Vec<(TaskKey, u64, u32)> = worker
             .runs
             .iter()
-            .filter(|(_, run)| run.filler && matches!(run.phase, Phase::Running(_)))
+            .filter(|(_, run)| run.is_filler && matches!(run.phase, Phase::Running(_)))
             .map(|((task, no), run)| (*task, *no, run.percent))
             .collect();
-        if fillers.is_empty() || now.since(worker.paced) < PACE_EVERY {
+        if fillers.is_empty() || now.since(worker.throttled_at) < THROTTLE_INTERVAL {
             return;
         }
         let used = |row: &RunningRow| {
-            let run = worker.runs.get(&(row.task, row.run)).filter(|run| run.tail.0 > 0)?;
-            row.gauge.map(|gauge| gauge * 100.0 / run.tail.0 as f64)
+            let run = worker.runs.get(&(row.task, row.run)).filter(|run| run.tail_limit.0 > 0)?;
+            row.gauge.map(|gauge| gauge * 100.0 / run.tail_limit.0 as f64)
         };
         let worst = report.running.iter().filter_map(used).fold(0.0, f64::max);
         let change = |percent: u32| match () {
-            () if worst >= PACE_DOWN && percent / 2 < PACE_LEAST => 0,
-            () if worst >= PACE_DOWN => percent / 2,
-            () if worst < PACE_UP => (percent + PACE_STEP).min(100),
+            () if worst >= SLOW_DOWN_PERCENT && percent / 2 < MIN_SHARE_PERCENT => 0,
+            () if worst >= SLOW_DOWN_PERCENT => percent / 2,
+            () if worst < SPEED_UP_PERCENT => (percent + SPEED_UP_STEP).min(100),
             () => percent,
         };
         let changed: Vec<_> =
@@ -331,7 +335,7 @@
         if changed.is_empty() {
             return;
         }
-        worker.paced = now;
+        worker.throttled_at = now;
         for (task, run, percent) in changed {
             let percent = change(percent);
             log::info!(
@@ -343,7 +347,7 @@
 }
 
 /// Where a task runs, if it is another run than `run`.
-fn placed(status: &TaskStatus, run: u64) -> Option<(Name, u64)> {
+fn other_run(status: &TaskStatus, run: u64) -> Option<(Name, u64)> {
     match status {
         TaskStatus::Placed { worker, run: other } if *other != run => {
             Some((worker.clone(), *other))
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -12,14 +12,14 @@
 
 /// Why a life of a worker is taken to be over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
+pub enum RemovalReason {
     /// Another life answers at its address.
     Replaced,
     /// It is not listed any more, it is silent, and its leases are over.
     Unlisted,
 }
 
-impl Over {
+impl RemovalReason {
     /// The name in log lines.
     fn name(self) -> &'static str {
         match self {
@@ -31,25 +31,25 @@
 
 /// A life that is over is not taken up again from the list for so long, where its entry stays for some
 /// seconds: it would be, and be removed again, with each look. By then all that it ran has surely ended.
-pub(in crate::cell) const ENDED_KEEP: Millis = Millis(10_000);
+pub(in crate::cell) const ENDED_INCARNATION_RETENTION: Millis = Millis(10_000);
 /// Workers of one failure domain that leave something unanswered at the same time, from which the
 /// domain is taken to be cut off: one alone may be lost by itself.
-const CUT_LEAST: usize = 2;
+const PARTITION_MIN_WORKERS: usize = 2;
 
 impl Cell {
     /// A worker did not answer: nothing new goes there until it does.
-    pub fn mark_silent(&mut self, now: Millis, name: &Name) {
+    pub fn mark_unreachable(&mut self, now: Millis, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name)
-            && worker.heard
+            && worker.is_reachable
         {
-            worker.heard = false;
+            worker.is_reachable = false;
             log::info!("event=worker-silent worker={name} runs={}", worker.runs.len());
             let runs: Vec<(TaskKey, u64)> = worker.runs.keys().copied().collect();
             for (task, run) in runs {
                 if self.is_quarantined(task) {
                     self.record_possible_crash(now, name, task);
                 }
-                self.copy(now, name, task, run);
+                self.allow_duplicate(now, name, task, run);
             }
         }
     }
@@ -57,24 +57,24 @@
     /// A worker left something unanswered: nothing new goes there until it reports, which it is asked
     /// for at once. Where two of a failure domain did so, the others of it are taken to be behind the
     /// same cut. Starts would go behind the cut, and their tasks be held up until it heals.
-    pub(in crate::cell) fn doubt(&mut self, now: Millis, name: &Name) {
+    pub(in crate::cell) fn suspect_worker(&mut self, now: Millis, name: &Name) {
         if self.is_late || self.bounds.off.has(Mechanism::Doubt) {
             return;
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
-        worker.doubt(now);
+        worker.mark_unanswered(now);
         self.actions.push(Action::Look(name.clone()));
         let domain = worker.listed.domain.clone();
-        let of_domain = |worker: &&mut Worker| worker.listed.domain == domain && worker.present;
-        let missed = |worker: &&mut Worker| worker.is_doubted() || !worker.heard;
+        let of_domain = |worker: &&mut Worker| worker.listed.domain == domain && worker.is_listed;
+        let missed = |worker: &&mut Worker| worker.has_unanswered() || !worker.is_reachable;
         let silent = self.workers.values_mut().filter(of_domain).filter(missed).count();
-        if silent != CUT_LEAST {
+        if silent != PARTITION_MIN_WORKERS {
             return;
         }
         log::info!("event=domain-doubted domain={domain} silent={silent}");
         for worker in self.workers.values_mut().filter(of_domain) {
-            if !worker.is_doubted() {
-                worker.doubt(now);
+            if !worker.has_unanswered() {
+                worker.mark_unanswered(now);
                 self.actions.push(Action::Look(worker.listed.id.clone()));
             }
         }
@@ -82,7 +82,13 @@
 
     /// Lets a task run elsewhere too, if its copies may run side by side. The first one that is
     /// done counts.
-    pub(in crate::cell) fn copy(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64) {
+    pub(in crate::cell) fn allow_duplicate(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        task: TaskKey,
+        run: u64,
+    ) {
         if self.bounds.off.has(Mechanism::Copies) {
             return;
         }
@@ -96,7 +102,7 @@
     }
 
     /// Has all runs of a task end: another one is done.
-    pub(in crate::cell) fn stop_copies(&mut self, task: TaskKey) {
+    pub(in crate::cell) fn stop_all_runs(&mut self, task: TaskKey) {
         let copies = |worker: &Worker| -> Vec<u64> {
             worker.runs.range((task, 0)..=(task, u64::MAX)).map(|((_, run), _)| *run).collect()
         };
@@ -110,8 +116,8 @@
     }
 
     /// A life of a worker is over, and all that it ran with it.
-    pub fn remove_worker(&mut self, now: Millis, name: &Name, why: Over) {
-        let is_over = why != Over::Unlisted;
+    pub fn remove_worker(&mut self, now: Millis, name: &Name, why: RemovalReason) {
+        let is_over = why != RemovalReason::Unlisted;
         self.record_worker_crash(now, name, is_over);
         let Some(worker) = self.workers.remove(name) else { return };
         if is_over {
@@ -139,22 +145,22 @@
         let lives: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
         self.ended_lives.retain(|life, _| lives.contains(life));
         for worker in self.workers.values_mut() {
-            worker.present = ids.contains(&worker.listed.id);
+            worker.is_listed = ids.contains(&worker.listed.id);
         }
         for one in listed {
-            self.set_worker(now, one);
+            self.update_listing(now, one);
         }
         self.is_stale = false;
         self.changed = true;
     }
 
-    fn set_worker(&mut self, now: Millis, listed: Listed) {
+    fn update_listing(&mut self, now: Millis, listed: Listed) {
         let (name, life) = (listed.id.clone(), listed.life());
         if self.ended_lives.contains_key(&life) {
             return;
         }
         self.confirm_earlier_crashes(&life, &listed.addr);
-        self.expect_life(now, &listed);
+        self.expect_new_incarnation(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
                 let leaves = listed.leaving.is_some() && worker.listed.leaving.is_none();
@@ -198,17 +204,19 @@
     pub(in crate::cell) fn expire_leases(&mut self, now: Millis) {
         // One that left with nothing running can hold up nobody: the next owner would wait a whole
         // lease for it.
-        let left = |worker: &Worker| worker.known && !worker.present && worker.runs.is_empty();
-        let silent = |worker: &&Worker| !worker.heard && (now >= worker.lease_end || left(worker));
+        let left =
+            |worker: &Worker| worker.has_reported && !worker.is_listed && worker.runs.is_empty();
+        let silent =
+            |worker: &&Worker| !worker.is_reachable && (now >= worker.lease_end || left(worker));
         let over: Vec<(Name, bool)> = self
             .workers
             .values()
             .filter(silent)
-            .map(|worker| (worker.listed.id.clone(), worker.present))
+            .map(|worker| (worker.listed.id.clone(), worker.is_listed))
             .collect();
         for (name, present) in over {
             if !present {
-                self.remove_worker(now, &name, Over::Unlisted);
+                self.remove_worker(now, &name, RemovalReason::Unlisted);
                 continue;
             }
             let worker = self.workers.get(&name);
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -126,8 +126,8 @@
         {
             let mut cell = lock(&self.cell);
             match start {
-                true => cell.started(now, &name, task, run, outcome),
-                false => cell.stopped(now, &name, task, run, outcome),
+                true => cell.on_start_outcome(now, &name, task, run, outcome),
+                false => cell.on_stop_outcome(now, &name, task, run, outcome),
             }
         }
         self.wake.notify_one();
@@ -148,7 +148,7 @@
             self.wait_kept(&name).await;
             let renew = self.may_order();
             let sent = self.node.now();
-            let Some(hold) = lock(&self.cell).hold(sent, &name, renew) else { return };
+            let Some(hold) = lock(&self.cell).report_call(sent, &name, renew) else { return };
             // Its next life may be at another address.
             let Some(client) = self.client(&name) else { return };
             let timeouts = lock(&self.lag).timeouts();
@@ -162,13 +162,13 @@
             let now = self.node.now();
             let pause = match &held {
                 Ok(report) => {
-                    lock(&self.cell).held(now, sent, &name, report);
+                    lock(&self.cell).on_report(now, sent, &name, report);
                     wait = if hold.until.is_some() { HOLD_WAIT } else { Millis(0) };
                     hold.until.is_none() && !renew
                 }
                 Err(err) => {
                     wait = Millis(0);
-                    lock(&self.cell).unheld(now, &name, err)
+                    lock(&self.cell).on_missing_report(now, &name, err)
                 }
             };
             self.wake.notify_one();
@@ -182,7 +182,7 @@
     /// Waits until the store has the ends that a worker listed last, so that the next report
     /// confirms them.
     async fn wait_kept(&self, name: &Name) {
-        let Some(batch) = lock(&self.cell).awaited(name) else { return };
+        let Some(batch) = lock(&self.cell).unstored_ends_batch(name) else { return };
         let mut kept = self.kept.subscribe();
         let wait = kept.wait_for(|kept| *kept >= batch);
         if tokio::time::timeout(KEEP_WAIT.duration(), wait).await.is_err() {
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -8,7 +8,7 @@
 use sprucerudder::cell::records::journal::{
     self, CrashNote, JobRecord, Member, Progress, Snapshot, StepNote, TaskNote,
 };
-use sprucerudder::cell::workers::roster::Over;
+use sprucerudder::cell::workers::roster::RemovalReason;
 use sprucerudder::cell::{Action, Bounds, Cell, State};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
@@ -64,8 +64,13 @@
     cell.set_workers(Millis(0), workers.to_vec());
     write(&mut cell, 1);
     for worker in workers {
-        cell.hold(Millis(1), &worker.id, true);
-        cell.held(Millis(2), Millis(1), &worker.id, &Report { clock: 1_000, ..Report::default() });
+        cell.report_call(Millis(1), &worker.id, true);
+        cell.on_report(
+            Millis(2),
+            Millis(1),
+            &worker.id,
+            &Report { clock: 1_000, ..Report::default() },
+        );
     }
     cell.tick(Millis(3), Millis(3));
     cell.take_actions();
@@ -100,7 +105,7 @@
 
 fn confirm(cell: &mut Cell, now: u64, started: &[(Name, Start)]) {
     for (worker, start) in started {
-        cell.started(Millis(now), worker, start.task, start.run, Outcome::Done(None));
+        cell.on_start_outcome(Millis(now), worker, start.task, start.run, Outcome::Done(None));
     }
 }
 
@@ -148,15 +153,15 @@
     confirm(&mut cell, 12, &first);
     let one = ended(1, first[0].1.task, first[0].1.run, End::Done);
     let still = vec![running_row(first[1].1.task, first[1].1.run)];
-    cell.held(Millis(20), Millis(15), &"w1".into(), &Report { running: still, ..one });
+    cell.on_report(Millis(20), Millis(15), &"w1".into(), &Report { running: still, ..one });
     assert_eq!(starts(&mut cell, 21), Vec::new());
     let other = ended(2, first[1].1.task, first[1].1.run, End::Done);
-    cell.held(Millis(30), Millis(25), &"w1".into(), &other);
+    cell.on_report(Millis(30), Millis(25), &"w1".into(), &other);
     let then = starts(&mut cell, 31);
     assert_eq!(then.len(), 1);
     confirm(&mut cell, 32, &then);
     let last = ended(3, then[0].1.task, then[0].1.run, End::Done);
-    cell.held(Millis(40), Millis(35), &"w1".into(), &last);
+    cell.on_report(Millis(40), Millis(35), &"w1".into(), &last);
     assert_eq!(cell.state(key), Some(State::Active), "the end is not in the store yet");
     write(&mut cell, 41);
     assert!(matches!(cell.state(key), Some(State::Closed(_))));
@@ -169,10 +174,10 @@
     let first = starts(&mut cell, 11);
     confirm(&mut cell, 12, &first);
     let one = ended(7, first[0].1.task, first[0].1.run, End::Done);
-    cell.held(Millis(20), Millis(15), &"w1".into(), &one);
-    assert_eq!(cell.hold(Millis(21), &"w1".into(), true).map(|hold| hold.seen), Some(0));
+    cell.on_report(Millis(20), Millis(15), &"w1".into(), &one);
+    assert_eq!(cell.report_call(Millis(21), &"w1".into(), true).map(|hold| hold.seen), Some(0));
     write(&mut cell, 22);
-    assert_eq!(cell.hold(Millis(23), &"w1".into(), true).map(|hold| hold.seen), Some(7));
+    assert_eq!(cell.report_call(Millis(23), &"w1".into(), true).map(|hold| hold.seen), Some(7));
 }
 
 #[test]
@@ -185,10 +190,10 @@
     let silent = HoldError::Silent("no answer".to_string());
     let mut again = Vec::new();
     for now in (100..9_000).step_by(100) {
-        let hold = cell.hold(Millis(now), &name, true);
+        let hold = cell.report_call(Millis(now), &name, true);
         let renewed = hold.is_some_and(|hold| hold.until.is_some());
         assert!(!renewed || now < 300, "renewed at {now}");
-        cell.unheld(Millis(0), &name, &silent);
+        cell.on_missing_report(Millis(0), &name, &silent);
         cell.tick(Millis(now), Millis(now));
         again.extend(starts(&mut cell, now).into_iter().map(|start| (now, start)));
     }
@@ -207,15 +212,15 @@
     confirm(&mut cell, 12, &first);
     let name = first[0].0.clone();
     let silent = HoldError::Silent("no answer".to_string());
-    assert!(!cell.unheld(Millis(0), &name, &silent));
-    assert!(cell.unheld(Millis(0), &name, &silent));
+    assert!(!cell.on_missing_report(Millis(0), &name, &silent));
+    assert!(cell.on_missing_report(Millis(0), &name, &silent));
     let again = starts(&mut cell, 300);
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].0, name);
     // The first one that is done counts, and the other is stopped.
     confirm(&mut cell, 301, &again);
     let done = ended(1, first[0].1.task, first[0].1.run, End::Done);
-    cell.held(Millis(400), Millis(399), &name, &done);
+    cell.on_report(Millis(400), Millis(399), &name, &done);
     write(&mut cell, 401);
     assert!(matches!(cell.state(key), Some(State::Closed(_))));
     let stops = cell.take_actions();
@@ -233,14 +238,14 @@
     let first = starts(&mut cell, 11);
     confirm(&mut cell, 12, &first[1..]);
     let (worker, lost) = first[0].clone();
-    cell.started(Millis(300), &worker, lost.task, lost.run, Outcome::Unknown);
+    cell.on_start_outcome(Millis(300), &worker, lost.task, lost.run, Outcome::Unknown);
     let stop = Action::Stop { worker: worker.clone(), task: lost.task, run: lost.run };
     assert!(cell.take_actions().contains(&stop));
-    cell.stopped(Millis(302), &worker, lost.task, lost.run, Outcome::Done(None));
+    cell.on_stop_outcome(Millis(302), &worker, lost.task, lost.run, Outcome::Done(None));
     assert_eq!(starts(&mut cell, 303), Vec::new(), "nothing shows yet that it never began");
     let running = first[1..].iter().map(|(_, start)| running_row(start.task, start.run)).collect();
     let report = Report { clock: 1_310, running, ended: Vec::new(), ..Report::default() };
-    cell.held(Millis(310), Millis(305), &worker, &report);
+    cell.on_report(Millis(310), Millis(305), &worker, &report);
     let again = starts(&mut cell, 311);
     assert_eq!(again.len(), 1);
     assert!(again[0].1.run > lost.run);
@@ -257,7 +262,7 @@
         confirm(&mut cell, now + 1, &started);
         let (worker, start) = started[0].clone();
         let report = ended(no, start.task, start.run, End::Failed);
-        cell.held(Millis(now + 20), Millis(now + 10), &worker, &report);
+        cell.on_report(Millis(now + 20), Millis(now + 10), &worker, &report);
     }
     write(&mut cell, 300);
     assert_eq!(starts(&mut cell, 301), Vec::new());
@@ -280,7 +285,7 @@
     let (worker, start) = other[0].clone();
     let report = ended(1, start.task, start.run, End::Done);
     let running = other[1..].iter().map(|(_, start)| running_row(start.task, start.run)).collect();
-    cell.held(Millis(30), Millis(25), &worker, &Report { running, ..report });
+    cell.on_report(Millis(30), Millis(25), &worker, &Report { running, ..report });
     let whole = starts(&mut cell, 31);
     assert_eq!(whole.len(), 6);
     assert!(whole.iter().all(|(_, start)| start.run == whole[0].1.run));
@@ -329,13 +334,18 @@
     write(&mut new, 101);
     for id in ["w1", "w2"] {
         let id = id.into();
-        new.hold(Millis(102), &id, true);
-        new.held(Millis(103), Millis(102), &id, &Report { clock: 1_000, ..Report::default() });
+        new.report_call(Millis(102), &id, true);
+        new.on_report(Millis(103), Millis(102), &id, &Report { clock: 1_000, ..Report::default() });
     }
     new.tick(Millis(110), Millis(110));
     assert_eq!(starts(&mut new, 111), Vec::new(), "the task may run on the third worker");
-    new.hold(Millis(120), &"w3".into(), true);
-    new.held(Millis(121), Millis(120), &"w3".into(), &Report { clock: 1_000, ..Report::default() });
+    new.report_call(Millis(120), &"w3".into(), true);
+    new.on_report(
+        Millis(121),
+        Millis(120),
+        &"w3".into(),
+        &Report { clock: 1_000, ..Report::default() },
+    );
     new.tick(Millis(130), Millis(130));
     assert_eq!(starts(&mut new, 131).len(), 1);
 }
@@ -349,9 +359,14 @@
     cell.cancel(Millis(13), key);
     write(&mut cell, 14);
     let start = &started[0].1;
-    cell.held(Millis(20), Millis(15), &"w1".into(), &ended(1, start.task, start.run, End::Stopped));
+    cell.on_report(
+        Millis(20),
+        Millis(15),
+        &"w1".into(),
+        &ended(1, start.task, start.run, End::Stopped),
+    );
     assert_eq!(cell.take_batch(Millis(21)), None);
-    assert_eq!(cell.hold(Millis(22), &"w1".into(), true).map(|hold| hold.seen), Some(1));
+    assert_eq!(cell.report_call(Millis(22), &"w1".into(), true).map(|hold| hold.seen), Some(1));
 }
 
 #[test]
@@ -372,7 +387,7 @@
     new.set_workers(Millis(12), vec![listed("w1", "a")]);
     write(&mut new, 13);
     let task = TaskKey { step: StepKey { job: key, time: 0, step: 0 }, index: 0 };
-    new.held(Millis(20), Millis(15), &"w1".into(), &ended(1, task, 1_025, End::Stopped));
+    new.on_report(Millis(20), Millis(15), &"w1".into(), &ended(1, task, 1_025, End::Stopped));
     assert_eq!(new.take_batch(Millis(21)), None);
     assert!(!new.is_unkept());
 }
@@ -384,7 +399,12 @@
     let started = starts(&mut cell, 11);
     confirm(&mut cell, 12, &started);
     let start = &started[0].1;
-    cell.held(Millis(20), Millis(15), &"w1".into(), &ended(1, start.task, start.run, End::Stopped));
+    cell.on_report(
+        Millis(20),
+        Millis(15),
+        &"w1".into(),
+        &ended(1, start.task, start.run, End::Stopped),
+    );
     let batch = cell.take_batch(Millis(21)).expect("the job's progress");
     let mut snapshot = Snapshot::default();
     for (key, value) in &batch.records {
@@ -403,22 +423,22 @@
     let old = running_row(TaskKey { step: step_key, index: 0 }, 7);
     let report =
         Report { clock: 1_010, running: vec![old], ended: Vec::new(), ..Report::default() };
-    cell.held(Millis(10), Millis(9), &"w1".into(), &report);
+    cell.on_report(Millis(10), Millis(9), &"w1".into(), &report);
     submit(&mut cell, 20, 1, "q", vec![step(1)]);
     assert_eq!(starts(&mut cell, 21), Vec::new());
     let gone = ended(1, TaskKey { step: step_key, index: 0 }, 7, End::Stopped);
-    cell.held(Millis(30), Millis(25), &"w1".into(), &gone);
+    cell.on_report(Millis(30), Millis(25), &"w1".into(), &gone);
     assert_eq!(starts(&mut cell, 31).len(), 1);
 }
 
 #[test]
 fn a_worker_that_left_with_nothing_running_is_forgotten_at_once() {
     let mut cell = cell(&[listed("w1", "a"), listed("w2", "a")]);
-    cell.hold(Millis(5), &"w1".into(), true);
+    cell.report_call(Millis(5), &"w1".into(), true);
     cell.set_workers(Millis(0), vec![listed("w2", "a")]);
     let silent = HoldError::Silent("refused".to_string());
-    cell.unheld(Millis(0), &"w1".into(), &silent);
-    cell.unheld(Millis(0), &"w1".into(), &silent);
+    cell.on_missing_report(Millis(0), &"w1".into(), &silent);
+    cell.on_missing_report(Millis(0), &"w1".into(), &silent);
     cell.tick(Millis(600), Millis(600));
     assert!(cell.take_actions().contains(&Action::Unwatch("w1".into())));
     assert!(cell.is_unkept(), "the next owner must not wait for it");
@@ -461,8 +481,8 @@
     write(&mut new, 101);
     // Of nine tasks, four run on each of two workers at the most; the first answers and runs none.
     let w1: Name = "w1".into();
-    new.hold(Millis(102), &w1, true);
-    new.held(Millis(103), Millis(102), &w1, &Report { clock: 1_000, ..Report::default() });
+    new.report_call(Millis(102), &w1, true);
+    new.on_report(Millis(103), Millis(102), &w1, &Report { clock: 1_000, ..Report::default() });
     new.tick(Millis(110), Millis(110));
     let first = starts(&mut new, 111);
     assert_eq!(
@@ -500,13 +520,13 @@
     for now in [600, 1_100, 1_600] {
         let saved = format!("at {now}");
         let report = running(&[(start.task, start.run, &saved)]);
-        cell.held(Millis(now), Millis(now - 5), &name, &report);
+        cell.on_report(Millis(now), Millis(now - 5), &name, &report);
     }
     submit(&mut cell, 1_700, 2, "q", vec![step(1)]);
     assert_eq!(starts(&mut cell, 1_701)[0].0, name, "it is the fuller one, and moves");
     for now in [2_600, 3_400] {
         let report = running(&[(start.task, start.run, "at 1600")]);
-        cell.held(Millis(now), Millis(now - 5), &name, &report);
+        cell.on_report(Millis(now), Millis(now - 5), &name, &report);
     }
     submit(&mut cell, 3_410, 3, "q", vec![step(1)]);
     assert_ne!(starts(&mut cell, 3_411)[0].0, name);
@@ -523,7 +543,7 @@
         let (name, start) = &started[0];
         now += 950 + key % 3 * 50;
         let done = ended(key, start.task, start.run, End::Done);
-        cell.held(Millis(now), Millis(now - 5), name, &done);
+        cell.on_report(Millis(now), Millis(now - 5), name, &done);
         write(&mut cell, now);
     }
     cell.take_actions();
@@ -542,7 +562,7 @@
     assert_eq!(first[1].0, name, "the fuller one first");
     let both: Vec<_> = first.iter().map(|(_, start)| (start.task, start.run, "")).collect();
     let next = |cell: &mut Cell, rows: &[(TaskKey, u64, &str)], now: u64, key: u64| {
-        cell.held(Millis(now), Millis(now - 5), &name, &running(rows));
+        cell.on_report(Millis(now), Millis(now - 5), &name, &running(rows));
         submit(cell, now, key, "q", vec![step(1)]);
         starts(cell, now)[0].0.clone()
     };
@@ -559,13 +579,13 @@
     let (name, start) = first[0].clone();
     let late = begun + 3_000;
     let report = running(&[(start.task, start.run, "")]);
-    cell.held(Millis(late), Millis(late - 5), &name, &report);
+    cell.on_report(Millis(late), Millis(late - 5), &name, &report);
     let copy = starts(&mut cell, late);
     assert_eq!(copy.len(), 1);
     confirm(&mut cell, late, &copy);
     let (other, again) = copy[0].clone();
     let done = ended(200, again.task, again.run, End::Done);
-    cell.held(Millis(late + 900), Millis(late + 895), &other, &done);
+    cell.on_report(Millis(late + 900), Millis(late + 895), &other, &done);
     write(&mut cell, late + 900);
     assert!(matches!(cell.state(key), Some(State::Closed(_))));
     let stops = |action: &Action| matches!(action, Action::Stop { run, .. } if *run == start.run);
@@ -643,7 +663,7 @@
     let there = first.iter().filter(|(name, _)| *name == good).enumerate();
     let rows = there.map(|(no, (_, start))| ended(no as u64 + 1, start)).collect();
     let report = Report { clock: 9_000, running: Vec::new(), ended: rows, ..Report::default() };
-    cell.held(Millis(6_000), Millis(5_900), &good, &report);
+    cell.on_report(Millis(6_000), Millis(5_900), &good, &report);
     assert_eq!(named(&mut cell, 6_001), vec![good]);
 }
 
@@ -661,7 +681,13 @@
         submit(&mut cell, now, no as u64 + 1, "q", vec![spread]);
         for (name, start) in starts(&mut cell, now + 1) {
             if *domain(&name) == *"b" {
-                cell.started(Millis(now + 3), &name, start.task, start.run, Outcome::Done(None));
+                cell.on_start_outcome(
+                    Millis(now + 3),
+                    &name,
+                    start.task,
+                    start.run,
+                    Outcome::Done(None),
+                );
                 continue;
             }
             lost.push((now + 300, name, start));
@@ -673,12 +699,17 @@
             lost.into_iter().partition(|(due, ..)| *due <= now + 50);
         lost = rest;
         for (_, name, start) in due {
-            cell.started(Millis(now + 50), &name, start.task, start.run, Outcome::Unknown);
+            cell.on_start_outcome(Millis(now + 50), &name, start.task, start.run, Outcome::Unknown);
         }
     }
     assert_eq!(later, Vec::<u64>::new(), "starts into the domain after two were not answered");
     // A worker that reports gets tasks again.
-    cell.held(Millis(800), Millis(790), &"w3".into(), &Report { clock: 9, ..Report::default() });
+    cell.on_report(
+        Millis(800),
+        Millis(790),
+        &"w3".into(),
+        &Report { clock: 9, ..Report::default() },
+    );
     submit(&mut cell, 801, 99, "q", vec![step(4)]);
     assert!(starts(&mut cell, 802).iter().any(|(name, _)| **name == *"w3"));
 }
@@ -688,15 +719,15 @@
     let deposed = |cell: &mut Cell| cell.take_actions().contains(&Action::Deposed);
     let fence = Refusal::Fence;
     let mut by_report = cell(&[listed("w1", "a")]);
-    by_report.unheld(Millis(10), &"w1".into(), &HoldError::Refused(fence));
+    by_report.on_missing_report(Millis(10), &"w1".into(), &HoldError::Refused(fence));
     assert!(deposed(&mut by_report));
     let mut by_start = cell(&[listed("w1", "a")]);
     submit(&mut by_start, 10, 1, "q", vec![step(1)]);
     let (name, start) = starts(&mut by_start, 11).remove(0);
-    by_start.started(Millis(12), &name, start.task, start.run, Outcome::Refused(fence));
+    by_start.on_start_outcome(Millis(12), &name, start.task, start.run, Outcome::Refused(fence));
     assert!(deposed(&mut by_start));
     let mut by_stop = cell(&[listed("w1", "a")]);
-    by_stop.stopped(Millis(12), &name, start.task, start.run, Outcome::Refused(fence));
+    by_stop.on_stop_outcome(Millis(12), &name, start.task, start.run, Outcome::Refused(fence));
     assert!(deposed(&mut by_stop));
 }
 
@@ -721,7 +752,7 @@
     confirm(&mut cell, 102, &first);
     // Long after the tickets ran out one of them is lost, and the other takes no second task.
     cell.set_workers(Millis(0), vec![listed("w1", "a"), listed("w3", "a")]);
-    cell.remove_worker(Millis(0), &"w2".into(), Over::Replaced);
+    cell.remove_worker(Millis(0), &"w2".into(), RemovalReason::Replaced);
     cell.tick(Millis(9_000), Millis(9_000));
     assert_eq!(named(&mut cell, 9_001), vec!["w3".into()]);
 }
@@ -843,13 +874,13 @@
     let silent = HoldError::Silent("no answer".into());
     cell.set_late(true);
     for now in (1_000..20_000).step_by(500) {
-        cell.unheld(Millis(now), &name, &silent);
+        cell.on_missing_report(Millis(now), &name, &silent);
         cell.tick(Millis(now), Millis(now));
         assert_eq!(starts(&mut cell, now), vec![], "at {now}");
     }
     // The answer was there all the time: the task was done long ago.
     let (task, run) = (first[0].1.task, first[0].1.run);
-    cell.held(Millis(20_000), Millis(19_900), &name, &ended(1, task, run, End::Done));
+    cell.on_report(Millis(20_000), Millis(19_900), &name, &ended(1, task, run, End::Done));
     write(&mut cell, 20_001);
     cell.set_late(false);
     cell.tick(Millis(20_100), Millis(20_100));
@@ -872,11 +903,11 @@
     cell.keep(Millis(20_000), batch.no);
     assert_eq!(starts(&mut cell, 20_001), Vec::new(), "it was decided before");
     let answer = Report { clock: 21_000, ..Report::default() };
-    cell.held(Millis(20_002), Millis(19_000), &"w1".into(), &answer);
+    cell.on_report(Millis(20_002), Millis(19_000), &"w1".into(), &answer);
     assert_eq!(starts(&mut cell, 20_003), Vec::new(), "neither list nor report are new");
     cell.set_workers(Millis(0), vec![listed("w1", "a")]);
     assert_eq!(starts(&mut cell, 20_004), Vec::new(), "the report was asked for before");
-    cell.held(Millis(20_006), Millis(20_005), &"w1".into(), &answer);
+    cell.on_report(Millis(20_006), Millis(20_005), &"w1".into(), &answer);
     let started = starts(&mut cell, 20_007);
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].1.task.step.job, key);
@@ -892,10 +923,10 @@
     let started = starts(&mut cell, 11);
     assert_eq!(cell.pending("q"), 1, "nothing is known to have begun");
     let (worker, start) = &started[0];
-    cell.started(Millis(400), worker, start.task, start.run, Outcome::Unknown);
+    cell.on_start_outcome(Millis(400), worker, start.task, start.run, Outcome::Unknown);
     assert_eq!(cell.pending("q"), 1);
     let report = Report { running: vec![running_row(start.task, start.run)], ..Report::default() };
-    cell.held(Millis(500), Millis(450), worker, &report);
+    cell.on_report(Millis(500), Millis(450), worker, &report);
     assert_eq!(cell.pending("q"), 0, "the worker runs it");
 }
 
@@ -928,14 +959,14 @@
     next.set_workers(Millis(0), workers.to_vec());
     write(&mut next, 1_000);
     for worker in &workers {
-        next.hold(Millis(1_001), &worker.id, true);
+        next.report_call(Millis(1_001), &worker.id, true);
     }
     let newer = vec![running_row(task, 1_026)];
     let report = Report { clock: 1_000, running: newer, ..Report::default() };
-    next.held(Millis(1_003), Millis(1_002), other, &report);
+    next.on_report(Millis(1_003), Millis(1_002), other, &report);
     let end = ended(1, task, 1_025, End::Failed);
-    next.held(Millis(1_004), Millis(1_002), at, &end);
-    next.held(Millis(1_005), Millis(1_002), &workers[2].id, &Report::default());
+    next.on_report(Millis(1_004), Millis(1_002), at, &end);
+    next.on_report(Millis(1_005), Millis(1_002), &workers[2].id, &Report::default());
     next.tick(Millis(1_100), Millis(1_100));
     next.schedule(Millis(1_101));
     write(&mut next, 1_101);
@@ -999,8 +1030,8 @@
     cell.set_workers(Millis(0), vec![listed("w1", "a")]);
     write(&mut cell, 1);
     let w1: Name = "w1".into();
-    cell.hold(Millis(2), &w1, true);
-    cell.held(Millis(3), Millis(2), &w1, &Report { clock: 1_000, ..Report::default() });
+    cell.report_call(Millis(2), &w1, true);
+    cell.on_report(Millis(3), Millis(2), &w1, &Report { clock: 1_000, ..Report::default() });
     let started = starts(&mut cell, 4);
     let indices: Vec<u32> = started.iter().map(|(_, start)| start.task.index).collect();
     assert_eq!(indices, [1]);
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -610,8 +610,8 @@
                 let is_other = life.is_some_and(|life| cell.has_restarted(&life));
                 let outcome = if is_other { Outcome::Unknown } else { outcome };
                 match start {
-                    true => cell.started(now, &worker, task, run, outcome),
-                    false => cell.stopped(now, &worker, task, run, outcome),
+                    true => cell.on_start_outcome(now, &worker, task, run, outcome),
+                    false => cell.on_stop_outcome(now, &worker, task, run, outcome),
                 }
                 self.drive(owner);
             }
@@ -624,10 +624,10 @@
                 let cell = &mut self.owners[owner].cell;
                 let pause = match &result {
                     Ok(report) => {
-                        cell.held(now, Millis(sent), &worker, report);
+                        cell.on_report(now, Millis(sent), &worker, report);
                         false
                     }
-                    Err(err) => cell.unheld(now, &worker, err),
+                    Err(err) => cell.on_missing_report(now, &worker, err),
                 };
                 self.drive(owner);
                 let wait = if pause { 250 } else { 0 };
--- a/tests/cellworld/wire.rs
+++ b/tests/cellworld/wire.rs
@@ -9,7 +9,7 @@
         }
         let renew = self.may_order(owner);
         let sent = self.now;
-        let Some(hold) = self.owners[owner].cell.hold(Millis(sent), &worker, renew) else {
+        let Some(hold) = self.owners[owner].cell.report_call(Millis(sent), &worker, renew) else {
             self.owners[owner].watched.remove(&worker);
             return;
         };
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -350,10 +350,10 @@
     fn report(&mut self) {
         let now = Millis(self.now);
         for name in self.watched.clone() {
-            let Some(hold) = self.cell.hold(now, &name, true) else { continue };
+            let Some(hold) = self.cell.report_call(now, &name, true) else { continue };
             let result = self.call(&name);
             match result {
-                Err(err) => drop(self.cell.unheld(now, &name, &err)),
+                Err(err) => drop(self.cell.on_missing_report(now, &name, &err)),
                 Ok(no) => {
                     self.renew(no, hold.until);
                     let host = &mut self.hosts[no];
@@ -364,7 +364,7 @@
                     let clock = CLOCK + now.0;
                     let report =
                         Report { clock, running, ended: host.ended.clone(), ..Report::default() };
-                    self.cell.held(now, now, &name, &report);
+                    self.cell.on_report(now, now, &name, &report);
                 }
             }
         }
@@ -409,7 +409,7 @@
                         Err(HoldError::Refused(why)) => Outcome::Refused(why),
                         Err(HoldError::Silent(_)) => Outcome::Unknown,
                     };
-                    self.cell.started(now, &worker, start.task, start.run, outcome);
+                    self.cell.on_start_outcome(now, &worker, start.task, start.run, outcome);
                 }
                 Action::Stop { worker, task, run } => {
                     let outcome = match self.call(&worker) {
@@ -421,7 +421,7 @@
                         Err(HoldError::Refused(why)) => Outcome::Refused(why),
                         Err(HoldError::Silent(_)) => Outcome::Unknown,
                     };
-                    self.cell.stopped(now, &worker, task, run, outcome);
+                    self.cell.on_stop_outcome(now, &worker, task, run, outcome);
                 }
                 Action::Watch(listed) => drop(self.watched.insert(listed.id)),
                 Action::Unwatch(worker) => drop(self.watched.remove(&worker)),
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -410,13 +410,13 @@
     fn report(&mut self) {
         let now = Millis(self.now);
         for id in self.watched.clone() {
-            let Some(hold) = self.cell.hold(now, &id, true) else { continue };
+            let Some(hold) = self.cell.report_call(now, &id, true) else { continue };
             let no = self.host(&id);
             let host = &mut self.hosts[no];
             if host.away_until > self.now || host.lost > 0 {
                 host.lost = host.lost.saturating_sub(1);
                 let silent = HoldError::Silent("nothing came".to_string());
-                self.cell.unheld(now, &id, &silent);
+                self.cell.on_missing_report(now, &id, &silent);
                 continue;
             }
             let life = &mut host.life;
@@ -435,7 +435,7 @@
                 running: running.collect(),
                 ended: life.ended.clone(),
             };
-            self.cell.held(now, now, &id, &report);
+            self.cell.on_report(now, now, &id, &report);
         }
     }
 
@@ -502,10 +502,10 @@
         let now = Millis(self.now);
         match action {
             Action::Start { worker, start, .. } => {
-                self.cell.started(now, worker, start.task, start.run, outcome);
+                self.cell.on_start_outcome(now, worker, start.task, start.run, outcome);
             }
             Action::Stop { worker, task, run } => {
-                self.cell.stopped(now, worker, *task, *run, outcome);
+                self.cell.on_stop_outcome(now, worker, *task, *run, outcome);
             }
             _ => {}
         }
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -100,8 +100,8 @@
             let running = worker.runs.keys().map(goes_on).collect();
             let report = Report { clock: self.now, running, ended, ..Report::default() };
             let name = worker.listed.id.clone();
-            self.cell.hold(now, &name, true);
-            self.cell.held(now, now, &name, &report);
+            self.cell.report_call(now, &name, true);
+            self.cell.on_report(now, now, &name, &report);
         }
         self.cell.tick(now, now);
         self.cell.schedule(now);
@@ -124,7 +124,7 @@
         worker.runs.insert((start.task, start.run), (end, End::Done));
         self.first.entry(start.task.step.job).or_insert(self.now);
         let done = Outcome::Done(None);
-        self.cell.started(Millis(self.now), name, start.task, start.run, done);
+        self.cell.on_start_outcome(Millis(self.now), name, start.task, start.run, done);
     }
 
     fn stop(&mut self, name: &Name, task: TaskKey, run: u64) {
@@ -133,7 +133,7 @@
         if let Some(row) = worker.runs.get_mut(&(task, run)) {
             *row = (self.now + STOP, End::Stopped);
         }
-        self.cell.stopped(Millis(self.now), name, task, run, Outcome::Done(None));
+        self.cell.on_stop_outcome(Millis(self.now), name, task, run, Outcome::Done(None));
     }
 }
 
