--- a/src/cell/jobs/mod.rs
+++ b/src/cell/jobs/mod.rs
@@ -1,8 +1,11 @@
-//! Jobs from their acceptance to their end, and why their steps wait.
+//! Jobs from acceptance to completion, and why their steps wait.
 //!
-//! `job` is what is known of one, `life` what happens to it and its runs; `crash` counts crashes of workers
-//! under tasks, `stage` what these mean for the next start; `wait` says why a step waits, `why` names the
-//! reasons.
+//! - `job`: the state of one job, its steps and its tasks.
+//! - `lifecycle`: state changes of jobs and of their runs.
+//! - `crash`: worker crashes, counted for each task that ran on the worker.
+//! - `restart_policy`: how a task may be started again after such crashes.
+//! - `wait`: why a step waits, with the log lines about it.
+//! - `wait_reason`: the possible reasons.
 
 pub mod crash;
 pub mod job;
--- a/src/cell/jobs/restart_policy.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -1,74 +1,78 @@
-//! What the crashes under a task mean for its next start.
+//! How a task may be started again after workers that ran it crashed.
 
 use crate::id::Name;
 use crate::order::Life;
 use serde::{Deserialize, Serialize};
 
-/// Crashes from which a task runs alone: with one it is mostly one of the six to fourteen that shared
-/// the worker, and to run all of them alone would take as many workers.
+/// Number of crashes from which on a task is quarantined. After a single crash it is most likely one of the six to
+/// fourteen tasks that happened to share the worker, and isolating all of these would take as many workers.
 pub(in crate::cell) const QUARANTINE_CRASHES: usize = 2;
-/// Crashes after which a task is given up if it ran alone under the last one. The platform's contract
-/// allows that after two; a third one is worth a worker for some seconds: it tells apart tasks that
-/// merely shared the worker.
+/// Number of crashes after which a task is given up if it ran alone on the worker that crashed last. The platform's
+/// contract allows that after two. The third one occupies a worker for some seconds, but it spares tasks that merely
+/// shared a worker with the cause.
 const ALONE_CRASH_LIMIT: usize = 3;
-/// Crashes after which a task is given up however it ran, unless only one was seen: one less than the contract allows, as one
-/// may go uncounted at a takeover.
+/// Number of crashes after which a task is given up even if it shared the workers, unless fewer than
+/// [`MIN_CERTAIN_CRASHES`] are certain. This is one less than the contract allows because one crash may go uncounted
+/// when another entry takes over the cell.
 const CRASH_LIMIT: usize = 4;
-/// Crashes from which a task is not started any more, also where all are doubtful: the contract allows two starts after
-/// the third crash.
+/// Number of crashes from which on a task is not started any more, even if all of them are doubtful. The contract allows
+/// two starts after the third crash.
 const RESTART_CRASH_LIMIT: usize = 5;
-/// Crashes that were seen from the start on without which nothing is given up before [`RESTART_CRASH_LIMIT`]: else a task that met
-/// two takeovers, or two starts that reached nobody, would be given up for one crash of a worker.
+/// Number of crashes that must not be [`Evidence::Doubtful`] before a task is given up with fewer than
+/// [`RESTART_CRASH_LIMIT`] crashes. Otherwise a task that met two takeovers, or two starts that reached no worker, would
+/// be given up for a single crash of a worker.
 const MIN_CERTAIN_CRASHES: usize = 2;
 
-/// What a crash tells of a task that was sent to the worker. Records of earlier versions hold a flag in its place, which is
-/// read as one of the first two.
+/// How strongly a crash of a worker speaks against a task that was sent to it.
+///
+/// Records of earlier versions hold a flag at this position, which decodes as one of the first two variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// The worker had stayed up until the task came; tasks of other jobs ran there, too.
+    /// The worker had been up for long enough when the task was sent. Tasks of other jobs ran on it as well.
     Shared,
-    /// The worker had stayed up until the task came, and nothing of another job ran there.
+    /// The worker had been up for long enough when the task was sent. No task of another job ran on it.
     Alone,
-    /// The worker had just started, and may crash by itself; or the task came from an earlier owner, which may have
-    /// read its end.
+    /// The worker had just started and may crash by itself, or the task was started by an earlier owner, which may have
+    /// received its end already.
     Doubtful,
 }
 
-/// A life of a worker that ended, not by plan, with a run of a task on it.
+/// An unplanned end of a worker's process while a run of a task was on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The life: each counts once, however often it is noticed.
+    /// The incarnation that ended. It counts once for a task, however often its end is noticed.
     pub worker: Life,
-    /// Where it was called.
+    /// The address at which it was reached.
     pub addr: Name,
-    /// What it tells of the task.
+    /// How strongly the crash speaks against the task.
     pub evidence: Evidence,
-    /// Another life is at the address; else it may be behind a cut.
+    /// Whether another incarnation was seen at the address. Until then the worker may just be unreachable.
     pub is_confirmed: bool,
 }
 
-/// How a task is started again, by the crashes under it.
+/// How a task may be started again, depending on the crashes of workers that ran it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::cell) enum RestartPolicy {
-    /// It runs where there is room.
+    /// It runs on any worker with enough free resources.
     Normal,
-    /// It runs at a worker that has stayed up, alone where there is room for that.
+    /// It runs only on workers that have been up for long enough, and alone there where that is possible.
     Quarantined,
-    /// It waits until an unconfirmed crash is settled; for good if all are doubtful, as no job is given up on doubt.
+    /// It waits until an unconfirmed crash is confirmed or ruled out. If all crashes are doubtful it waits until its job is
+    /// cancelled, because no job is given up on doubtful evidence alone.
     Paused,
-    /// Its job ends.
+    /// It is given up, and its job fails.
     Exhausted,
 }
 
 pub(in crate::cell) fn restart_policy(crashes: &[Crash]) -> RestartPolicy {
     let confirmed = || crashes.iter().filter(|crash| crash.is_confirmed);
-    let seen = confirmed().filter(|crash| crash.evidence != Evidence::Doubtful).count();
+    let certain = confirmed().filter(|crash| crash.evidence != Evidence::Doubtful).count();
     let last = confirmed().next_back().map(|crash| crash.evidence);
     match confirmed().count() {
-        // Nothing more can be learned by another start.
-        RESTART_CRASH_LIMIT.. if seen > 0 => RestartPolicy::Exhausted,
-        CRASH_LIMIT.. if seen >= MIN_CERTAIN_CRASHES => RestartPolicy::Exhausted,
-        ALONE_CRASH_LIMIT.. if last == Some(Evidence::Alone) && seen >= MIN_CERTAIN_CRASHES => {
+        // Another start would reveal nothing more.
+        RESTART_CRASH_LIMIT.. if certain > 0 => RestartPolicy::Exhausted,
+        CRASH_LIMIT.. if certain >= MIN_CERTAIN_CRASHES => RestartPolicy::Exhausted,
+        ALONE_CRASH_LIMIT.. if last == Some(Evidence::Alone) && certain >= MIN_CERTAIN_CRASHES => {
             RestartPolicy::Exhausted
         }
         known if known < crashes.len() && crashes.len() >= CRASH_LIMIT => RestartPolicy::Paused,
@@ -78,12 +82,12 @@
     }
 }
 
-/// Whether a task with these crashes waits until one is settled.
+/// Whether a task with these crashes waits until one of them is confirmed or ruled out.
 pub(in crate::cell) fn is_paused(crashes: &[Crash]) -> bool {
     restart_policy(crashes) == RestartPolicy::Paused
 }
 
-/// Whether a task with these crashes goes only to workers that have stayed up.
+/// Whether a task with these crashes is placed only on workers that have been up for long enough.
 pub(in crate::cell) fn needs_stable_worker(crashes: &[Crash]) -> bool {
     restart_policy(crashes) != RestartPolicy::Normal
 }
--- a/src/cell/jobs/wait_reason.rs
+++ b/src/cell/jobs/wait_reason.rs
@@ -1,34 +1,36 @@
-//! The reasons for which a step waits.
+//! The reasons why a step waits.
 
 use serde::{Deserialize, Serialize};
 
-/// Why tasks of a step have no worker yet. New reasons go last: entries of two versions tell each other by their places.
+/// Why tasks of a step have no worker yet.
+///
+/// New reasons must be added at the end: entries that run different versions identify a reason by its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// An earlier owner may have started them where this one cannot see it yet.
+    /// An earlier owner may have started the tasks on workers that have not reported to this owner yet.
     Takeover,
-    /// The advice service has not answered.
+    /// The advice service has not answered the request about the step.
     Advice,
-    /// The service cleared none of the workers that it was asked about.
+    /// The advice service cleared none of the workers that it was asked about.
     NoneCleared,
-    /// No worker that is cleared takes tasks now.
+    /// None of the workers that may run the step accepts tasks now.
     NoWorker,
-    /// Workers may have crashed under its tasks, which wait until that is known.
+    /// Workers may have crashed while they ran the tasks. The tasks wait until the crashes are confirmed or ruled out.
     Crashes,
-    /// No worker is large enough now: the room of some may have shrunk.
+    /// No worker is large enough for a task now. The resources of some workers may have shrunk.
     TooLarge,
-    /// Its workspace runs as much as it may.
+    /// The workspace of the job has reached its limit of running tasks.
     #[serde(rename = "bound")]
     WorkspaceLimit,
-    /// Cleared workers have no room, or none that is not kept for others.
+    /// Workers that may run the step have no free resources, or only resources that are reserved for other steps.
     Room,
-    /// Workers crashed under its tasks, and those with room for them have not stayed up for long enough yet.
+    /// Workers crashed while they ran the tasks, and the workers with free resources have not been up for long enough yet.
     NewWorkers,
 }
 
 impl WaitReason {
-    /// The name in log lines.
+    /// The name of the reason in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Takeover => "takeover",
--- a/src/cell/workers/mod.rs
+++ b/src/cell/workers/mod.rs
@@ -1,7 +1,11 @@
-//! Workers and their lives: who is listed, what they report, what became of orders to them.
+//! The workers of a cell: which are listed, what they report, and the outcomes of orders to them.
 //!
-//! `worker` is one worker, `roster` all of them; `report` takes in reports, `orders` the answers to orders,
-//! `restart` a worker that starts again under its id; `run_times` is how long tasks take.
+//! - `worker`: the state of one worker and of the runs on it.
+//! - `roster`: the set of workers, and workers that become unreachable, leave or are gone.
+//! - `report`: handling of the reports of workers.
+//! - `orders`: handling of the outcomes of start and stop orders.
+//! - `restart`: workers whose process was restarted with the same id.
+//! - `run_times`: statistics of how long tasks take compared with their estimates.
 
 pub(super) mod orders;
 pub(super) mod report;
--- a/src/cell/workers/run_times.rs
+++ b/src/cell/workers/run_times.rs
@@ -1,18 +1,18 @@
-//! How long runs of a queue take against their callers' estimates, learned from those that are done.
+//! How long runs of a queue take compared with the callers' estimates, learned from completed runs.
 
 use crate::clock::Millis;
 
-/// The weight of one more run: the last 50 or so count.
+/// The weight of a new run in the moving averages: about the last 50 runs count.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// Fewer runs tell nothing.
+/// The least number of runs from which a limit is derived.
 const MIN_SAMPLES: u32 = 20;
-/// A run is late beyond the mean and this many mean deviations: about one in a thousand is, where
-/// run times spread as a bell does.
+/// A run is late when its ratio exceeds the mean by this many mean absolute deviations. For normally distributed run
+/// times that is about one run in a thousand.
 const LATE_DEVIATIONS: f64 = 4.0;
-/// Answers and reports take this much on their way.
+/// Time that the answer to a start and the reports of a worker may take on the network.
 const REPORT_DELAY: Millis = Millis(300);
 
-/// The ratio of run times to estimates.
+/// Moving averages of the ratio of run time to estimate.
 #[derive(Debug, Default)]
 pub struct RunTimes {
     count: u32,
@@ -21,26 +21,27 @@
 }
 
 impl RunTimes {
-    /// A run took so long.
-    pub fn add(&mut self, estimate: Millis, took: Millis) {
+    /// Adds a completed run with its estimated and its actual run time.
+    pub fn add(&mut self, estimate: Millis, run_time: Millis) {
         if estimate.0 == 0 {
             return;
         }
-        let ratio = took.0 as f64 / estimate.0 as f64;
-        // A run that stood still must not teach that standing still is usual.
-        let ratio = self.late_ratio().map_or(ratio, |bound| ratio.min(bound));
+        let ratio = run_time.0 as f64 / estimate.0 as f64;
+        // The ratio is capped: a stalled run must not raise the limit for the runs after it.
+        let ratio = self.late_ratio().map_or(ratio, |limit| ratio.min(limit));
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.count + 1));
         self.deviation += ((ratio - self.mean).abs() - self.deviation) * weight;
         self.mean += (ratio - self.mean) * weight;
         self.count += 1;
     }
 
+    /// The ratio of run time to estimate beyond which a run is late, if enough runs are known.
     fn late_ratio(&self) -> Option<f64> {
         (self.count >= MIN_SAMPLES).then_some(self.mean + LATE_DEVIATIONS * self.deviation)
     }
 
-    /// The time after which a run takes far longer than others of its queue, if that is known.
+    /// The run time after which a run with this estimate is late compared with others of its queue, if enough runs are known.
     pub fn late_after(&self, estimate: Millis) -> Option<Millis> {
-        self.late_ratio().map(|bound| Millis((estimate.0 as f64 * bound) as u64) + REPORT_DELAY)
+        self.late_ratio().map(|limit| Millis((estimate.0 as f64 * limit) as u64) + REPORT_DELAY)
     }
 }
