--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -1,4 +1,4 @@
-//! A worker at its owner: the room that is taken, what runs, and what is known of its health.
+//! The owner's view of one worker: its resources, the runs on it, and its health.
 
 use crate::cell::placing::usage::Held;
 use crate::clock::Millis;
@@ -7,82 +7,82 @@
 use crate::workload::{JobKey, Room, Step, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A lease is counted as over this much later, in thousandths of its length: a worker's clock may
-/// be 2 % slow (the platform's contract), and one is spare.
-const LEASE_SAFETY_PERMILLE: u64 = 1_030;
-/// Reports in a row that may be missing before a worker counts as silent.
+/// The owner considers a lease expired after its length times this factor, in thousandths. A worker's clock may be 2 %
+/// slow by the platform's contract, and 1 % is a margin.
+const LEASE_FACTOR_PERMILLE: u64 = 1_030;
+/// Number of consecutive reports that may be missing before a worker is considered unreachable.
 const MAX_MISSED_REPORTS: u32 = 1;
-/// Failures in a row, of different jobs, after which a worker is set aside. Tasks that fail by
-/// their own fault are at most one in ten, so three in a row are one in a thousand.
+/// Number of consecutive failures, of different jobs, after which a worker is excluded from placement. At most one task in
+/// ten fails by its own fault, so three such failures in a row happen once in a thousand.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// How long a worker is set aside the first time; doubled each time. The platform's workers
-/// recover within seconds or not at all.
+/// The first time that a worker is excluded from placement; each further exclusion is twice as long. The platform's
+/// workers recover within seconds or not at all.
 const MIN_EXCLUSION: Millis = Millis(2_000);
-/// The longest time that a worker is set aside.
+/// The longest time that a worker is excluded from placement.
 const MAX_EXCLUSION: Millis = Millis(16_000);
 
-/// A task that saves its progress does so with each half second of work on the platform's workers:
-/// two were missed and the next is late.
+/// A run that should save its progress is stalled after this time without a new checkpoint. The platform's workers save
+/// one after each half second of work, so two are missing by then and the third is late.
 const STALL_TIMEOUT: Millis = Millis(1_700);
-/// Late runs of two jobs within this time are the worker's doing.
+/// Late runs of two different jobs within this time are attributed to the worker.
 const LATE_WINDOW: Millis = Millis(3_000);
 
-/// A worker has stayed up once a life of it was heard for so long. One that crashes by itself mostly does so again and
-/// again, and sooner.
+/// A worker is stable once this long has passed since the first report of its current incarnation. A worker that crashes
+/// by itself usually does so repeatedly, and sooner than this.
 const STABLE_AFTER: Millis = Millis(2_000);
 
-/// Where a run stands at its worker.
+/// The phase of a run on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// A start was sent.
+    /// The run was assigned to the worker and has not been confirmed yet.
     Starting,
-    /// The start was answered at this time, or a report named the run.
+    /// The worker answered the start, or first reported the run, at this time.
     Running(Millis),
-    /// It must end: a stop was sent, and answered at this time if at all.
+    /// The run has to end. The time is when the worker answered the stop, if it has.
     Stopping(Option<Millis>),
 }
 
-/// A run whose room is taken.
+/// A run that holds resources of a worker.
 #[derive(Debug)]
 pub struct Run {
-    /// The number of the start.
+    /// The run number, which rises with each start of the task.
     pub run: u64,
-    /// What it takes.
+    /// The resources that it is charged.
     pub charge: Room,
-    /// Its part of what its workspace has running.
+    /// Counts the run towards the usage of its workspace until it is dropped.
     pub usage_guard: Option<Held>,
-    /// Where it stands.
+    /// The phase of the run.
     pub phase: Phase,
-    /// A stop is under way to the worker.
+    /// A stop was sent, and its outcome is not known yet.
     pub stop_pending: bool,
-    /// Its start may have reached the worker.
+    /// A start was sent and may have reached the worker.
     pub is_sent: bool,
-    /// It was sent to a life before: this one is told to refuse it.
+    /// It was sent to an earlier incarnation of the worker; the current one is told to refuse it.
     pub is_stale: bool,
-    /// Since when it is known here, as bound or as running.
+    /// When this owner assigned the run or first learned of it.
     pub known_since: Millis,
-    /// The worker surely began it.
+    /// The worker has confirmed that it started the run.
     pub has_started: bool,
-    /// The share at which it may work, in hundredths.
+    /// The share of its processor time that it may use, in percent.
     pub percent: u32,
-    /// It takes what others leave.
+    /// It uses only processors that other tasks leave idle.
     pub is_filler: bool,
-    /// The bound on the tail of its answers; 0: it serves nobody.
+    /// The limit for the tail latency of its responses; 0 if it serves no requests.
     pub tail_limit: Millis,
-    /// It saves its progress.
+    /// It saves checkpoints of its progress.
     pub saves_progress: bool,
-    /// When it was first known to run.
+    /// When this owner learned that it runs.
     pub started_at: Millis,
-    /// When it last saved progress, or began.
+    /// When it last saved a checkpoint, or started.
     pub progressed_at: Millis,
-    /// The time after which it takes far longer than others of its queue.
+    /// The run time after which it is late compared with others of its queue.
     pub late_after: Option<Millis>,
-    /// It was found to stand still or to be late.
+    /// It was found to be stalled or late.
     pub is_straggler: bool,
 }
 
 impl Run {
-    /// A run of a step's task.
+    /// Creates a run of a task of a step.
     pub fn new(run: u64, spec: &Step, phase: Phase) -> Self {
         Self {
             run,
@@ -105,77 +105,81 @@
         }
     }
 
-    /// The worker surely runs it by now.
+    /// The worker confirmed that it runs.
     pub fn mark_started(&mut self, now: Millis) {
         self.phase = Phase::Running(now);
         self.has_started = true;
         (self.started_at, self.progressed_at) = (now, now);
     }
 
-    /// Whether it stands still although it should save progress.
+    /// Whether it should have saved a checkpoint by now and has not.
     fn is_stalled(&self, now: Millis) -> bool {
         self.saves_progress && !self.is_filler && now.since(self.progressed_at) >= STALL_TIMEOUT
     }
 
-    /// Whether it takes far longer than others of its queue.
+    /// Whether it takes far longer than other runs of its queue.
     fn is_late(&self, now: Millis) -> bool {
         self.late_after.is_some_and(|limit| now.since(self.started_at) >= limit)
     }
 }
 
-/// A worker.
+/// A worker and what its owner knows of it.
 #[derive(Debug)]
 pub struct Worker {
-    /// As it lists itself.
+    /// Its entry in the list of workers.
     pub listed: Listed,
-    /// When the process started that reports, or whose runs an earlier owner left.
+    /// When the current incarnation started: the one that reports, or on which an earlier owner left runs.
     born: Option<Millis>,
-    /// When it was last found to be another life.
+    /// When a restart of the worker was last noticed.
     pub restarted_at: Millis,
-    /// Something sent to it was not answered since it last reported: it may be another life by now.
+    /// A message to it was not answered since its last report, so it may have restarted.
     maybe_restarted: bool,
-    /// It is listed now.
+    /// It is on the list of workers now.
     pub is_listed: bool,
-    /// The batch that names it among the workers in use.
+    /// The batch that records it as a worker in use.
     pub roster_batch: u64,
-    /// It answered in this epoch, and to the last call.
+    /// It has reported in this epoch, and answered since the owner last considered it unreachable.
     pub is_reachable: bool,
-    /// It answered in this epoch: what earlier owners started there is known.
+    /// It has reported in this epoch, so the runs that earlier owners started there are known.
     pub has_reported: bool,
-    /// When this life first answered in this epoch.
+    /// When the current incarnation first reported in this epoch.
     first_report: Option<Millis>,
-    /// What runs or may run there. A task can have two runs for a moment, one of them ending.
+    /// The runs that are or may be on it. A task can have two runs for a moment, one of which is ending.
     pub runs: BTreeMap<(TaskKey, u64), Run>,
-    /// The room taken by `runs`.
+    /// The resources charged for `runs`.
     pub used: Room,
-    /// An order or a report asked for at this time was not answered, and no later one was either.
+    /// When the last order or report call was sent that was not answered, if no later one was.
     unanswered_at: Option<Millis>,
-    /// Reports in a row that did not come.
+    /// Number of consecutive reports that are missing.
     missed_reports: u32,
-    /// The worker's clock and when it was read here.
+    /// The time on the worker's clock, and when it was received here.
     clock: Option<(u64, Millis)>,
-    /// When everything that it runs has surely ended unless it is renewed.
+    /// When all leases on the worker have expired unless they are renewed.
     pub lease_end: Millis,
-    /// The highest end that was taken in.
+    /// The highest number of an end of a run that was received.
     last_end: u64,
-    /// The highest end that may be confirmed: it is in the store.
+    /// The highest number of an end that may be confirmed to the worker because its record is in the store.
     confirmed_end: u64,
-    /// Ends taken in, with the batch that keeps them.
+    /// Ends that were received and are not in the store yet: the batch with the record, and the number of the end.
     unstored_ends: VecDeque<(u64, u64)>,
+    /// Number of consecutive failures, of different jobs.
     failures: u32,
+    /// The task that failed last.
     last_failed: Option<TaskKey>,
+    /// The length of the last exclusion from placement; 0 if there was none since a task last succeeded.
     exclusion: Millis,
+    /// Until when it is excluded from placement.
     excluded_until: Millis,
-    /// The last run that was late, and when it was found to be.
+    /// The task of the last straggler, and when it was found.
     last_late: Option<(TaskKey, Millis)>,
-    /// When the shares of fillers were last changed.
+    /// When the processor shares of filler tasks were last changed.
     pub throttled_at: Millis,
-    /// The worker is left to this job.
+    /// The job to which the worker is left because one of its tasks is quarantined.
     pub(in crate::cell) quarantined_for: Option<JobKey>,
 }
 
 impl Worker {
-    /// A worker that has not answered yet.
+    /// Creates a worker that has not reported yet.
     pub fn new(listed: Listed, roster_batch: u64, lease_end: Millis) -> Self {
         Self {
             born: listed.born,
@@ -206,19 +210,20 @@
         }
     }
 
-    /// The life that is known here.
+    /// The incarnation that is known here.
     pub fn life(&self) -> Life {
         Life { id: self.listed.id.clone(), born: self.born }
     }
 
-    /// Whether a process that started at `born` is another life than the one known here.
+    /// Whether a process that started at `born` is another incarnation than the one known here.
     pub fn is_other_incarnation(&self, born: Option<Millis>) -> bool {
         differ(self.born, born)
     }
 
-    /// The life that reports from now on: it holds nothing of the one before, and its numbers of ends and
-    /// its clock begin anew. It gets nothing new before its own entry in the list is read, for it may be of
-    /// another kind.
+    /// Resets the state to that of a new incarnation and returns the state of the previous one.
+    ///
+    /// The new incarnation has none of the runs, and its clock and its numbers of ends start anew. It gets no new tasks
+    /// before its own entry in the list of workers is read, because its kind may have changed.
     pub fn restart(
         &mut self,
         now: Millis,
@@ -231,67 +236,67 @@
         std::mem::replace(self, next)
     }
 
-    /// Something sent to it was not answered.
+    /// A message to it was not answered.
     pub fn suspect_restart(&mut self) {
         self.maybe_restarted = true;
     }
 
-    /// Whether it may be another life by now: nothing of the life before may be said to it.
+    /// Whether it may have restarted: nothing that refers to its previous incarnation may be sent to it.
     pub fn may_have_restarted(&self) -> bool {
         self.maybe_restarted
     }
 
-    /// The room that is free.
+    /// The free resources.
     pub fn free(&self) -> Room {
         self.listed.room.less(&self.used)
     }
 
-    /// Whether more is taken than there is, since its room shrank.
+    /// Whether the runs take more than the worker has, because its resources shrank.
     pub fn is_overcommitted(&self) -> bool {
         !self.listed.room.holds(&self.used)
     }
 
-    /// Its rack.
+    /// The rack of the worker.
     pub fn rack(&self) -> Option<&Name> {
         self.listed.rack()
     }
 
-    /// Takes room for a run.
+    /// Adds a run and charges its resources.
     pub fn add_run(&mut self, task: TaskKey, run: Run) {
         self.used = self.used.plus(&run.charge);
         self.runs.insert((task, run.run), run);
     }
 
-    /// Frees the room of a run.
+    /// Removes a run and frees its resources.
     pub fn remove_run(&mut self, task: TaskKey, run: u64) -> Option<Run> {
         let run = self.runs.remove(&(task, run))?;
         self.used = self.used.less(&run.charge);
         Some(run)
     }
 
-    /// When a lease that begins now ends on the worker's clock, if that is known.
+    /// Renews the lease. Returns its end on the worker's clock, or `None` if that clock is not known.
     pub fn renew_lease(&mut self, now: Millis, length: Millis) -> Option<u64> {
-        let (clock, at) = self.clock?;
-        let over = now + Millis(length.0 * LEASE_SAFETY_PERMILLE / 1_000);
-        self.lease_end = self.lease_end.max(over);
-        Some(clock + now.since(at).0 + length.0)
+        let (clock, read_at) = self.clock?;
+        let expiry = now + Millis(length.0 * LEASE_FACTOR_PERMILLE / 1_000);
+        self.lease_end = self.lease_end.max(expiry);
+        Some(clock + now.since(read_at).0 + length.0)
     }
 
-    /// Something sent at `sent` was not answered: nothing new goes there until a report is.
+    /// A message sent at `sent` was not answered: the worker gets no new tasks until it answers a report call.
     pub fn mark_unanswered(&mut self, sent: Millis) {
         self.maybe_restarted = true;
         self.unanswered_at = self.unanswered_at.max(Some(sent));
     }
 
-    /// Whether it left something unanswered since it last reported.
+    /// Whether a message to it was not answered since its last report.
     pub fn has_unanswered(&self) -> bool {
         self.unanswered_at.is_some()
     }
 
-    /// The worker answered what was asked at `sent`, and told its clock; whether it is known only now when
-    /// it started.
+    /// The worker answered a report call that was sent at `sent`. Returns whether the report is the first to tell when
+    /// the worker's process started.
     pub fn record_report(&mut self, now: Millis, sent: Millis, report: &Report) -> bool {
-        if self.unanswered_at.is_some_and(|doubted| sent >= doubted) {
+        if self.unanswered_at.is_some_and(|unanswered| sent >= unanswered) {
             self.unanswered_at = None;
         }
         self.clock = Some((report.clock, now));
@@ -299,65 +304,65 @@
         self.is_reachable = true;
         self.first_report.get_or_insert(now);
         self.missed_reports = 0;
-        let is_news = self.born.is_none() && report.born.is_some();
+        let is_first_start_time = self.born.is_none() && report.born.is_some();
         self.born = self.born.or(report.born);
-        is_news
+        is_first_start_time
     }
 
-    /// A report did not come; whether that was more than one in a row.
+    /// A report is missing. Returns whether more than [`MAX_MISSED_REPORTS`] are missing in a row.
     pub fn record_missing_report(&mut self) -> bool {
         self.missed_reports += 1;
         self.missed_reports > MAX_MISSED_REPORTS
     }
 
-    /// From when on this life has stayed up, if it does.
+    /// When the current incarnation becomes stable if it stays up.
     pub fn stable_from(&self) -> Option<Millis> {
-        self.first_report.map(|at| at + STABLE_AFTER)
+        self.first_report.map(|first| first + STABLE_AFTER)
     }
 
-    /// Whether this life had stayed up by then.
+    /// Whether the current incarnation was stable at `at`.
     pub fn is_stable(&self, at: Millis) -> bool {
-        self.stable_from().is_some_and(|from| at >= from)
+        self.stable_from().is_some_and(|stable_from| at >= stable_from)
     }
 
-    /// The highest end that may be confirmed.
+    /// The highest number of an end that may be confirmed to the worker.
     pub fn confirmed_end(&self) -> u64 {
         self.confirmed_end
     }
 
-    /// Whether an end was taken in before.
-    pub fn has_recorded_end(&self, no: u64) -> bool {
-        no <= self.last_end
+    /// Whether the end with this number was received before.
+    pub fn has_recorded_end(&self, number: u64) -> bool {
+        number <= self.last_end
     }
 
-    /// An end was taken in, and `batch` will keep it.
-    pub fn record_end(&mut self, no: u64, batch: u64) {
-        self.last_end = self.last_end.max(no);
-        self.unstored_ends.push_back((batch, no));
+    /// Notes the number of an end that was received and whose record is in `batch`.
+    pub fn record_end(&mut self, number: u64, batch: u64) {
+        self.last_end = self.last_end.max(number);
+        self.unstored_ends.push_back((batch, number));
     }
 
     /// All batches up to `batch` are in the store.
     pub fn mark_stored(&mut self, batch: u64) {
-        while let Some((of, no)) = self.unstored_ends.front().copied()
-            && of <= batch
+        while let Some((stored_in, number)) = self.unstored_ends.front().copied()
+            && stored_in <= batch
         {
-            self.confirmed_end = self.confirmed_end.max(no);
+            self.confirmed_end = self.confirmed_end.max(number);
             self.unstored_ends.pop_front();
         }
     }
 
-    /// The batch that keeps the last end taken in, if it is not in the store yet.
+    /// The batch with the record of the last end that was received, if it is not in the store yet.
     pub fn unstored_batch(&self) -> Option<u64> {
         self.unstored_ends.back().map(|(batch, _)| *batch)
     }
 
-    /// A run ended as it should.
+    /// A run succeeded.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.exclusion = Millis(0);
     }
 
-    /// A run failed; `true` if the worker is set aside for it.
+    /// A run failed. Returns whether the worker is excluded from placement for it.
     pub fn record_failure(&mut self, now: Millis, task: TaskKey) -> bool {
         if self.last_failed.is_some_and(|last| last.step.job == task.step.job) {
             return false;
@@ -371,55 +376,56 @@
         true
     }
 
-    /// Gives the worker nothing new for a while.
+    /// Excludes the worker from placement for a while.
     pub fn exclude(&mut self, now: Millis) {
         self.exclusion = Millis((self.exclusion.0 * 2).clamp(MIN_EXCLUSION.0, MAX_EXCLUSION.0));
         self.excluded_until = now + self.exclusion;
-        // One more failure sets it aside again.
+        // One more failure excludes it again.
         self.failures = MAX_CONSECUTIVE_FAILURES - 1;
     }
 
-    /// Finds runs that stand still or take far longer than others of their queue, each once. The
-    /// worker is set aside for one that stands still, and for late ones of two jobs.
+    /// Finds runs that are stalled or late, each only once. The worker is excluded from placement for a stalled run, and
+    /// for late runs of two different jobs within [`LATE_WINDOW`].
     pub fn find_stragglers(&mut self, now: Millis) -> Vec<(TaskKey, u64)> {
-        let (mut found, mut blame) = (Vec::new(), false);
-        let running = |run: &Run| matches!(run.phase, Phase::Running(_)) && !run.is_straggler;
-        for ((task, no), run) in self.runs.iter_mut().filter(|(_, run)| running(run)) {
-            let still = run.started_at.0 > 0 && run.is_stalled(now);
-            if !still && (run.started_at.0 == 0 || !run.is_late(now)) {
+        let (mut found, mut is_at_fault) = (Vec::new(), false);
+        let is_candidate = |run: &Run| matches!(run.phase, Phase::Running(_)) && !run.is_straggler;
+        for ((task, number), run) in self.runs.iter_mut().filter(|(_, run)| is_candidate(run)) {
+            let is_stalled = run.started_at.0 > 0 && run.is_stalled(now);
+            if !is_stalled && (run.started_at.0 == 0 || !run.is_late(now)) {
                 continue;
             }
             run.is_straggler = true;
-            found.push((*task, *no));
+            found.push((*task, *number));
             let other = self.last_late.replace((*task, now));
-            let together = other.is_some_and(|(other, at)| {
+            let is_repeated = other.is_some_and(|(other, at)| {
                 other.step.job != task.step.job && now.since(at) < LATE_WINDOW
             });
-            blame = blame || still || together;
+            is_at_fault = is_at_fault || is_stalled || is_repeated;
         }
-        if blame && now >= self.excluded_until {
+        if is_at_fault && now >= self.excluded_until {
             self.exclude(now);
         }
         found
     }
 
-    /// Whether its last runs were fine.
+    /// Whether no run has failed since the last success.
     pub fn is_healthy(&self) -> bool {
         self.failures == 0
     }
 
-    /// Whether it is set aside.
+    /// Whether it is excluded from placement now.
     pub fn is_excluded(&self, now: Millis) -> bool {
         now < self.excluded_until
     }
 
-    /// Whether it may get new tasks unless it is set aside, with all batches up to `kept` in the store.
-    pub fn accepts_tasks(&self, kept: u64) -> bool {
-        let answers = self.has_reported && self.is_reachable && self.unanswered_at.is_none();
-        let known = self.is_listed
-            && answers
-            && self.roster_batch <= kept
+    /// Whether it may get new tasks when all batches up to `stored_batch` are in the store. Exclusion from placement is not
+    /// considered here.
+    pub fn accepts_tasks(&self, stored_batch: u64) -> bool {
+        let is_responsive = self.has_reported && self.is_reachable && self.unanswered_at.is_none();
+        let is_known = self.is_listed
+            && is_responsive
+            && self.roster_batch <= stored_batch
             && !self.is_other_incarnation(self.listed.born);
-        known && self.listed.leaving.is_none() && self.clock.is_some()
+        is_known && self.listed.leaving.is_none() && self.clock.is_some()
     }
 }
