--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job at its owner: its steps, its tasks, and what is known of them.
+//! The owner's view of a job: its steps, its tasks and their state.
 
 use crate::cell::jobs::restart_policy::Crash;
 use crate::cell::jobs::wait::Wait;
@@ -9,42 +9,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What is beyond a workspace's share is less urgent by this: more than any queue is.
+/// Added to the priority value of jobs beyond their workspace's share. It is larger than the priority value of any queue,
+/// so these jobs come after all others.
 const OVER_SHARE_PENALTY: u32 = 1 << 16;
 
-/// Where a task stands.
+/// The status of a task.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum TaskStatus {
-    /// It needs a worker, now or once its step's turn has come.
+    /// It needs a worker, now or once its step is ready.
     #[default]
     Waiting,
-    /// It was given to a worker, as this run.
+    /// It was assigned to a worker.
     Placed {
         /// The worker.
         worker: Name,
-        /// The number of the start.
+        /// The run number of the assignment.
         run: u64,
     },
-    /// It is done.
+    /// It has succeeded.
     Done,
 }
 
-/// A task.
+/// The state of one task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Task {
-    /// Where it stands.
+    /// Its status.
     pub status: TaskStatus,
-    /// The runs of it that failed: a worker may list an end again after a takeover.
+    /// The runs of it that failed. After a takeover a worker may report the same failure again, which must not count twice.
     pub failed_runs: Vec<u64>,
-    /// The number of its last start in this epoch.
+    /// The number of its last run that was started in this epoch.
     pub last_run: u64,
-    /// Its saved progress; empty: none.
+    /// Its last checkpoint; empty if there is none.
     pub checkpoint: Name,
-    /// Workers on which it failed.
+    /// Workers on which it failed; placement avoids them.
     pub failed_workers: Vec<Name>,
-    /// Lives of workers that ended, not by plan, while it ran there.
+    /// Crashes of workers while it ran on them.
     pub crashes: Vec<Crash>,
-    /// Since when it lasts and waits for a worker.
+    /// Since when it has waited for a worker. Only set for tasks that run until their job is cancelled.
     pub idle_since: Option<Millis>,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Task {
-    /// Where the task is known to run as a lower run than `run`.
+    /// The worker and the number of the run that the task is assigned as, if that run is older than `run`.
     pub fn older_run(&self, run: u64) -> Option<(Name, u64)> {
         match &self.status {
             TaskStatus::Placed { worker, run: older } if *older < run => {
@@ -76,115 +77,115 @@
     }
 }
 
-/// A worker's clearance for a step.
+/// The ticket with which a worker may run tasks of a step.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ticket {
-    /// What a start must carry.
+    /// The text that an order to start a task must carry.
     pub text: Name,
-    /// When it stops holding.
+    /// When it expires.
     pub until: Millis,
 }
 
-/// What the advice service said about a step.
+/// What the advice service answered about the workers for a step.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Clearances {
-    /// A question is under way.
+    /// A request for the step is queued or was sent, and has not been answered yet.
     pub is_asking: bool,
-    /// When it was put.
+    /// When that request was made.
     pub asked_at: Millis,
-    /// It is not asked again before this time.
+    /// No further request is made before this time.
     pub retry_at: Millis,
-    /// Workers that may run the step; the clearance never changes, only the ticket runs out.
+    /// Workers that may run the step. The clearance of a worker never changes; only its ticket expires.
     pub cleared: BTreeMap<Name, Ticket>,
-    /// Workers that may not.
+    /// Workers that may not run the step.
     pub denied: BTreeSet<Name>,
 }
 
 impl Clearances {
-    /// Workers whose tickets hold until `until` at least.
+    /// Workers whose tickets are valid at `until`.
     pub fn ticket_holders(&self, until: Millis) -> impl Iterator<Item = &Name> {
         let holds = move |(_, ticket): &(&Name, &Ticket)| ticket.until > until;
         self.cleared.iter().filter(holds).map(|(name, _)| name)
     }
 
-    /// Whether nothing was asked yet.
+    /// Whether the advice service has not cleared or denied any worker yet.
     pub fn has_no_answer(&self) -> bool {
         self.cleared.is_empty() && self.denied.is_empty()
     }
 
-    /// Whether any ticket holds until `until`.
+    /// Whether any ticket is valid at `until`.
     pub fn has_any_ticket(&self, until: Millis) -> bool {
         self.ticket_holders(until).next().is_some()
     }
 
-    /// Whether a worker's ticket holds until `until`.
+    /// Whether a worker's ticket is valid at `until`.
     pub fn has_ticket_for(&self, name: &Name, until: Millis) -> bool {
         self.cleared.get(name).is_some_and(|ticket| ticket.until > until)
     }
 }
 
-/// One step of one repetition.
+/// The state of one step of one repetition.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StepState {
     /// Its tasks.
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
+    /// Number of tasks that have not succeeded yet.
     pub unfinished: u32,
-    /// Tasks that need a worker.
+    /// Indices of the tasks that need a worker.
     pub waiting: BTreeSet<u32>,
-    /// What the advice service said.
+    /// What the advice service answered about workers for the step.
     pub clearances: Clearances,
-    /// When its turn came: its dependencies are done and its time is due.
+    /// Since when it is ready: its dependencies are done and its scheduled time has come.
     pub ready_since: Option<Millis>,
-    /// Why it waits.
+    /// Why it waits, and for how long it has.
     pub wait: Option<Wait>,
-    /// Since when tasks wait and none of it was given to a worker.
+    /// Since when tasks of it wait and none has been assigned to a worker.
     pub idle_since: Option<Millis>,
 }
 
-/// A job.
+/// The state of one job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
     /// Its queue.
     pub queue: Arc<Queue>,
-    /// What was asked for.
+    /// What the caller submitted.
     pub work: Arc<Work>,
-    /// The workspace of its caller; `None`: anybody's.
+    /// The workspace of its caller; `None` if any caller may ask for it.
     pub workspace: Option<Name>,
-    /// Its workspace sent more than its share when it came.
+    /// Its workspace had used up its share of submissions when the job was submitted.
     pub is_over_share: bool,
-    /// When this owner learned of it.
+    /// When this owner first learned of the job.
     pub known_since: Millis,
-    /// The batch with its record.
+    /// The batch with the record of the job.
     pub batch: u64,
-    /// It was accepted by an earlier owner, so a task may run where this owner cannot see it.
+    /// It was accepted by an earlier owner, so its tasks may run on workers that have not reported to this owner yet.
     pub is_inherited: bool,
-    /// A task has been given to a worker.
+    /// One of its tasks has been assigned to a worker.
     pub was_placed: bool,
-    /// A worker surely began a task.
+    /// A worker has confirmed that it started one of its tasks.
     pub has_run: bool,
-    /// The failure domain that its tasks go to as far as there is room.
+    /// The failure domain in which its tasks are placed as far as there are free resources.
     pub home_domain: Option<Name>,
-    /// How it ended, with the batch that says so and the time.
+    /// How it ended, the batch with the record of that, and when.
     pub closed: Option<(Fate, u64, Millis)>,
-    /// Progress has been written.
+    /// The store has a record of its progress.
     pub has_progress: bool,
-    /// Crashes under its tasks have been written.
+    /// The store has a record of crashes of workers that ran its tasks.
     pub has_crashes: bool,
     /// The steps: all of the first repetition, then all of the second.
     pub steps: Vec<StepState>,
 }
 
 impl Job {
-    /// A job of which nothing has run.
+    /// Creates a job of which no task has run.
     pub fn new(queue: Arc<Queue>, work: Arc<Work>, now: Millis, batch: u64) -> Self {
-        let fresh = |step: &Step| StepState {
+        let new_step = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             unfinished: step.count,
             waiting: (0..step.count).collect(),
             ..StepState::default()
         };
-        let steps = (0..work.times).flat_map(|_| work.steps.iter().map(fresh)).collect();
+        let steps = (0..work.times).flat_map(|_| work.steps.iter().map(new_step)).collect();
         Self {
             queue,
             work,
@@ -203,7 +204,7 @@
         }
     }
 
-    /// A job that ended under an earlier owner: only its fate is known.
+    /// Creates a job that ended under an earlier owner. Only how it ended is known.
     pub fn ended(queue: Arc<Queue>, fate: Fate, now: Millis) -> Self {
         let work = Work {
             spec: "".into(),
@@ -222,38 +223,39 @@
         }
     }
 
+    /// The position in `steps` of a step in a repetition.
     fn step_index(&self, time: u32, step: u16) -> usize {
         time as usize * self.work.steps.len() + usize::from(step)
     }
 
-    /// What was asked for in a step.
+    /// The specification of a step.
     pub fn spec(&self, step: u16) -> Option<&Step> {
         self.work.steps.get(usize::from(step))
     }
 
-    /// The state of a step.
+    /// Returns the state of a step.
     pub fn step(&self, key: StepKey) -> Option<&StepState> {
         self.steps.get(self.step_index(key.time, key.step))
     }
 
-    /// The state of a step, to change it.
+    /// Returns the mutable state of a step.
     pub fn step_mut(&mut self, key: StepKey) -> Option<&mut StepState> {
         let at = self.step_index(key.time, key.step);
         self.steps.get_mut(at)
     }
 
-    /// How urgent it is: 0 comes first. What is beyond its workspace's share comes after all that is not.
+    /// The priority of the job: 0 comes first. Jobs beyond their workspace's share come after all others.
     pub fn priority(&self) -> u32 {
         self.queue.priority.saturating_add(if self.is_over_share { OVER_SHARE_PENALTY } else { 0 })
     }
 
-    /// Whether a step's turn came so long ago.
+    /// Whether a step has been ready for at least `length`.
     pub fn has_waited(&self, now: Millis, key: StepKey, length: Millis) -> bool {
         let turn = self.step(key).and_then(|step| step.ready_since);
         turn.is_some_and(|turn| now.since(turn) >= length)
     }
 
-    /// Whether nobody has ended it.
+    /// Whether the job has not ended.
     pub fn is_open(&self) -> bool {
         self.closed.is_none()
     }
@@ -268,14 +270,15 @@
         })
     }
 
-    /// The steps of repetition `time` that depend on `step`.
+    /// The steps of the same repetition that depend on a step.
     pub fn dependents(&self, key: StepKey) -> Vec<StepKey> {
         let steps = self.work.steps.iter().enumerate();
-        let follows = steps.filter(|(_, spec)| spec.after.contains(&key.step));
-        follows.map(|(no, _)| StepKey { step: no as u16, ..key }).collect()
+        let dependents = steps.filter(|(_, spec)| spec.after.contains(&key.step));
+        dependents.map(|(index, _)| StepKey { step: index as u16, ..key }).collect()
     }
 
-    /// Tasks that last and are bound to no worker may have waited for long under an earlier owner.
+    /// Marks long-running tasks without a worker as idle since the start of this owner's clock, because they may have waited
+    /// for long under an earlier owner.
     pub fn mark_idle_at_takeover(&mut self) {
         let steps = self.steps.iter_mut().zip(self.work.steps.iter().cycle());
         for (step, _) in steps.filter(|(_, spec)| spec.lasting) {
@@ -283,19 +286,19 @@
         }
     }
 
-    /// Whether every task is done.
+    /// Whether all tasks have succeeded.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(|step| step.unfinished == 0)
     }
 
-    /// Every step of every repetition.
+    /// The keys of every step in every repetition.
     pub fn step_keys(&self, job: JobKey) -> Vec<StepKey> {
         let steps = self.work.steps.len() as u16;
         let times = 0..self.work.times;
         times.flat_map(|time| (0..steps).map(move |step| StepKey { job, time, step })).collect()
     }
 
-    /// The runs that its tasks were given to workers as.
+    /// The runs that are assigned to workers, with the workers.
     pub fn placed_runs(&self, job: JobKey) -> Vec<(Name, TaskKey, u64)> {
         let steps = self.step_keys(job).into_iter().filter_map(|key| Some((key, self.step(key)?)));
         let tasks = steps.flat_map(|(step, state)| {
@@ -309,7 +312,7 @@
         placed.collect()
     }
 
-    /// The record of the job.
+    /// The stored record of the job.
     pub fn record(&self) -> JobRecord {
         match self.closed {
             Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), fate },
@@ -317,25 +320,25 @@
         }
     }
 
-    /// What has to be known of the job's tasks by another owner.
+    /// The stored record of the job's progress, from which another owner can continue.
     pub fn progress(&self) -> Progress {
-        let width = self.work.steps.len().max(1);
-        let notes = self.steps.iter().enumerate().filter_map(|(no, step)| {
-            let note = step.note(((no / width) as u32, (no % width) as u16));
+        let step_count = self.work.steps.len().max(1);
+        let notes = self.steps.iter().enumerate().filter_map(|(index, step)| {
+            let note = step.progress_note(((index / step_count) as u32, (index % step_count) as u16));
             (!note.done.is_empty() || !note.tasks.is_empty()).then_some(note)
         });
         Progress { steps: notes.collect() }
     }
 
-    /// The crashes under the job's tasks.
+    /// The stored records of worker crashes, for each task that has any.
     pub fn crash_notes(&self) -> Vec<CrashNote> {
-        let width = self.work.steps.len().max(1);
+        let step_count = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
-        let notes = steps.flat_map(|(no, step)| {
-            let place = ((no / width) as u32, (no % width) as u16);
+        let notes = steps.flat_map(|(index, step)| {
+            let place = ((index / step_count) as u32, (index % step_count) as u16);
             let tasks = step.tasks.iter().enumerate();
-            let crashed = tasks.filter(|(_, task)| !task.crashes.is_empty());
-            crashed.map(move |(index, task)| CrashNote {
+            let with_crashes = tasks.filter(|(_, task)| !task.crashes.is_empty());
+            with_crashes.map(move |(index, task)| CrashNote {
                 place,
                 index: index as u32,
                 crashes: task.crashes.clone(),
@@ -344,7 +347,7 @@
         notes.collect()
     }
 
-    /// Takes in the crashes that an earlier owner counted.
+    /// Restores the crashes that an earlier owner counted.
     pub fn restore_crashes(&mut self, notes: &[CrashNote]) {
         for note in notes {
             let at = self.step_index(note.place.0, note.place.1);
@@ -357,7 +360,7 @@
         self.has_crashes = true;
     }
 
-    /// Takes in what an earlier owner knew.
+    /// Restores the progress that an earlier owner recorded.
     pub fn restore_progress(&mut self, progress: &Progress) {
         for note in &progress.steps {
             let at = self.step_index(note.place.0, note.place.1);
@@ -365,17 +368,18 @@
                 step.restore(note);
             }
         }
-        // Progress is noted of jobs that were given to a worker, and stays when nothing is left to note.
+        // Progress is recorded once a task was assigned to a worker, and the record stays even when nothing is left to
+        // record.
         self.was_placed = true;
         let has_run = |note: &TaskNote| !note.failed.is_empty() || !note.saved.is_empty();
-        let known = |note: &StepNote| !note.done.is_empty() || note.tasks.iter().any(has_run);
-        self.has_run = self.has_run || progress.steps.iter().any(known);
+        let shows_run = |note: &StepNote| !note.done.is_empty() || note.tasks.iter().any(has_run);
+        self.has_run = self.has_run || progress.steps.iter().any(shows_run);
         self.has_progress = true;
     }
 }
 
 impl StepState {
-    /// Takes note that its waiting tasks have no run; those that were known to wait have waited longer.
+    /// Marks the waiting tasks as idle since `since`. Those that are already marked keep their earlier time.
     pub fn mark_idle(&mut self, since: Millis) {
         for index in &self.waiting {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
@@ -384,23 +388,24 @@
         }
     }
 
-    /// Since when the task waits that has waited longest, of a step that lasts.
+    /// Since when the longest waiting task has waited. Only known for tasks that run until their job is cancelled.
     pub fn longest_idle(&self) -> Option<Millis> {
         let waiting = self.waiting.iter().filter_map(|index| self.tasks.get(*index as usize));
         waiting.filter_map(|task| task.idle_since).min()
     }
 
-    fn note(&self, place: (u32, u16)) -> StepNote {
-        const BITS: usize = 8;
+    /// The stored record of the step's progress; `place` is the repetition and the step.
+    fn progress_note(&self, place: (u32, u16)) -> StepNote {
+        const BITS_PER_BYTE: usize = 8;
         let mut note = StepNote { place, ..StepNote::default() };
         if self.unfinished < self.tasks.len() as u32 {
-            note.done = vec![0; self.tasks.len().div_ceil(BITS)];
+            note.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
             let bound = match &task.status {
                 TaskStatus::Done => {
-                    if let Some(byte) = note.done.get_mut(index / BITS) {
-                        *byte |= 1 << (index % BITS);
+                    if let Some(byte) = note.done.get_mut(index / BITS_PER_BYTE) {
+                        *byte |= 1 << (index % BITS_PER_BYTE);
                     }
                     continue;
                 }
@@ -415,11 +420,12 @@
         note
     }
 
+    /// Restores the progress that an earlier owner recorded.
     fn restore(&mut self, note: &StepNote) {
-        const BITS: usize = 8;
+        const BITS_PER_BYTE: usize = 8;
         for index in 0..self.tasks.len() {
-            let byte = note.done.get(index / BITS).copied().unwrap_or(0);
-            if byte & (1 << (index % BITS)) != 0 {
+            let byte = note.done.get(index / BITS_PER_BYTE).copied().unwrap_or(0);
+            if byte & (1 << (index % BITS_PER_BYTE)) != 0 {
                 self.finish(index as u32);
             }
         }
@@ -431,7 +437,7 @@
         }
     }
 
-    /// A task is done; `false` if that was known.
+    /// Marks a task as done. Returns `false` if it was done already.
     pub fn finish(&mut self, index: u32) -> bool {
         let Some(task) = self.tasks.get_mut(index as usize) else { return false };
         if task.status == TaskStatus::Done {
@@ -443,7 +449,7 @@
         true
     }
 
-    /// A task needs a worker again.
+    /// Marks a task as waiting for a worker again.
     pub fn requeue(&mut self, index: u32) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
             task.status = TaskStatus::Waiting;
@@ -451,7 +457,7 @@
         }
     }
 
-    /// A task is given to a worker.
+    /// Marks a task as assigned to a worker.
     pub fn place(&mut self, index: u32, worker: Name, run: u64) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
             task.status = TaskStatus::Placed { worker, run };
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -1,4 +1,4 @@
-//! Why a step waits: one line in the log whenever the reason changes.
+//! Why a step waits. A line is logged whenever the reason changes, and while a wait goes on for long.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -8,25 +8,25 @@
 use crate::clock::Millis;
 use crate::workload::StepKey;
 
-/// A step that waits for the same reason is logged after so long.
+/// How long a step waits for the same reason before that is first logged.
 const FIRST_LOG_DELAY: Millis = Millis(2_000);
 
-/// A wait that is logged while it goes on, each time that its length has doubled.
+/// Decides when to log a wait that goes on: after a first delay, and then each time its length has doubled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitLogTimer {
-    /// Since when.
+    /// When the wait began.
     pub since: Millis,
-    /// How long the wait will have been when it is logged next.
+    /// The length of the wait at which it is logged next.
     next_log: Millis,
 }
 
 impl WaitLogTimer {
-    /// A wait that is first logged after so long.
+    /// Creates a timer for a wait that is first logged once it has lasted for `first`.
     pub fn new(since: Millis, first: Millis) -> Self {
         Self { since, next_log: first }
     }
 
-    /// Whether the wait is to be logged now.
+    /// Whether the wait should be logged now. If so, it is due again when its length has doubled.
     pub fn is_due(&mut self, now: Millis) -> bool {
         let is_due = now.since(self.since) >= self.next_log;
         if is_due {
@@ -36,17 +36,17 @@
     }
 }
 
-/// Why a step waits.
+/// The current wait of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
-    /// The reason.
+    /// Why the step waits.
     pub reason: WaitReason,
-    /// For how long.
+    /// Since when it has waited for this reason, and when that is logged.
     pub timer: WaitLogTimer,
 }
 
 impl Cell {
-    /// Why a step waits whose tasks found no worker among `fits`.
+    /// Why tasks of a step still wait after placement; `fits` are the workers that could have been chosen.
     pub(in crate::cell) fn wait_reason(
         &self,
         now: Millis,
@@ -55,24 +55,24 @@
     ) -> Option<WaitReason> {
         let job = self.jobs.get(&key.job)?;
         let step = job.step(key)?;
-        let advised = &step.clearances;
-        let is_held = |index: &u32| {
+        let clearances = &step.clearances;
+        let is_held_back = |index: &u32| {
             step.tasks.get(*index as usize).is_some_and(|task| is_paused(&task.crashes))
         };
         Some(match () {
             () if step.waiting.is_empty() => return None,
-            () if step.waiting.iter().all(is_held) => WaitReason::Crashes,
+            () if step.waiting.iter().all(is_held_back) => WaitReason::Crashes,
             () if !fits.is_empty() => WaitReason::Room,
-            () if advised.is_asking => WaitReason::Advice,
+            () if clearances.is_asking => WaitReason::Advice,
             () if !self.has_large_worker(job, key) => WaitReason::TooLarge,
             () if job.queue.advice.is_none() => WaitReason::NoWorker,
-            () if advised.cleared.is_empty() => WaitReason::NoneCleared,
-            () if advised.has_any_ticket(now) => WaitReason::NoWorker,
+            () if clearances.cleared.is_empty() => WaitReason::NoneCleared,
+            () if clearances.has_any_ticket(now) => WaitReason::NoWorker,
             () => WaitReason::Room,
         })
     }
 
-    /// The steps that wait for a worker, and for what.
+    /// The steps that wait for a worker, and why.
     pub fn waiting_steps(&self) -> impl Iterator<Item = (StepKey, WaitReason)> {
         self.ready.iter().filter_map(|(_, _, key)| {
             let wait = self.jobs.get(&key.job)?.step(*key)?.wait?;
@@ -80,45 +80,45 @@
         })
     }
 
-    /// Whether a worker would be large enough for a task of a step if nothing else ran there.
+    /// Whether any worker would be large enough for a task of a step if nothing else ran on it.
     fn has_large_worker(&self, job: &Job, key: StepKey) -> bool {
         let Some(spec) = job.spec(key.step) else { return true };
         self.workers.values().any(|worker| is_suitable(worker, &job.queue.service, spec))
     }
 
-    /// Notes why a step waits, and logs how long it waited for what it waited for before.
+    /// Sets why a step waits. If the reason changed, logs how long the step waited for the previous one.
     pub(in crate::cell) fn set_wait_reason(
         &mut self,
         now: Millis,
         key: StepKey,
-        why: Option<WaitReason>,
+        reason: Option<WaitReason>,
     ) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let queue = job.queue.name.clone();
-        let is_lasting = job.spec(key.step).is_some_and(|spec| spec.lasting);
+        let is_long_running = job.spec(key.step).is_some_and(|spec| spec.lasting);
         let Some(step) = job.step_mut(key) else { return };
-        if is_lasting {
+        if is_long_running {
             step.mark_idle(now);
         }
-        step.idle_since = why.and(step.idle_since.or(Some(now)));
+        step.idle_since = reason.and(step.idle_since.or(Some(now)));
         let before = step.wait;
-        if before.map(|wait| wait.reason) == why {
+        if before.map(|wait| wait.reason) == reason {
             return self.log_long_wait(now, key);
         }
         step.wait =
-            why.map(|reason| Wait { reason, timer: WaitLogTimer::new(now, FIRST_LOG_DELAY) });
-        let Some(Wait { reason: was, timer }) = before else { return };
-        let next = why.map_or("none", WaitReason::name);
+            reason.map(|reason| Wait { reason, timer: WaitLogTimer::new(now, FIRST_LOG_DELAY) });
+        let Some(Wait { reason: previous, timer }) = before else { return };
+        let next = reason.map_or("none", WaitReason::name);
         log::info!(
             "event=waited step={key} queue={queue} for={} ms={} next={next} tasks={}",
-            was.name(),
+            previous.name(),
             now.since(timer.since),
             step.waiting.len()
         );
     }
 
-    /// Logs a wait that goes on for long, with what is known of clearances: whether a question was ever put, is under way,
-    /// or was answered without a worker that helps.
+    /// Logs a wait that goes on for long, with the state of its clearances: whether the advice service was ever asked, is
+    /// being asked, or has answered without naming a worker that can be used.
     fn log_long_wait(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let queue = job.queue.name.clone();
@@ -127,20 +127,20 @@
         if !wait.timer.is_due(now) {
             return;
         }
-        let (why, since) = (wait.reason.name(), wait.timer.since);
-        let advised = &step.clearances;
-        let tickets = advised.ticket_holders(now).count();
-        let asking = match advised.is_asking {
+        let (reason, since) = (wait.reason.name(), wait.timer.since);
+        let clearances = &step.clearances;
+        let tickets = clearances.ticket_holders(now).count();
+        let request = match clearances.is_asking {
             true => self.advisers.asked(key).map_or("queued".to_string(), ToString::to_string),
             false => "none".to_string(),
         };
         log::info!(
-            "event=waiting step={key} queue={queue} for={why} ms={} tasks={} question={asking} \
+            "event=waiting step={key} queue={queue} for={reason} ms={} tasks={} question={request} \
              cleared={} denied={} tickets={tickets}",
             now.since(since),
             step.waiting.len(),
-            advised.cleared.len(),
-            advised.denied.len()
+            clearances.cleared.len(),
+            clearances.denied.len()
         );
     }
 }
