--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -324,7 +324,8 @@
     pub fn progress(&self) -> Progress {
         let step_count = self.work.steps.len().max(1);
         let notes = self.steps.iter().enumerate().filter_map(|(index, step)| {
-            let note = step.progress_note(((index / step_count) as u32, (index % step_count) as u16));
+            let note =
+                step.progress_note(((index / step_count) as u32, (index % step_count) as u16));
             (!note.done.is_empty() || !note.tasks.is_empty()).then_some(note)
         });
         Progress { steps: notes.collect() }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of jobs and of their runs: opened, started, stopped, lost, closed.
+//! State changes of jobs and of their runs: restored, opened, stopped, abandoned, closed, forgotten.
 
 use crate::cell::jobs::job::{Job, TaskStatus};
 use crate::cell::records::journal::{Fate, JobRecord, Member, Progress, Snapshot};
@@ -11,21 +11,22 @@
 use crate::workload::{JobKey, Queue, Room, StepKey, TaskKey};
 use std::sync::Arc;
 
-/// How often time passes for a cell: stops that were not answered are sent again, leases run out.
-/// A tenth of what a caller waits at the most.
+/// The interval between calls of [`Cell::tick`], which sends unanswered stops again and expires leases. It is a tenth of
+/// the longest time that a caller waits for an answer.
 pub const TICK_INTERVAL: Millis = Millis(100);
-/// The closed state of a job is kept this much longer than promised.
+/// How much longer than promised a closed job can be asked for.
 const RETENTION_MARGIN: Millis = Millis(10_000);
 
 impl Cell {
-    /// Takes in what the store holds.
+    /// Restores the state that earlier owners wrote to the store.
     pub(in crate::cell) fn restore_snapshot(&mut self, snapshot: Snapshot, now: Millis) {
-        let births = snapshot.births;
+        let start_times = snapshot.births;
         self.with_workspace = snapshot.workspaces.keys().copied().collect();
         for member in snapshot.roster {
-            let born = births.get(&member.id).copied();
-            // One that may have started again under its id was maybe asked for a time by the clock of its life before,
-            // which it cuts down to the longest lease: after the usual one its task may run still, behind a cut.
+            let born = start_times.get(&member.id).copied();
+            // A worker that may have restarted with the same id may have been given a lease end by the clock of its previous
+            // incarnation, which it shortens to the longest lease. Its task may then run on behind a network partition after
+            // the usual lease has expired.
             let lease = if born.is_some() { self.bounds.lease_max } else { self.bounds.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
             let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Tasks that an earlier owner bound to a worker stay there until the worker tells of them, is
-    /// gone, or its leases are over.
+    /// Restores the runs that an earlier owner assigned to workers. They are kept until the worker reports them or is
+    /// removed, or its leases expire.
     fn restore_runs(&mut self, now: Millis, key: JobKey, progress: &Progress) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
@@ -92,16 +93,17 @@
                     continue;
                 }
                 step.place(task.index, name.clone(), *no);
-                // The first report has to name it, or it is over.
+                // The run is considered over unless the first report of the worker names it.
                 let mut run = Run::new(*no, &spec, Phase::Running(Millis(0)));
                 run.usage_guard = owner.as_ref().map(|owner| self.usages.hold(owner, spec.room));
-                // It may have been sent.
+                // The earlier owner may have sent the start.
                 (run.is_sent, run.known_since) = (true, now);
                 worker.add_run(TaskKey { step: step_key, index: task.index }, run);
             }
         }
     }
 
+    /// The queue with a name, or a placeholder if the policy has no such queue any more.
     fn queue_or_placeholder(&self, name: Name) -> Arc<Queue> {
         let unknown = || {
             Arc::new(Queue {
@@ -117,7 +119,8 @@
         self.queues.get(&name).cloned().unwrap_or_else(unknown)
     }
 
-    /// A job came: its first steps may find workers when they are due, and begin once it is in the store.
+    /// Opens a new or restored job: steps without dependencies are opened, or scheduled for when they are due. Their tasks
+    /// can be assigned to workers at once, and start once the job is in the store.
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
         let scheduled = job.work.first.0 > 0;
@@ -133,7 +136,7 @@
         }
     }
 
-    /// A step's turn has come.
+    /// Opens a step whose dependencies are done and whose scheduled time has come.
     pub(in crate::cell) fn open_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
         let Some(step) = job.step_mut(key) else { return };
@@ -141,7 +144,7 @@
         self.make_ready(key);
     }
 
-    /// Lists a step among those with tasks that need a worker, if it has any.
+    /// Adds an open step to the steps to be placed if any of its tasks needs a worker.
     pub(in crate::cell) fn make_ready(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let Some(step) = job.step(key) else { return };
@@ -153,7 +156,7 @@
         self.changed = true;
     }
 
-    /// Ranks may have changed with the policy.
+    /// Sorts the steps to be placed again, because a new policy may have changed the ranks of their jobs.
     pub(in crate::cell) fn rebuild_ready(&mut self) {
         let keys: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
         self.ready.clear();
@@ -162,27 +165,28 @@
         }
     }
 
-    /// A task is done.
+    /// Marks a task as done, or the whole gang if it belongs to one, and finishes the step with its last task.
     pub(in crate::cell) fn finish_task(&mut self, now: Millis, task: TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
         let gang = job.spec(task.step.step).is_some_and(|spec| spec.gang);
         let Some(step) = job.step_mut(task.step) else { return };
-        let new = match gang {
+        let is_new = match gang {
             true => (0..step.tasks.len() as u32).filter(|index| step.finish(*index)).count() > 0,
             false => step.finish(task.index),
         };
-        if !new {
+        if !is_new {
             return;
         }
-        let over = step.unfinished == 0;
+        let is_finished = step.unfinished == 0;
         self.dirty.insert(task.step.job);
-        if over {
+        if is_finished {
             self.finish_step(now, task.step);
         }
     }
 
+    /// Opens the steps that depended on a step, or closes the job if all its steps are done.
     fn finish_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_done() {
@@ -195,7 +199,7 @@
         }
     }
 
-    /// A job ends: nothing of it is started any more, and what runs is stopped.
+    /// Closes a job: none of its tasks is started any more, and its runs are stopped.
     pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, fate: Fate) {
         let batch = self.batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
@@ -221,7 +225,7 @@
         }
     }
 
-    /// A job is given back to its caller: nothing of it was sent.
+    /// Discards a job that was not accepted. None of its starts was sent, so no run has to be stopped.
     pub(in crate::cell) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(&key) else { return };
         let (priority, due) = queue_rank(&job);
@@ -238,7 +242,7 @@
         self.changed = true;
     }
 
-    /// Has a run end. Its room stays taken until the worker says that it is gone.
+    /// Stops a run. Its resources stay charged until the worker reports that it has ended.
     pub(in crate::cell) fn stop_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(known) = worker.runs.get_mut(&(task, run)) else { return };
@@ -250,7 +254,7 @@
         self.actions.push(Action::Stop { worker: name.clone(), task, run });
     }
 
-    /// A run is over, or never was, and it is not done: its task needs a worker again.
+    /// Removes a run that ended without success or never started, and lets its task wait for a worker again.
     pub(in crate::cell) fn abandon_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove_run(task, run);
@@ -259,16 +263,16 @@
         self.requeue_task(task, run);
     }
 
-    /// The task of a run that is over needs a worker again, unless it has another run.
+    /// Lets the task of an ended run wait for a worker again, unless the task is assigned as another run.
     pub(in crate::cell) fn requeue_task(&mut self, task: TaskKey, run: u64) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
         let Some(step) = job.step_mut(task.step) else { return };
         let status = step.tasks.get(task.index as usize).map(|task| task.status.clone());
-        let is_this =
+        let is_assigned =
             matches!(status, Some(TaskStatus::Placed { run: placed, .. }) if placed == run);
-        if is_this {
+        if is_assigned {
             step.requeue(task.index);
             self.dirty.insert(task.step.job);
             self.make_ready(task.step);
@@ -276,7 +280,7 @@
         }
     }
 
-    /// A gang that lost a member is stopped whole: its tasks work only together.
+    /// Stops the remaining runs of a gang in which a task has no run, because its tasks work only together.
     pub(in crate::cell) fn stop_incomplete_gang(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
@@ -299,7 +303,8 @@
         }
     }
 
-    /// Time passes; `wall` is the time of day.
+    /// Does what depends on time: opens scheduled steps, expires leases and unconfirmed crashes, forgets old jobs. `wall` is
+    /// the time of day.
     pub fn tick(&mut self, now: Millis, wall: Millis) {
         while let Some((due, step)) = self.timers.first().copied()
             && due <= wall
@@ -322,12 +327,12 @@
         self.expire_questions(now);
     }
 
-    /// Inherited tasks that nobody runs may be started once every worker that an earlier owner
-    /// used is known, or its leases are over.
+    /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its leases have expired:
+    /// until then an earlier owner may have started them without a record.
     fn check_unknown_runs(&mut self, now: Millis) {
         let Some(doubt) = self.doubt.as_mut() else { return };
-        let is_unknown = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
-        let mut unknown = self.workers.values().filter(is_unknown);
+        let is_pending = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
+        let mut unknown = self.workers.values().filter(is_pending);
         if let Some(first) = unknown.next() {
             let left = first.lease_end - now;
             let (first, others) = (first.listed.id.clone(), unknown.count());
@@ -343,7 +348,8 @@
         self.release_inherited_tasks();
     }
 
-    /// No start was sent without a record: what the store holds is all there is. Whether that was not known before.
+    /// Notes that no start was sent without a record in the store, so inherited tasks need not wait for workers to report.
+    /// Returns whether that was unknown before.
     pub fn trust_records(&mut self) -> bool {
         let was_doubtful = self.doubt.is_some();
         if was_doubtful {
@@ -352,6 +358,7 @@
         was_doubtful
     }
 
+    /// Lets inherited tasks start, and stops gangs of which not all tasks run.
     fn release_inherited_tasks(&mut self) {
         self.doubt = None;
         self.changed = true;
@@ -366,11 +373,12 @@
         }
     }
 
+    /// Forgets closed jobs that were kept for long enough.
     fn forget_closed_jobs(&mut self, now: Millis) {
-        let keep = self.bounds.keep + RETENTION_MARGIN;
+        let retention = self.bounds.keep + RETENTION_MARGIN;
         while let Some(key) = self.closed.front().copied() {
             let at = self.jobs.get(&key).and_then(|job| job.closed).map(|(_, _, at)| at);
-            if at.is_some_and(|at| now.since(at) < keep) {
+            if at.is_some_and(|at| now.since(at) < retention) {
                 break;
             }
             self.closed.pop_front();
@@ -381,11 +389,12 @@
     }
 }
 
-/// The place of a job among those that wait: lower ones first.
+/// The sort key of a job among the jobs that wait, lower ones first: its priority, and when it should be completed.
 pub(in crate::cell) fn queue_rank(job: &Job) -> (u32, Millis) {
     (job.priority(), job.known_since + job.queue.objective(&job.work))
 }
 
+/// A list entry for a worker that is only known from the store, without resources until it is listed.
 fn placeholder_listing(member: Member, born: Option<Millis>) -> Listed {
     Listed {
         id: member.id,
