--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -1,13 +1,13 @@
-//! Tasks under which workers crash: counted, then quarantined, then given up.
+//! Worker crashes, counted per task, so that tasks that crash their workers are first quarantined and then given up.
 //!
-//! The load that this answers: some tasks each crash every worker that starts them, a few milliseconds
-//! after the start, and with the worker all else that ran there. Uncounted, such a task would start
-//! again for good, and a few of them leave no worker in use. Tasks that merely shared the worker are told apart: from its second crash on a task runs alone where there is room for that, so
-//! that a third one is its own doing.
+//! Some tasks crash every worker that starts them a few milliseconds after the start, and with the worker everything else
+//! that runs there. Without a count such a task would be started again forever, and a few of them would leave no worker
+//! usable. To spare tasks that merely shared a worker with the cause, a task runs alone where possible from its second
+//! crash on, so that a third one can be attributed to it.
 //!
-//! A silent worker may have crashed, or be behind a cut. When its leases are over its tasks start
-//! elsewhere, and the crash is unconfirmed until another life is at the address, or the same life
-//! answers again.
+//! A worker that does not answer may have crashed or be behind a network partition. Its tasks start elsewhere once its
+//! leases have expired. The crash is unconfirmed until another incarnation of the worker is seen at its address, or the
+//! same incarnation answers again.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -22,52 +22,54 @@
 use crate::workload::{JobKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An unconfirmed crash is settled after this time: the worker is lost for good, or came back elsewhere. It is longer
-/// than workers of the platform are away, and than a lease and a takeover together.
+/// How long a crash can stay unconfirmed. After that the worker is lost for good, or came back at another address. It is
+/// longer than the platform's workers are unreachable, and than a lease and a takeover together.
 const CONFIRM_TIMEOUT: Millis = Millis(20_000);
-/// One worker of a service in so many is left to quarantined tasks at once: where many workers crash
-/// together, there are more of these than workers.
+/// At most one in this many workers of a service is left to quarantined tasks at once. When many workers crash together,
+/// there are more quarantined tasks than workers.
 const WORKERS_PER_QUARANTINE: usize = 8;
-/// A lasting task that ran this long did not crash its worker: it is ten times the lease.
+/// A task that runs until its job is cancelled is not blamed for a crash after running for this long: ten times the lease.
 const CRASH_FREE_RUN: Millis = Millis(60_000);
 
-/// Counts for the metrics, since the takeover.
+/// Counts for the metrics, since this owner took over the cell.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CrashCounts {
-    /// Lives of workers that ended, not by plan, with something running.
+    /// Unplanned ends of worker processes while runs were on the worker.
     pub crashed: u64,
-    /// Jobs that were given up for a task's crashes.
+    /// Jobs that were given up because of crashes under one of their tasks.
     pub given_up: u64,
-    /// Workers that started again under their ids.
+    /// Workers that were restarted with the same id.
     pub restarted: u64,
 }
 
-/// What became of a life that may have ended.
+/// What was found out about an incarnation of a worker that may have crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::cell) enum CrashResolution {
-    /// Another life is at its address.
+    /// It ended: another incarnation is at its address.
     Ended,
-    /// It answers.
+    /// It did not crash: it answers again.
     Alive,
-    /// Nothing was heard of it for [`CONFIRM_TIMEOUT`].
+    /// No report confirmed the crash or ruled it out within [`CONFIRM_TIMEOUT`].
     Unknown,
 }
 
-/// A life that may have ended.
+/// An incarnation of a worker that may have crashed.
 #[derive(Debug)]
 struct PossibleCrash {
+    /// The address of the worker.
     addr: Name,
+    /// When it was first considered crashed.
     since: Millis,
-    /// What ran there.
+    /// The tasks that ran there.
     tasks: BTreeSet<TaskKey>,
 }
 
-/// Lives that may have ended, with unconfirmed crashes under tasks.
+/// Incarnations of workers whose crashes are not confirmed yet.
 #[derive(Debug, Default)]
 pub(in crate::cell) struct UnconfirmedCrashes(BTreeMap<Life, PossibleCrash>);
 
 impl UnconfirmedCrashes {
-    /// Takes in the unconfirmed crashes under a task.
+    /// Adds the unconfirmed crashes among the crashes of a task.
     pub fn add(&mut self, now: Millis, task: TaskKey, crashes: &[Crash]) {
         for crash in crashes.iter().filter(|crash| !crash.is_confirmed) {
             let addr = crash.addr.clone();
@@ -77,6 +79,7 @@
         }
     }
 
+    /// The incarnations that `wanted` selects.
     fn find(&self, wanted: impl Fn(&Life, &PossibleCrash) -> bool) -> Vec<Life> {
         let found = self.0.iter().filter(|(life, candidate)| wanted(life, candidate));
         found.map(|(life, _)| life.clone()).collect()
@@ -84,8 +87,8 @@
 }
 
 impl Cell {
-    /// A life of a worker ended while it was not leaving, or may have: that counts against each task that
-    /// ran there.
+    /// Counts a crash, or a possible crash if it is not confirmed, for each task that was sent to the worker. The end of a
+    /// worker that was leaving is not a crash.
     pub(in crate::cell) fn record_worker_crash(
         &mut self,
         now: Millis,
@@ -107,7 +110,7 @@
             let (worker, addr) = (life.clone(), addr.clone());
             let evidence = match has_started || !self.has_crashed_at(task, &addr) {
                 true => evidence,
-                // Its start may have reached nobody, and the worker crashes again and again by itself.
+                // Its start may not have reached the worker, which may keep crashing by itself.
                 false => Evidence::Doubtful,
             };
             let crash = Crash { worker, addr, evidence, is_confirmed };
@@ -115,8 +118,10 @@
         }
     }
 
-    /// A worker that is silent may have crashed under a task. The next owner could not tell that from a run whose end
-    /// was not kept, nor would it know of a run that was copied meanwhile: only the last one is kept.
+    /// Counts a possible crash for a task on a worker that does not answer.
+    ///
+    /// Without this record the next owner could not tell the crash from a run whose end was not stored. Nor would it know
+    /// of the run if a copy of the task was started meanwhile, because only the last run of a task is stored.
     pub(in crate::cell) fn record_possible_crash(
         &mut self,
         now: Millis,
@@ -135,23 +140,24 @@
         self.add_task_crash(now, task, &crash, now.since(run.since));
     }
 
-    /// Whether a worker at an address crashed under a task before.
+    /// Whether a worker at an address crashed before while it ran a task.
     fn has_crashed_at(&self, task: TaskKey, addr: &Name) -> bool {
         self.task_crashes(task).iter().any(|crash| crash.addr == *addr)
     }
 
+    /// Adds a crash to a task after it ran for `length`, unless that crash is known already.
     fn add_task_crash(&mut self, now: Millis, task: TaskKey, crash: &Crash, length: Millis) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
-        let has_lasted = length >= CRASH_FREE_RUN && is_long_running(job, task);
+        let is_unrelated = length >= CRASH_FREE_RUN && is_long_running(job, task);
         let step = job.step_mut(task.step);
         let Some(state) = step.and_then(|step| step.tasks.get_mut(task.index as usize)) else {
             return;
         };
         let known = state.crashes.iter().position(|known| known.worker == crash.worker);
         match known {
-            _ if has_lasted => state.crashes.clear(),
+            _ if is_unrelated => state.crashes.clear(),
             Some(_) => return,
             None => state.crashes.push(crash.clone()),
         }
@@ -166,17 +172,17 @@
         self.recounted.insert(task.step.job);
     }
 
-    /// Another life is at the address of one that may have crashed: so it did.
+    /// Confirms the possible crashes of other incarnations at an address, because `life` is there now.
     pub(in crate::cell) fn confirm_earlier_crashes(&mut self, life: &Life, addr: &Name) {
         let is_before = |other: &Life, candidate: &PossibleCrash| {
             candidate.addr == *addr && other.differs(life)
         };
-        for over in self.unconfirmed.find(is_before) {
-            self.resolve_crash(&over, CrashResolution::Ended);
+        for ended in self.unconfirmed.find(is_before) {
+            self.resolve_crash(&ended, CrashResolution::Ended);
         }
     }
 
-    /// Settles crashes that nothing confirmed or denied.
+    /// Resolves crashes that were neither confirmed nor ruled out in time.
     pub(in crate::cell) fn expire_unconfirmed(&mut self, now: Millis) {
         for life in
             self.unconfirmed.find(|_, candidate| now.since(candidate.since) >= CONFIRM_TIMEOUT)
@@ -185,25 +191,26 @@
         }
     }
 
-    /// A life answers: it did not crash, and those before it at its address did.
+    /// Resolves possible crashes after a report of a worker: its incarnation did not crash, and earlier ones at its address
+    /// did.
     pub(in crate::cell) fn resolve_by_report(&mut self, name: &Name) {
         if self.unconfirmed.0.is_empty() {
             return;
         }
         let Some(worker) = self.workers.get(name) else { return };
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
-        // What was written of it before it told its start names the id alone.
+        // Records that were written before the worker told when it started name it by its id alone.
         for same in self.unconfirmed.find(|other, _| !other.differs(&life)) {
             self.resolve_crash(&same, CrashResolution::Alive);
         }
         self.confirm_earlier_crashes(&life, &addr);
     }
 
-    /// It is settled whether a life ended. Where nothing was heard of it, it counts against
-    /// tasks with two confirmed crashes.
+    /// Resolves a possible crash for all tasks that ran on the worker. If nothing was found out, it still counts for tasks
+    /// that have [`QUARANTINE_CRASHES`] confirmed crashes, and is dropped for others.
     pub(in crate::cell) fn resolve_crash(&mut self, life: &Life, found: CrashResolution) {
         let Some(PossibleCrash { tasks, .. }) = self.unconfirmed.0.remove(life) else { return };
-        log::info!("event=crash-settled worker={life} found={found:?} tasks={}", tasks.len());
+        log::info!("event=crash-resolved worker={life} found={found:?} tasks={}", tasks.len());
         self.counts.crashed += u64::from(found == CrashResolution::Ended);
         for task in tasks {
             let job = self.jobs.get_mut(&task.step.job);
@@ -218,8 +225,9 @@
                 }
                 CrashResolution::Alive => state.crashes.retain(|crash| crash.worker != *life),
                 CrashResolution::Ended | CrashResolution::Unknown => {
-                    let of_life = state.crashes.iter_mut().filter(|crash| crash.worker == *life);
-                    of_life.for_each(|crash| crash.is_confirmed = true);
+                    let of_incarnation =
+                        state.crashes.iter_mut().filter(|crash| crash.worker == *life);
+                    of_incarnation.for_each(|crash| crash.is_confirmed = true);
                 }
             }
             self.dirty.insert(task.step.job);
@@ -228,72 +236,75 @@
         }
     }
 
-    /// Ends jobs with a task that has used up its crashes.
+    /// Fails jobs with a task whose crashes have reached the limit.
     pub(in crate::cell) fn fail_exhausted_jobs(&mut self, now: Millis) {
         for key in std::mem::take(&mut self.recounted) {
             let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { continue };
             let Some((task, count)) = find_exhausted_task(key, job) else { continue };
-            log::warn!("event=given-up task={task} crashes={count}");
+            log::warn!("event=job-given-up task={task} crashes={count}");
             self.counts.given_up += 1;
             self.close_job(now, key, Fate::Failed);
         }
     }
 
-    /// Whether workers may be silent since they crashed under a task: one did, or one that has another run
-    /// of it is silent too. With a copy for each silence a task would go through the workers one by one.
+    /// Whether a task may be the reason why a worker does not answer: a worker crashed under it before, or a worker with
+    /// another run of it does not answer either. If such a task were copied each time, it would crash the workers one by
+    /// one.
     pub(in crate::cell) fn may_have_crashed_workers(&self, task: TaskKey, run: u64) -> bool {
-        let is_other = |worker: &Worker| {
+        let has_other_run = |worker: &Worker| {
             let mut runs = worker.runs.range((task, 0)..=(task, u64::MAX));
             runs.any(|((_, other), _)| *other != run)
         };
-        let mut silent = self.workers.values().filter(|worker| !worker.is_reachable);
-        !self.task_crashes(task).is_empty() || silent.any(is_other)
+        let mut unreachable = self.workers.values().filter(|worker| !worker.is_reachable);
+        !self.task_crashes(task).is_empty() || unreachable.any(has_other_run)
     }
 
-    /// The crashes under a task; none for one that is not known, as of a job that is over.
+    /// The crashes counted for a task; none if the task is not known, for example because its job was closed.
     pub(in crate::cell) fn task_crashes(&self, task: TaskKey) -> &[Crash] {
         let step = self.jobs.get(&task.step.job).and_then(|job| job.step(task.step));
         let state = step.and_then(|step| step.tasks.get(task.index as usize));
         state.map(|state| state.crashes.as_slice()).unwrap_or_default()
     }
 
-    /// Whether a task has to run alone.
+    /// Whether a task is quarantined, so that it should run alone.
     pub(in crate::cell) fn is_quarantined(&self, task: TaskKey) -> bool {
         restart_policy(self.task_crashes(task)) != RestartPolicy::Normal
     }
 
-    /// Leaves a worker to a task alone, unless as many as may be are left to others.
+    /// Leaves a worker to the job of a quarantined task, unless too many workers of the service are left to such jobs
+    /// already.
     pub(in crate::cell) fn quarantine_worker(&mut self, name: &Name, task: TaskKey) {
         let Some(worker) = self.workers.get(name) else { return };
         let service = &worker.listed.service;
         let of_service = self.workers.values().filter(|worker| worker.listed.service == *service);
-        let (mut all, mut left) = (0, 0);
+        let (mut all, mut quarantined) = (0, 0);
         for worker in of_service {
             all += 1;
-            left += usize::from(worker.quarantined_job().is_some());
+            quarantined += usize::from(worker.quarantined_job().is_some());
         }
-        if left >= (all / WORKERS_PER_QUARANTINE).max(1) {
+        if quarantined >= (all / WORKERS_PER_QUARANTINE).max(1) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(name) {
-            log::info!("event=quarantined task={task} worker={name}");
+            log::info!("event=task-quarantined task={task} worker={name}");
             worker.quarantined_for = Some(task.step.job);
         }
     }
 }
 
-/// A run that was sent to a worker.
+/// A run whose start was sent to a worker.
 struct SentRun {
     task: TaskKey,
+    /// Since when the run is known to this owner.
     since: Millis,
-    /// What it tells of the task if the worker crashes.
+    /// How strongly a crash of the worker speaks against the task.
     evidence: Evidence,
-    /// The worker surely began it.
+    /// The worker has confirmed that it started the run.
     has_started: bool,
 }
 
-/// What was sent to this life of a worker. What was sent to the life before counted then: given on from life to life it
-/// would count each time.
+/// The runs that were sent to the current incarnation of a worker. Runs that were sent to an earlier one are left out:
+/// they were counted when that one ended, and would be counted again with each restart.
 fn sent_runs(worker: &Worker) -> Vec<SentRun> {
     let counts = |(_, run): &(&(TaskKey, u64), &Run)| run.is_sent && !run.is_stale;
     let sent = || worker.runs.iter().filter(counts);
@@ -312,11 +323,12 @@
     sent().map(row).collect()
 }
 
+/// Whether a task runs until its job is cancelled.
 fn is_long_running(job: &Job, task: TaskKey) -> bool {
     job.spec(task.step.step).is_some_and(|spec| spec.lasting)
 }
 
-/// The first task of a job that has used up its crashes, and how many there were.
+/// The first task of a job whose crashes have reached the limit, and how many they are.
 fn find_exhausted_task(key: JobKey, job: &Job) -> Option<(TaskKey, usize)> {
     job.step_keys(key).into_iter().find_map(|step_key| {
         let tasks = job.step(step_key)?.tasks.iter().enumerate();
@@ -328,7 +340,7 @@
 }
 
 impl Worker {
-    /// The job that the worker is left to, while anything of it is there.
+    /// The job to which the worker is left, as long as runs of that job are on it.
     pub(in crate::cell) fn quarantined_job(&self) -> Option<JobKey> {
         self.quarantined_for.filter(|job| self.runs.keys().any(|(task, _)| task.step.job == *job))
     }
