--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -145,7 +145,8 @@
         self.task_crashes(task).iter().any(|crash| crash.addr == *addr)
     }
 
-    /// Adds a crash to a task after it ran for `length`, unless that crash is known already.
+    /// Adds a crash to a task that had run for `length`, unless the crash is known already. The crashes of a task that runs
+    /// until its job is cancelled are cleared instead if it had run for [`CRASH_FREE_RUN`].
     fn add_task_crash(&mut self, now: Millis, task: TaskKey, crash: &Crash, length: Millis) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -1,4 +1,4 @@
-//! What became of orders to workers: starts and stops that were followed, refused, or not answered.
+//! Outcomes of orders to workers: starts and stops that were executed, refused, or not answered.
 
 use crate::cell::workers::roster::RemovalReason;
 use crate::cell::workers::worker::Phase;
@@ -9,7 +9,7 @@
 use crate::workload::{JobKey, TaskKey};
 
 impl Cell {
-    /// What became of an order to start a run.
+    /// Handles the outcome of an order to start a run.
     pub fn on_start_outcome(
         &mut self,
         now: Millis,
@@ -36,7 +36,7 @@
             }
             Outcome::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
             Outcome::Refused(Refusal::OtherLife) => {
-                // This run surely never was at the life that is over.
+                // The incarnation that ended never received this run, so it is not counted as a crash for its task.
                 self.abandon_run(name, task, run);
                 self.remove_worker(now, name, RemovalReason::Replaced);
             }
@@ -59,6 +59,7 @@
         }
     }
 
+    /// The worker confirmed that it started a run.
     fn confirm_start(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if let Some(known) = worker.runs.get_mut(&(task, run))
@@ -69,14 +70,14 @@
         }
     }
 
-    /// A worker surely began a task of a job.
+    /// Notes that a worker has started a task of a job.
     pub(in crate::cell) fn mark_job_started(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get_mut(&key) {
             job.has_run = true;
         }
     }
 
-    /// What became of an order to stop a run.
+    /// Handles the outcome of an order to stop a run.
     pub fn on_stop_outcome(
         &mut self,
         now: Millis,
@@ -99,8 +100,8 @@
             Outcome::Done(_) | Outcome::Refused(Refusal::Old) => {
                 known.phase = Phase::Stopping(Some(now));
                 if !known.has_started {
-                    // It may never have begun: then no end will be listed, and only the next
-                    // report shows that the room is free.
+                    // The run may never have started. Then the worker reports no end of it, and only the next report shows
+                    // that its resources are free.
                     self.actions.push(Action::Look(name.clone()));
                 }
             }
@@ -110,16 +111,16 @@
         }
     }
 
-    /// Sends stops again that were not answered.
+    /// Sends the stops again that were not answered.
     pub(in crate::cell) fn resend_stops(&mut self) {
         for (name, worker) in &mut self.workers {
-            let untold = worker
+            let unanswered = worker
                 .runs
                 .iter_mut()
                 .filter(|(_, run)| matches!(run.phase, Phase::Stopping(None)) && !run.stop_pending);
-            for ((task, no), run) in untold {
+            for ((task, number), run) in unanswered {
                 run.stop_pending = true;
-                self.actions.push(Action::Stop { worker: name.clone(), task: *task, run: *no });
+                self.actions.push(Action::Stop { worker: name.clone(), task: *task, run: *number });
             }
         }
     }
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -1,4 +1,4 @@
-//! What workers report: runs that go on, runs that ended, and how they bear each other.
+//! Reports of workers: runs that go on, runs that ended, and throttling of filler tasks beside tasks that serve requests.
 
 use crate::cell::jobs::job::TaskStatus;
 use crate::cell::records::journal::Fate;
@@ -11,39 +11,42 @@
 use crate::workload::{Room, Step, TaskKey};
 use std::collections::BTreeSet;
 
-/// Fillers are slowed when a tail comes this close to its bound, in hundredths of it.
+/// Filler tasks are slowed down when a tail latency on their worker reaches this percentage of its limit.
 const SLOW_DOWN_PERCENT: f64 = 80.0;
-/// They are let work more below this, in hundredths of the bound.
+/// Filler tasks are sped up when all tail latencies on their worker are below this percentage of their limits.
 const SPEED_UP_PERCENT: f64 = 55.0;
-/// The share that fillers get back at once, in hundredths.
+/// By how many percentage points the share of a filler task is raised at a time.
 const SPEED_UP_STEP: u32 = 20;
-/// A share below this is set to nothing.
+/// A share that would fall below this percentage is set to zero.
 const MIN_SHARE_PERCENT: u32 = 10;
-/// The time between two changes at one worker: a gauge covers the last half second.
+/// The least time between two changes of shares on a worker. The latencies in a report cover the last half second.
 const THROTTLE_INTERVAL: Millis = Millis(600);
 
 impl Cell {
-    /// What to ask a worker now, and whether to renew its lease; `None` if it is not watched any
-    /// more. The lease of a silent worker is not renewed: what runs there starts elsewhere when it
-    /// is over.
+    /// The parameters of the next report call to a worker, with a renewal of its lease if `renew` is set; `None` if the
+    /// worker is not known any more. The lease of an unreachable worker is not renewed, because its tasks are started
+    /// elsewhere once it has expired.
     pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<Hold> {
         let lease = self.bounds.lease;
         let worker = self.workers.get_mut(name)?;
         let until =
             if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
-        // It may be another life: one that was told the last end of the life before forgot ends that nobody
-        // had read. A time of the other clock does no harm: it is cut down to the longest lease.
+        // The worker may have restarted. An incarnation that is told the last end of the previous one would drop ends that
+        // were never received. A lease end by the clock of the previous one does no harm: the worker shortens it to the
+        // longest lease.
         let seen = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
         Some(Hold { seen, until })
     }
 
-    /// The batch that must be in the store before a worker's ends can be confirmed.
+    /// The batch that must be in the store before all ends received from a worker can be confirmed to it.
     pub fn unstored_ends_batch(&self, name: &Name) -> Option<u64> {
         self.workers.get(name).and_then(Worker::unstored_batch).filter(|batch| *batch > self.kept)
     }
 
-    /// A worker did not report; whether to pause before it is asked again. One report may be lost
-    /// on the way: the worker is taken for silent when the next one is missing too.
+    /// Handles a report call that failed. Returns whether to pause before the next call.
+    ///
+    /// A single report may be lost on the network, so a worker is considered unreachable only when the next one is missing
+    /// too.
     pub fn on_missing_report(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
         match why {
             HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
@@ -52,7 +55,7 @@
             }
             HoldError::Refused(_) => self.mark_unreachable(now, name),
             HoldError::Silent(err) => {
-                log::debug!("event=hold-failed worker={name} error={err:?}");
+                log::debug!("event=report-call-failed worker={name} error={err:?}");
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.suspect_restart();
                 }
@@ -70,7 +73,7 @@
         true
     }
 
-    /// A worker reported, when asked at `sent`.
+    /// Handles the report of a worker to a call that was sent at `sent`.
     pub fn on_report(&mut self, now: Millis, sent: Millis, name: &Name, report: &Report) {
         if self.workers.get(name).is_some_and(|worker| worker.is_other_incarnation(report.born)) {
             self.on_worker_restart(now, sent, name, report);
@@ -89,7 +92,7 @@
             self.changed = true;
         }
         self.changed = self.changed || worker.has_unanswered();
-        // An earlier owner may not have known when it started: the next one has to.
+        // If an earlier owner did not know when the worker started, the start time has to be stored for the next one.
         self.roster |= worker.record_report(now, sent, report);
         self.resolve_by_report(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -105,7 +108,7 @@
                 self.record_run_time(row.task, now.since(run.started_at));
             }
             self.on_run_end(now, name, row);
-            // An end that changes nothing needs no record before it is confirmed.
+            // An end that changes no job needs no record, and can be confirmed once the earlier batches are in the store.
             let batch = if self.dirty.is_empty() { self.batch - 1 } else { self.batch };
             let kept = self.kept;
             if let Some(worker) = self.workers.get_mut(name) {
@@ -121,7 +124,7 @@
         self.throttle_fillers(now, name, report);
     }
 
-    /// Finds late runs at a worker. Those whose copies may run side by side start elsewhere too.
+    /// Finds stalled and late runs on a worker, and lets their tasks run on another worker too if copies are allowed.
     fn duplicate_stragglers(&mut self, now: Millis, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         for (task, run) in worker.find_stragglers(now) {
@@ -130,13 +133,14 @@
         }
     }
 
-    /// A run that began here is done: how long it took against its estimate.
-    fn record_run_time(&mut self, task: TaskKey, took: Millis) {
+    /// Adds the time that a completed run took to the statistics of its queue.
+    fn record_run_time(&mut self, task: TaskKey, run_time: Millis) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(spec) = job.spec(task.step.step).filter(|spec| !spec.lasting) else { return };
-        self.run_times.entry(job.queue.name.clone()).or_default().add(spec.estimate, took);
+        self.run_times.entry(job.queue.name.clone()).or_default().add(spec.estimate, run_time);
     }
 
+    /// Handles the end of a run.
     fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
         let task = row.task;
         log::info!("event=ended task={task} run={} worker={name} end={:?}", row.run, row.end);
@@ -179,7 +183,7 @@
                     false => state.failed_runs.len(),
                 };
                 log::info!(
-                    "event=failed task={task} run={} worker={name} failed={failed}",
+                    "event=run-failed task={task} run={} worker={name} failed={failed}",
                     row.run
                 );
                 self.record_worker_failure(now, name, task);
@@ -190,7 +194,7 @@
             }
             End::Done | End::Stopped | End::Lapsed | End::Broken | End::Alone => {
                 log::info!(
-                    "event=cut-short task={task} run={} worker={name} end={:?}",
+                    "event=run-cut-short task={task} run={} worker={name} end={:?}",
                     row.run,
                     row.end
                 );
@@ -199,17 +203,18 @@
         }
     }
 
+    /// Counts a failed run against its worker.
     fn record_worker_failure(&mut self, now: Millis, name: &Name, task: TaskKey) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.record_failure(now, task) {
-            log::info!("event=worker-aside worker={name} task={task}");
+            log::info!("event=worker-excluded worker={name} task={task}");
         }
     }
 
-    /// A run goes on at a worker.
+    /// Updates a run that goes on, or adopts it if it is not known.
     fn update_run(&mut self, now: Millis, name: &Name, row: &RunningRow) {
         let task = row.task;
-        let moved = !row.saved.is_empty() && self.save_checkpoint(task, row);
+        let has_progressed = !row.saved.is_empty() && self.save_checkpoint(task, row);
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(run) = worker.runs.get_mut(&(task, row.run)) else {
             return self.adopt_run(now, name, row);
@@ -219,7 +224,7 @@
         if run.phase == Phase::Starting {
             run.mark_started(now);
         }
-        if moved {
+        if has_progressed {
             run.progressed_at = now;
         }
         if is_new {
@@ -227,7 +232,7 @@
         }
     }
 
-    /// Takes in a run's saved progress; whether it is new.
+    /// Saves the checkpoint of a run for its task. Returns whether it is new.
     fn save_checkpoint(&mut self, task: TaskKey, row: &RunningRow) -> bool {
         let job = self.jobs.get_mut(&task.step.job);
         let step = job.and_then(|job| job.step_mut(task.step));
@@ -237,14 +242,14 @@
         true
     }
 
-    /// A run that an earlier owner started goes on, or is stopped if it is not wanted.
+    /// Takes over a run that an earlier owner started, or stops it if its task needs no run.
     fn adopt_run(&mut self, now: Millis, name: &Name, row: &RunningRow) {
         let task = row.task;
         let job = self.jobs.get_mut(&task.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(task.step.step)).cloned();
         let owner = job.as_ref().and_then(|job| job.workspace.as_ref());
-        // The size of a run whose job is over is not known: it may fill the worker, whose room may have
-        // been larger when it began.
+        // The resources of a run whose job was closed are not known. It may fill the worker, whose resources may have been
+        // larger when it started.
         let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::new(row.run, &spec, Phase::Running(now));
@@ -269,31 +274,31 @@
                 if let Some(state) = step.tasks.get_mut(task.index as usize) {
                     state.checkpoint = row.saved.clone();
                 }
-                log::info!("event=adopted task={task} run={} worker={name}", row.run);
-                // It was over before the newer one began, or may be a copy.
+                log::info!("event=run-adopted task={task} run={} worker={name}", row.run);
+                // The older run ended before this one started, or may be a copy of the task.
                 if let Some((at, run)) = older {
                     self.stop_run(&at, task, run);
                 }
             }
             None => {
-                log::info!("event=unwanted task={task} run={} worker={name}", row.run);
+                log::info!("event=run-unwanted task={task} run={} worker={name}", row.run);
                 self.stop_run(name, task, row.run);
             }
         }
     }
 
-    /// Runs that the worker should have named and did not are over.
+    /// Abandons runs that should have been in a report and were not.
     fn drop_vanished_runs(&mut self, sent: Millis, name: &Name, report: &Report) {
         let listed: BTreeSet<(TaskKey, u64)> =
             report.running.iter().map(|row| (row.task, row.run)).collect();
         let Some(worker) = self.workers.get(name) else { return };
         let confirmed = worker.confirmed_end();
         let gone = |(key, run): (&(TaskKey, u64), &Run)| {
-            let over = match run.phase {
+            let is_overdue = match run.phase {
                 Phase::Running(at) | Phase::Stopping(Some(at)) => at < sent,
                 Phase::Starting | Phase::Stopping(None) => false,
             };
-            (over && !listed.contains(key)).then_some((*key, run.phase))
+            (is_overdue && !listed.contains(key)).then_some((*key, run.phase))
         };
         let gone: Vec<_> = worker.runs.iter().filter_map(gone).collect();
         for ((task, run), phase) in gone {
@@ -307,46 +312,49 @@
         }
     }
 
-    /// Slows fillers where they come near to harming a task that serves, and lets them work again.
+    /// Slows down filler tasks while a task that serves requests on the worker is close to its tail latency limit, and
+    /// speeds them up again afterwards.
     fn throttle_fillers(&mut self, now: Millis, name: &Name, report: &Report) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let fillers: Vec<(TaskKey, u64, u32)> = worker
             .runs
             .iter()
             .filter(|(_, run)| run.is_filler && matches!(run.phase, Phase::Running(_)))
-            .map(|((task, no), run)| (*task, *no, run.percent))
+            .map(|((task, number), run)| (*task, *number, run.percent))
             .collect();
         if fillers.is_empty() || now.since(worker.throttled_at) < THROTTLE_INTERVAL {
             return;
         }
-        let used = |row: &RunningRow| {
+        let used_percent = |row: &RunningRow| {
             let run = worker.runs.get(&(row.task, row.run)).filter(|run| run.tail_limit.0 > 0)?;
             row.gauge.map(|gauge| gauge * 100.0 / run.tail_limit.0 as f64)
         };
-        let worst = report.running.iter().filter_map(used).fold(0.0, f64::max);
-        let change = |percent: u32| match () {
+        let worst = report.running.iter().filter_map(used_percent).fold(0.0, f64::max);
+        let next_percent = |percent: u32| match () {
             () if worst >= SLOW_DOWN_PERCENT && percent / 2 < MIN_SHARE_PERCENT => 0,
             () if worst >= SLOW_DOWN_PERCENT => percent / 2,
             () if worst < SPEED_UP_PERCENT => (percent + SPEED_UP_STEP).min(100),
             () => percent,
         };
-        let changed: Vec<_> =
-            fillers.into_iter().filter(|(_, _, percent)| change(*percent) != *percent).collect();
+        let changed: Vec<_> = fillers
+            .into_iter()
+            .filter(|(_, _, percent)| next_percent(*percent) != *percent)
+            .collect();
         if changed.is_empty() {
             return;
         }
         worker.throttled_at = now;
         for (task, run, percent) in changed {
-            let percent = change(percent);
+            let percent = next_percent(percent);
             log::info!(
-                "event=paced task={task} run={run} worker={name} percent={percent} worst={worst:.0}"
+                "event=filler-share-changed task={task} run={run} worker={name} percent={percent} worst={worst:.0}"
             );
             self.actions.push(Action::Pace { worker: name.clone(), task, run, percent });
         }
     }
 }
 
-/// Where a task runs, if it is another run than `run`.
+/// The worker and number of the run that a task is assigned as, if it is not `run`.
 fn other_run(status: &TaskStatus, run: u64) -> Option<(Name, u64)> {
     match status {
         TaskStatus::Placed { worker, run: other } if *other != run => {
