--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -1,8 +1,8 @@
-//! Workers that start again under the id that they had.
+//! Workers whose process was restarted with the same id.
 //!
-//! What dies with a process is dropped here: what ran, the numbers of ends, the clock and with it the
-//! leases, and tickets. Which of two lives is the later one is known from reports alone: a worker is asked for
-//! one after the other, and an entry in the list may be of either life.
+//! State that ends with a process is dropped here: its runs, the numbers of its ends, its clock and with it the leases, and
+//! tickets. Which of two incarnations is the later one is known from reports alone: report calls to a worker follow one
+//! another, while an entry in the list of workers may belong to either incarnation.
 
 use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::workers::worker::{Phase, Run};
@@ -13,19 +13,19 @@
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
-/// What became of a run whose worker started again.
+/// What becomes of a run when its worker has restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunAfterRestart {
-    /// The new life has it.
+    /// The new incarnation has it.
     Kept,
-    /// It ended with the life before, or was never sent.
+    /// It ended with the previous incarnation, or was never sent.
     Lost,
-    /// Its start was not answered: it may arrive still, and the new life has to be told to refuse it.
+    /// Its start was not answered and may still arrive, so the new incarnation has to be told to refuse it.
     InFlight,
 }
 
 impl Cell {
-    /// A report, asked for at `sent`, comes from another life of a worker than the one known here.
+    /// Handles a report from another incarnation of a worker than the one known here; the report call was sent at `sent`.
     pub(in crate::cell) fn on_worker_restart(
         &mut self,
         now: Millis,
@@ -33,12 +33,12 @@
         name: &Name,
         report: &Report,
     ) {
-        let named = reported_runs(report);
+        let reported = reported_runs(report);
         let left = |(key, run): (&(TaskKey, u64), &Run)| {
-            (*key, run_after_restart(run, sent, named.contains(key)))
+            (*key, run_after_restart(run, sent, reported.contains(key)))
         };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let over = worker.life();
+        let ended = worker.life();
         let all: Vec<((TaskKey, u64), RunAfterRestart)> = worker.runs.iter().map(left).collect();
         let mut kept = Vec::new();
         for ((task, run), left) in &all {
@@ -46,15 +46,15 @@
                 kept.extend(worker.remove_run(*task, *run).map(|known| (*task, known)));
             }
         }
-        // What is left there crashed with the worker.
+        // The remaining runs ended with the previous incarnation, which counts as a crash for their tasks.
         self.record_worker_crash(now, name, true);
-        self.resolve_crash(&over, CrashResolution::Ended);
+        self.resolve_crash(&ended, CrashResolution::Ended);
         let lease_end = now + Millis(self.bounds.lease_max.0 * 1_050 / 1_000);
         let batch = self.batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut before = worker.restart(now, report.born, batch, lease_end);
         log::info!(
-            "event=worker-restarted worker={name} life={} was={over} runs={} kept={}",
+            "event=worker-restarted worker={name} life={} was={ended} runs={} kept={}",
             worker.life(),
             all.len(),
             kept.len()
@@ -63,7 +63,7 @@
             worker.add_run(task, run);
         }
         self.counts.restarted += 1;
-        self.ended_lives.insert(over, now);
+        self.ended_lives.insert(ended, now);
         (self.roster, self.changed) = (true, true);
         for ((task, run), left) in all {
             match left {
@@ -82,7 +82,8 @@
         self.forget_clearances(name);
     }
 
-    /// The new life is told to refuse a run; until it says so the task waits, and its room is taken.
+    /// Tells the new incarnation to refuse a run of the previous one. Until it confirms that, the task is not started again
+    /// and the resources of the run stay charged.
     fn reject_stale_run(&mut self, name: &Name, task: TaskKey, run: Run) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let no = run.run;
@@ -93,7 +94,8 @@
         self.actions.push(Action::Stop { worker: name.clone(), task, run: no });
     }
 
-    /// Tickets hold for one life, and the next one may be of a kind that was denied.
+    /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the next one may be of another
+    /// kind.
     fn forget_clearances(&mut self, name: &Name) {
         for job in self.jobs.values_mut().filter(|job| job.is_open() && job.queue.advice.is_some())
         {
@@ -104,31 +106,33 @@
         }
     }
 
-    /// The list tells of another life of a worker than the one that last reported: a later one, as those
-    /// that are over are known. It is asked at once, and gets nothing new until it has reported.
+    /// Handles a list entry with another incarnation of a worker than the one that last reported. It is a later one, because
+    /// incarnations that ended are known. The worker is asked for a report at once, and gets no new tasks until it reports.
     pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &Listed) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
-        let is_news = worker.is_other_incarnation(listed.born) && worker.listed.born != listed.born;
-        if is_news {
+        let is_new = worker.is_other_incarnation(listed.born) && worker.listed.born != listed.born;
+        if is_new {
             worker.mark_unanswered(now);
             self.actions.push(Action::Look(listed.id.clone()));
         }
     }
 }
 
+/// The runs that a report names as running or ended.
 fn reported_runs(report: &Report) -> BTreeSet<(TaskKey, u64)> {
     let running = report.running.iter().map(|row| (row.task, row.run));
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
 
-fn run_after_restart(run: &Run, sent: Millis, is_named: bool) -> RunAfterRestart {
+/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation reported the run.
+fn run_after_restart(run: &Run, sent: Millis, is_reported: bool) -> RunAfterRestart {
     match run.phase {
-        _ if is_named => RunAfterRestart::Kept,
+        _ if is_reported => RunAfterRestart::Kept,
         _ if !run.is_sent => RunAfterRestart::Lost,
-        // Answered after the new life was asked, so by the new life.
+        // It was confirmed after the report call was sent, so by the new incarnation.
         Phase::Running(at) if at >= sent => RunAfterRestart::Kept,
         _ if run.has_started => RunAfterRestart::Lost,
-        // Bound by an earlier owner, which may have sent it.
+        // It was assigned by an earlier owner, which may have sent it.
         Phase::Running(_) => RunAfterRestart::Lost,
         Phase::Starting | Phase::Stopping(_) => RunAfterRestart::InFlight,
     }
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -1,4 +1,4 @@
-//! The workers of a cell: listed, silent, leaving, gone.
+//! The set of workers of a cell: workers that are listed, become unreachable, leave or are removed.
 
 use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::mechanism::Mechanism;
@@ -10,17 +10,17 @@
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
-/// Why a life of a worker is taken to be over.
+/// Why a worker is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemovalReason {
-    /// Another life answers at its address.
+    /// Another incarnation answers at its address.
     Replaced,
-    /// It is not listed any more, it is silent, and its leases are over.
+    /// It is not listed any more, it does not answer, and its leases have expired or nothing runs on it.
     Unlisted,
 }
 
 impl RemovalReason {
-    /// The name in log lines.
+    /// The name of the reason in log lines.
     fn name(self) -> &'static str {
         match self {
             Self::Replaced => "replaced",
@@ -29,15 +29,17 @@
     }
 }
 
-/// A life that is over is not taken up again from the list for so long, where its entry stays for some
-/// seconds: it would be, and be removed again, with each look. By then all that it ran has surely ended.
+/// How long an incarnation that ended is not added again from the list of workers, where its entry stays for some seconds.
+/// Otherwise it would be added and removed again each time the list is read. By the end of this time all its runs have
+/// ended.
 pub(in crate::cell) const ENDED_INCARNATION_RETENTION: Millis = Millis(10_000);
-/// Workers of one failure domain that leave something unanswered at the same time, from which the
-/// domain is taken to be cut off: one alone may be lost by itself.
+/// Number of workers in a failure domain that do not answer at the same time from which on the whole domain is considered
+/// partitioned from the owner. A single worker may have failed by itself.
 const PARTITION_MIN_WORKERS: usize = 2;
 
 impl Cell {
-    /// A worker did not answer: nothing new goes there until it does.
+    /// Marks a worker as unreachable: it gets no new tasks until it reports. Its tasks may run elsewhere at once if copies
+    /// are allowed.
     pub fn mark_unreachable(&mut self, now: Millis, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name)
             && worker.is_reachable
@@ -54,9 +56,11 @@
         }
     }
 
-    /// A worker left something unanswered: nothing new goes there until it reports, which it is asked
-    /// for at once. Where two of a failure domain did so, the others of it are taken to be behind the
-    /// same cut. Starts would go behind the cut, and their tasks be held up until it heals.
+    /// Handles a message that a worker did not answer: the worker gets no new tasks until it reports, for which it is asked
+    /// at once.
+    ///
+    /// When [`PARTITION_MIN_WORKERS`] workers of a failure domain do not answer, the others in it are considered to be behind
+    /// the same network partition. Otherwise starts would be sent there, and their tasks delayed until it heals.
     pub(in crate::cell) fn suspect_worker(&mut self, now: Millis, name: &Name) {
         if self.is_late || self.bounds.off.has(Mechanism::Doubt) {
             return;
@@ -66,12 +70,12 @@
         self.actions.push(Action::Look(name.clone()));
         let domain = worker.listed.domain.clone();
         let of_domain = |worker: &&mut Worker| worker.listed.domain == domain && worker.is_listed;
-        let missed = |worker: &&mut Worker| worker.has_unanswered() || !worker.is_reachable;
-        let silent = self.workers.values_mut().filter(of_domain).filter(missed).count();
+        let is_silent = |worker: &&mut Worker| worker.has_unanswered() || !worker.is_reachable;
+        let silent = self.workers.values_mut().filter(of_domain).filter(is_silent).count();
         if silent != PARTITION_MIN_WORKERS {
             return;
         }
-        log::info!("event=domain-doubted domain={domain} silent={silent}");
+        log::info!("event=domain-suspected domain={domain} silent={silent}");
         for worker in self.workers.values_mut().filter(of_domain) {
             if !worker.has_unanswered() {
                 worker.mark_unanswered(now);
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Lets a task run elsewhere too, if its copies may run side by side. The first one that is
-    /// done counts.
+    /// Lets a task be started on another worker as well, if copies of it are allowed to run at the same time. The first run
+    /// that is done counts.
     pub(in crate::cell) fn allow_duplicate(
         &mut self,
         now: Millis,
@@ -101,7 +105,7 @@
         }
     }
 
-    /// Has all runs of a task end: another one is done.
+    /// Stops all runs of a task of which one is done.
     pub(in crate::cell) fn stop_all_runs(&mut self, task: TaskKey) {
         let copies = |worker: &Worker| -> Vec<u64> {
             worker.runs.range((task, 0)..=(task, u64::MAX)).map(|((_, run), _)| *run).collect()
@@ -115,17 +119,17 @@
         }
     }
 
-    /// A life of a worker is over, and all that it ran with it.
-    pub fn remove_worker(&mut self, now: Millis, name: &Name, why: RemovalReason) {
-        let is_over = why != RemovalReason::Unlisted;
-        self.record_worker_crash(now, name, is_over);
+    /// Removes a worker whose incarnation has ended, and with it all its runs.
+    pub fn remove_worker(&mut self, now: Millis, name: &Name, reason: RemovalReason) {
+        let has_ended = reason != RemovalReason::Unlisted;
+        self.record_worker_crash(now, name, has_ended);
         let Some(worker) = self.workers.remove(name) else { return };
-        if is_over {
+        if has_ended {
             let life = worker.life();
             self.resolve_crash(&life, CrashResolution::Ended);
             self.ended_lives.insert(life, now);
         }
-        let (why, is_leaving) = (why.name(), worker.listed.leaving.is_some());
+        let (why, is_leaving) = (reason.name(), worker.listed.leaving.is_some());
         log::info!(
             "event=worker-gone worker={name} why={why} leaving={is_leaving} runs={}",
             worker.runs.len()
@@ -139,7 +143,7 @@
         self.actions.push(Action::Unwatch(name.clone()));
     }
 
-    /// The workers that are listed now, of every service.
+    /// Takes the current list of workers, of all services.
     pub fn set_workers(&mut self, now: Millis, listed: Vec<Listed>) {
         let ids: BTreeSet<Name> = listed.iter().map(|one| one.id.clone()).collect();
         let lives: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
@@ -154,6 +158,7 @@
         self.changed = true;
     }
 
+    /// Adds or updates a worker from its entry in the list.
     fn update_listing(&mut self, now: Millis, listed: Listed) {
         let (name, life) = (listed.id.clone(), listed.life());
         if self.ended_lives.contains_key(&life) {
@@ -163,9 +168,9 @@
         self.expect_new_incarnation(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
-                let leaves = listed.leaving.is_some() && worker.listed.leaving.is_none();
+                let starts_leaving = listed.leaving.is_some() && worker.listed.leaving.is_none();
                 worker.listed = listed;
-                if leaves {
+                if starts_leaving {
                     self.evacuate(&name);
                 }
             }
@@ -184,38 +189,42 @@
         }
     }
 
-    /// A worker leaves: what would not end there in time is moved.
+    /// Stops the runs on a leaving worker that would not end in time, so that their tasks start elsewhere.
     fn evacuate(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else { return };
-        let left = worker.listed.leaving.unwrap_or_default();
-        log::info!("event=worker-leaving worker={name} left_ms={left} runs={}", worker.runs.len());
-        let stays = |task: &TaskKey| {
+        let time_left = worker.listed.leaving.unwrap_or_default();
+        log::info!(
+            "event=worker-leaving worker={name} left_ms={time_left} runs={}",
+            worker.runs.len()
+        );
+        let ends_in_time = |task: &TaskKey| {
             let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-            spec.is_some_and(|spec| !spec.lasting && spec.estimate < left)
+            spec.is_some_and(|spec| !spec.lasting && spec.estimate < time_left)
         };
-        let moved: Vec<(TaskKey, u64)> =
-            worker.runs.keys().filter(|(task, _)| !stays(task)).copied().collect();
-        for (task, run) in moved {
+        let stopped: Vec<(TaskKey, u64)> =
+            worker.runs.keys().filter(|(task, _)| !ends_in_time(task)).copied().collect();
+        for (task, run) in stopped {
             self.stop_run(name, task, run);
         }
     }
 
-    /// Runs whose lease has surely ended at a silent worker are over.
+    /// Abandons the runs on unreachable workers whose leases have expired, and removes those that are not listed any more.
     pub(in crate::cell) fn expire_leases(&mut self, now: Millis) {
-        // One that left with nothing running can hold up nobody: the next owner would wait a whole
-        // lease for it.
-        let left =
+        // A worker that left with no runs is removed before its lease expires. If it stayed in the store, the next owner
+        // would wait for its whole lease.
+        let has_left =
             |worker: &Worker| worker.has_reported && !worker.is_listed && worker.runs.is_empty();
-        let silent =
-            |worker: &&Worker| !worker.is_reachable && (now >= worker.lease_end || left(worker));
-        let over: Vec<(Name, bool)> = self
+        let is_expired = |worker: &&Worker| {
+            !worker.is_reachable && (now >= worker.lease_end || has_left(worker))
+        };
+        let expired: Vec<(Name, bool)> = self
             .workers
             .values()
-            .filter(silent)
+            .filter(is_expired)
             .map(|worker| (worker.listed.id.clone(), worker.is_listed))
             .collect();
-        for (name, present) in over {
-            if !present {
+        for (name, is_listed) in expired {
+            if !is_listed {
                 self.remove_worker(now, &name, RemovalReason::Unlisted);
                 continue;
             }
