--- a/src/cell/placing/candidate.rs
+++ b/src/cell/placing/candidate.rs
@@ -63,9 +63,9 @@
             overcommitted: worker.used.less(&worker.listed.room),
             step_runs: 0,
             total_runs: worker.runs.len(),
-            is_healthy: worker.is_sound(),
-            is_stable: worker.is_settled(now),
-            serves_users: worker.runs.values().any(|run| run.tail.0 > 0),
+            is_healthy: worker.is_healthy(),
+            is_stable: worker.is_stable(now),
+            serves_users: worker.runs.values().any(|run| run.tail_limit.0 > 0),
             is_reserved: false,
         }
     }
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -157,10 +157,10 @@
         let relaxation = self.relaxation(now, job, key);
         let is_excluded = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_aside && worker.is_aside(now)) || is_quarantine(worker))
+                && ((skips_aside && worker.is_excluded(now)) || is_quarantine(worker))
         };
         let open =
-            workers.filter(|(_, worker)| worker.is_open(self.stored_batch) && !is_excluded(worker));
+            workers.filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
@@ -281,12 +281,12 @@
     fn bind(&mut self, now: Millis, task: TaskKey, name: &Name, no: u64, spec: &Step, saved: &str) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut run = Run::bound(no, spec, Phase::Starting);
-        run.since = now;
-        run.held = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
+        let mut run = Run::new(no, spec, Phase::Starting);
+        run.known_since = now;
+        run.usage_guard = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
         let times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
-        run.limit = times.and_then(|times| times.limit(spec.estimate));
-        worker.add(task, run);
+        run.late_after = times.and_then(|times| times.late_after(spec.estimate));
+        worker.add_run(task, run);
         let age = now.since(job.known_since);
         job.was_placed = true;
         let text = job.work.spec.clone();
@@ -330,17 +330,17 @@
             if run.is_none_or(|run| run.phase != Phase::Starting) {
                 continue;
             }
-            if worker.is_other(worker.listed.born) {
+            if worker.is_other_incarnation(worker.listed.born) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
             }
-            if worker.is_overfull() {
+            if worker.is_overcommitted() {
                 log::info!("event=room-shrank task={} worker={name}", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
             }
-            let Some(until) = worker.lease(now, lease) else {
+            let Some(until) = worker.renew_lease(now, lease) else {
                 log::info!("event=start-given-up task={} worker={name} why=no-clock", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -152,7 +152,7 @@
     pub fn mark_stored(&mut self, now: Millis, batch: u64) {
         self.stored_batch = self.stored_batch.max(batch);
         for worker in self.workers.values_mut() {
-            worker.keep(batch);
+            worker.mark_stored(batch);
         }
         self.unstored_jobs.retain(|(of, _)| *of > batch);
         self.send_starts(now, batch);
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -134,8 +134,8 @@
         {
             let mut cell = lock(&self.cell);
             match is_start {
-                true => cell.started(now, &name, task, run, outcome),
-                false => cell.stopped(now, &name, task, run, outcome),
+                true => cell.on_start_outcome(now, &name, task, run, outcome),
+                false => cell.on_stop_outcome(now, &name, task, run, outcome),
             }
         }
         self.schedule_wake.notify_one();
@@ -157,7 +157,7 @@
             self.wait_for_ends(&name).await;
             let can_renew = self.has_authority();
             let sent = self.node.now();
-            let Some(hold) = lock(&self.cell).hold(sent, &name, can_renew) else { return };
+            let Some(hold) = lock(&self.cell).report_call(sent, &name, can_renew) else { return };
             // A restarted worker may have another address.
             let Some(client) = self.worker_client(&name) else { return };
             let timeouts = lock(&self.lag).timeouts();
@@ -171,13 +171,13 @@
             let now = self.node.now();
             let retry_later = match &result {
                 Ok(report) => {
-                    lock(&self.cell).held(now, sent, &name, report);
+                    lock(&self.cell).on_report(now, sent, &name, report);
                     wait = if hold.lease_end.is_some() { REPORT_WAIT } else { Millis(0) };
                     hold.lease_end.is_none() && !can_renew
                 }
                 Err(err) => {
                     wait = Millis(0);
-                    lock(&self.cell).unheld(now, &name, err)
+                    lock(&self.cell).on_missing_report(now, &name, err)
                 }
             };
             self.schedule_wake.notify_one();
@@ -191,7 +191,7 @@
     /// Waits until the store has the ended runs of a worker's last report, so that the next request
     /// confirms them.
     async fn wait_for_ends(&self, name: &Name) {
-        let Some(batch) = lock(&self.cell).awaited(name) else { return };
+        let Some(batch) = lock(&self.cell).unstored_ends_batch(name) else { return };
         let mut stored = self.stored_batch.subscribe();
         let wait = stored.wait_for(|stored| *stored >= batch);
         if tokio::time::timeout(CONFIRM_WAIT.duration(), wait).await.is_err() {
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -10,7 +10,7 @@
         }
         let renew = self.has_authority(owner);
         let sent = self.now;
-        let Some(hold) = self.owners[owner].cell.hold(Millis(sent), &worker, renew) else {
+        let Some(hold) = self.owners[owner].cell.report_call(Millis(sent), &worker, renew) else {
             self.owners[owner].polled.remove(&worker);
             return;
         };
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -358,10 +358,10 @@
     fn poll_reports(&mut self) {
         let now = Millis(self.now);
         for name in self.polled.clone() {
-            let Some(hold) = self.cell.hold(now, &name, true) else { continue };
+            let Some(hold) = self.cell.report_call(now, &name, true) else { continue };
             let result = self.call_worker(&name);
             match result {
-                Err(err) => drop(self.cell.unheld(now, &name, &err)),
+                Err(err) => drop(self.cell.on_missing_report(now, &name, &err)),
                 Ok(index) => {
                     self.renew_lease(index, hold.lease_end);
                     let host = &mut self.hosts[index];
@@ -372,7 +372,7 @@
                     let clock = CLOCK_BASE_MS + now.0;
                     let report =
                         Report { clock, running, ended: host.ended.clone(), ..Report::default() };
-                    self.cell.held(now, now, &name, &report);
+                    self.cell.on_report(now, now, &name, &report);
                 }
             }
         }
@@ -417,7 +417,7 @@
                         Err(HoldError::Refused(refusal)) => Outcome::Refused(refusal),
                         Err(HoldError::Silent(_)) => Outcome::Unknown,
                     };
-                    self.cell.started(now, &worker, start.task, start.run, outcome);
+                    self.cell.on_start_outcome(now, &worker, start.task, start.run, outcome);
                 }
                 Action::Stop { worker, task, run } => {
                     let outcome = match self.call_worker(&worker) {
@@ -429,7 +429,7 @@
                         Err(HoldError::Refused(refusal)) => Outcome::Refused(refusal),
                         Err(HoldError::Silent(_)) => Outcome::Unknown,
                     };
-                    self.cell.stopped(now, &worker, task, run, outcome);
+                    self.cell.on_stop_outcome(now, &worker, task, run, outcome);
                 }
                 Action::Watch(listed) => drop(self.polled.insert(listed.id)),
                 Action::Unwatch(worker) => drop(self.polled.remove(&worker)),
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -418,13 +418,13 @@
     fn poll_reports(&mut self) {
         let now = Millis(self.now);
         for id in self.polled.clone() {
-            let Some(hold) = self.cell.hold(now, &id, true) else { continue };
+            let Some(hold) = self.cell.report_call(now, &id, true) else { continue };
             let index = self.host_index(&id);
             let host = &mut self.hosts[index];
             if host.unreachable_until > self.now || host.lost_reports > 0 {
                 host.lost_reports = host.lost_reports.saturating_sub(1);
                 let silent = HoldError::Silent("report lost".to_string());
-                self.cell.unheld(now, &id, &silent);
+                self.cell.on_missing_report(now, &id, &silent);
                 continue;
             }
             let incarnation = &mut host.incarnation;
@@ -446,7 +446,7 @@
                 running: running.collect(),
                 ended: incarnation.ended.clone(),
             };
-            self.cell.held(now, now, &id, &report);
+            self.cell.on_report(now, now, &id, &report);
         }
     }
 
@@ -515,10 +515,10 @@
         let now = Millis(self.now);
         match action {
             Action::Start { worker, start, .. } => {
-                self.cell.started(now, worker, start.task, start.run, outcome);
+                self.cell.on_start_outcome(now, worker, start.task, start.run, outcome);
             }
             Action::Stop { worker, task, run } => {
-                self.cell.stopped(now, worker, *task, *run, outcome);
+                self.cell.on_stop_outcome(now, worker, *task, *run, outcome);
             }
             _ => {}
         }
