--- a/src/cell/placing/candidate.rs
+++ b/src/cell/placing/candidate.rs
@@ -1,4 +1,4 @@
-//! Which of several workers with room a task or a gang goes to.
+//! Selection of workers for a task or a gang among those with enough free resources.
 
 use crate::cell::jobs::job::Task;
 use crate::cell::jobs::stage::needs_settled;
@@ -8,48 +8,50 @@
 use crate::workload::{Room, Step, StepKey, TaskKey};
 use std::collections::BTreeSet;
 
-/// Whether a worker may run a step's tasks at all.
+/// Whether a worker belongs to the service, has the label that the step requires, and is large enough for one of its
+/// tasks when idle.
 pub(in crate::cell) fn is_suitable(worker: &Worker, service: &str, spec: &Step) -> bool {
     let listed = &worker.listed;
     let label = spec.label.is_empty() || listed.labels.contains(&spec.label);
     label && *listed.service == *service && listed.room.holds(&spec.charge())
 }
 
-/// How many runs of a step a worker has.
+/// The number of runs of a step on a worker.
 pub(in crate::cell) fn count_step_runs(worker: &Worker, key: StepKey) -> u32 {
     let first = TaskKey { step: key, index: 0 };
     let last = TaskKey { step: key, index: u32::MAX };
     worker.runs.range((first, 0)..=(last, u64::MAX)).count() as u32
 }
 
-/// What of a step found no worker.
+/// The tasks of a step for which no worker was found.
 #[derive(Debug)]
 pub(in crate::cell) struct UnplacedTasks<'a> {
     pub step: StepKey,
     pub spec: &'a Step,
-    /// How many of its tasks.
+    /// The number of these tasks.
     pub count: u32,
 }
 
-/// A worker that tasks of a step may go to, as it is while that step is placed.
+/// A worker that may run tasks of a step. It is a snapshot that is updated as tasks of the step are placed on it.
 #[derive(Debug, Clone)]
 pub(in crate::cell) struct Candidate {
     pub name: Name,
     pub domain: Name,
     pub rack: Option<Name>,
     pub free: Room,
-    /// What is taken beyond the room, since that shrank.
+    /// Resources in use beyond the worker's capacity, after its capacity was reduced.
     pub overcommitted: Room,
-    /// Runs of the step there, if that matters.
+    /// Runs of the step on the worker; 0 if the step doesn't limit them.
     pub step_runs: u32,
-    /// All runs there.
+    /// Runs of all steps on the worker.
     pub total_runs: usize,
+    /// No recent run on it failed.
     pub is_healthy: bool,
-    /// Its process has stayed up for a while.
+    /// Its process has been running for long enough to count as stable.
     pub is_stable: bool,
-    /// It runs tasks that serve users of their own.
+    /// It runs tasks that serve user requests.
     pub serves_users: bool,
-    /// Room is gathered there for a gang of another step.
+    /// Resources on it are reserved for a gang of another step.
     pub is_reserved: bool,
 }
 
@@ -70,18 +72,18 @@
         }
     }
 
-    /// What a run took is free again, unless the worker has too much taken.
+    /// Frees the resources of a run. They reduce the overcommitment first, if the worker is overcommitted.
     pub fn release(&mut self, charge: &Room) {
         self.free = self.free.plus(&charge.less(&self.overcommitted));
         self.overcommitted = self.overcommitted.less(charge);
     }
 
-    /// Whether one more task of a step may go there at all.
+    /// Whether the step's limit on tasks per worker allows one more.
     pub fn is_below_limit(&self, spec: &Step) -> bool {
         spec.apart == 0 || self.step_runs < spec.apart
     }
 
-    /// How many tasks of a step have room.
+    /// The number of the step's tasks that fit on the worker.
     pub fn count_fitting(&self, spec: &Step, charge: &Room) -> usize {
         let mut candidate = self.clone();
         let mut count = 0;
@@ -93,16 +95,21 @@
         count
     }
 
-    /// Whether one more task of a step has room.
+    /// Whether one more task of the step fits on the worker.
     pub fn has_room(&self, spec: &Step, charge: &Room) -> bool {
         self.is_below_limit(spec) && self.free.holds(charge)
     }
 }
 
-/// The best worker with room for one task: near the data, not one on which it failed, in the job's
-/// failure domain, sound, and then the one that is left with the least; fillers go where most
-/// processors are idle. One under which a worker crashed goes where the least else runs, and from the second crash on
-/// only to a worker that has stayed up: a crash of one that has just started again tells nothing of the task.
+/// Selects the best worker with room for one task.
+///
+/// Preferences, in descending order: a worker on which the task hasn't failed; the rack of its data; for a filler, a
+/// worker that runs no serving tasks; a worker without resources reserved for a gang; the job's failure domain; a
+/// healthy worker; the worker with the fewest cores left free. A filler takes the one with the most idle cores instead.
+///
+/// A task that was running when a worker crashed prefers the worker with the fewest other runs over all but the first
+/// preference. From the second crash on it only goes to stable workers: a crash of a worker that has just restarted is
+/// no evidence against the task.
 pub(in crate::cell) fn pick_worker<'a>(
     candidates: &'a mut [Candidate],
     spec: &Step,
@@ -127,8 +134,10 @@
     candidates.iter_mut().filter(is_usable).min_by_key(|candidate| score(candidate))
 }
 
-/// Workers for all tasks of a gang, on one rack if it wants that and one has the room; on workers where
-/// nothing else runs, if there are such, for one with a quarantined member.
+/// Selects workers for all tasks of a gang.
+///
+/// A gang with a quarantined member goes to idle workers if they suffice. A gang that prefers a single rack goes to one
+/// if any has enough room. Otherwise the gang goes to the job's failure domain, or to any worker if that is too full.
 pub(in crate::cell) fn pick_gang_workers(
     candidates: &[Candidate],
     spec: &Step,
@@ -155,7 +164,7 @@
         .or_else(|| assign_gang(candidates, spec, |_| true))
 }
 
-/// Gives each task of a gang one of the wanted workers, or none at all.
+/// Assigns an eligible worker to each task of a gang; `None` if they don't all fit.
 fn assign_gang(
     candidates: &[Candidate],
     spec: &Step,
--- a/src/cell/placing/fair_share.rs
+++ b/src/cell/placing/fair_share.rs
@@ -1,7 +1,8 @@
-//! What a workspace sends beyond its share.
+//! Detection of jobs that a workspace submits in excess of its share.
 //!
-//! The load that this answers: one workspace sends many times its usual for some seconds. In the order of their
-//! deadlines its jobs would go before those of all that come later, and make everybody late.
+//! A workspace may submit many times its usual number of jobs for some seconds. In order of deadline they would all go
+//! before the jobs that other workspaces submit later, and make those late. So each workspace has a token bucket that is
+//! refilled at the rate of its share, and jobs in excess of it become less urgent.
 
 use crate::cell::Cell;
 use crate::cell::mechanism::Mechanism;
@@ -9,30 +10,29 @@
 use crate::id::Name;
 use std::collections::HashMap;
 
-/// What a workspace may send in this many seconds may come at once.
+/// The capacity of a bucket, in seconds of its refill rate.
 const BURST_SECONDS: f64 = 1.0;
-/// In milliseconds.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// What a workspace may still send within its share.
+/// The number of jobs that a workspace may submit now within its share.
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
     refilled: Millis,
 }
 
-/// The buckets of all workspaces.
+/// The token buckets of all workspaces, by name.
 #[derive(Debug, Default)]
 pub(in crate::cell) struct ShareLimits(HashMap<Name, TokenBucket>);
 
 impl ShareLimits {
-    /// A job of a workspace came that may send `rate` a second; whether that is beyond its share.
+    /// Takes a token for a job of a workspace whose share is `rate` jobs per second; returns whether there was none left.
     pub fn exceeds(&mut self, now: Millis, workspace: &Name, rate: f64) -> bool {
         let capacity = (rate * BURST_SECONDS).max(1.0);
-        let fresh = || TokenBucket { tokens: capacity, refilled: now };
-        let bucket = self.0.entry(workspace.clone()).or_insert_with(fresh);
-        let gained = now.since(bucket.refilled).0 as f64 / MILLIS_PER_SECOND * rate;
-        (bucket.tokens, bucket.refilled) = ((bucket.tokens + gained).min(capacity), now);
+        let full_bucket = || TokenBucket { tokens: capacity, refilled: now };
+        let bucket = self.0.entry(workspace.clone()).or_insert_with(full_bucket);
+        let refill = now.since(bucket.refilled).0 as f64 / MILLIS_PER_SECOND * rate;
+        (bucket.tokens, bucket.refilled) = ((bucket.tokens + refill).min(capacity), now);
         let is_exceeded = bucket.tokens < 1.0;
         if !is_exceeded {
             bucket.tokens -= 1.0;
@@ -42,10 +42,11 @@
 }
 
 impl Cell {
-    /// A job of a workspace came; whether that is beyond its share. A workspace without a weight has no share.
+    /// Counts a submitted job against its workspace's share; returns whether it exceeds the share. A workspace with weight
+    /// 0 has no share to exceed.
     pub(in crate::cell) fn exceeds_share(&mut self, now: Millis, name: &Name) -> bool {
         let weight = self.usages.workspace(name).map_or(0, |workspace| workspace.weight);
-        let is_off = self.bounds.off.has(Mechanism::Shares);
-        weight > 0 && !is_off && self.shares.exceeds(now, name, f64::from(weight))
+        let is_disabled = self.bounds.off.has(Mechanism::Shares);
+        weight > 0 && !is_disabled && self.shares.exceeds(now, name, f64::from(weight))
     }
 }
--- a/src/cell/placing/gang.rs
+++ b/src/cell/placing/gang.rs
@@ -1,8 +1,8 @@
-//! Room that is gathered for a gang that finds too little of it.
+//! Reservations for gangs that don't find enough free resources.
 //!
-//! The load that this answers: a gang of many tasks in a cell that is nearly full. All its tasks start
-//! together, and tasks that came later take each piece of room as it becomes free. In a small
-//! cell a wide gang would wait until nothing else is left to run.
+//! The tasks of a gang all start together. In a cell that is nearly full, tasks that were submitted later would take
+//! resources one by one as they become free, and in a small cell a gang with many tasks would wait until nothing else is
+//! left to run. So resources are reserved for the gang while they become free.
 
 use crate::cell::Cell;
 use crate::cell::jobs::life::rank;
@@ -12,31 +12,31 @@
 use crate::id::Name;
 use crate::workload::{Room, Step, StepKey};
 
-/// No room is gathered before a gang's turn came so long ago: most find room by themselves before, and
-/// gathered room stands idle.
+/// How long a gang waits, from when it became ready, before resources are reserved for it. Most gangs find enough free
+/// resources within this time, and reserved resources stay idle.
 const MIN_GANG_WAIT: Millis = Millis(2_000);
-/// Where room is gathered is decided anew after this time: by then some of the workers may be lost.
+/// How long a reservation for a gang lasts. The workers are then chosen again, since some may have been lost.
 const RESERVATION_TIME: Millis = Millis(1_500);
 
-/// A worker at which room is gathered.
+/// The number of a gang's tasks that a worker can run.
 struct GangCapacity {
     worker: Name,
-    /// Tasks of the gang that have room now.
+    /// Tasks that fit in its free resources.
     fits_now: usize,
-    /// Tasks that have room once all runs that end by themselves are over.
+    /// Tasks that fit once all runs have ended, except those of long-running steps.
     fits_later: usize,
 }
 
 impl Cell {
-    /// Keeps room for all `rest` tasks of a gang, at the workers known to be good for it that have most
-    /// of it free, from tasks that rank after it. For one gang at a time: two would hold up each other.
-    pub(in crate::cell) fn reserve_for_gang(&mut self, now: Millis, need: &UnplacedTasks) {
-        let UnplacedTasks { step: key, spec, count: unplaced } = *need;
+    /// Reserves resources for all unplaced tasks of a gang, so that less urgent tasks can't take them. Prefers the
+    /// cleared workers on which most of its tasks fit. Reserves for one gang at a time, since two could block each other.
+    pub(in crate::cell) fn reserve_for_gang(&mut self, now: Millis, unplaced: &UnplacedTasks) {
+        let UnplacedTasks { step: key, spec, count } = *unplaced;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let mine = rank(job);
+        let gang_rank = rank(job);
         let is_early = !job.has_waited(now, key, MIN_GANG_WAIT);
-        let is_off = self.bounds.off.has(Mechanism::Gather);
-        if !spec.gang || is_off || is_early || self.reserved.has_gang() {
+        let is_disabled = self.bounds.off.has(Mechanism::Gather);
+        if !spec.gang || is_disabled || is_early || self.reserved.has_gang() {
             return;
         }
         let charge = spec.charge();
@@ -47,25 +47,26 @@
             .collect();
         capacities
             .sort_by_key(|capacity| std::cmp::Reverse((capacity.fits_now, capacity.fits_later)));
-        let mut left = unplaced as usize;
+        let mut missing = count as usize;
         let mut chosen = Vec::new();
         for GangCapacity { worker, fits_later, .. } in capacities {
-            let count = fits_later.min(left);
-            left -= count;
-            if count > 0 {
-                chosen.push((worker, count));
+            let tasks = fits_later.min(missing);
+            missing -= tasks;
+            if tasks > 0 {
+                chosen.push((worker, tasks));
             }
         }
-        if left > 0 {
+        if missing > 0 {
             return;
         }
-        log::info!("event=room-gathered step={key} tasks={unplaced} workers={}", chosen.len());
-        for (worker, count) in chosen {
-            let room = (0..count).fold(Room::default(), |sum, _| sum.plus(&charge));
-            self.reserved.reserve_for_gang(&worker, key, mine, room, now + RESERVATION_TIME);
+        log::info!("event=gang-reservation step={key} tasks={count} workers={}", chosen.len());
+        for (worker, tasks) in chosen {
+            let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&charge));
+            self.reserved.reserve_for_gang(&worker, key, gang_rank, room, now + RESERVATION_TIME);
         }
     }
 
+    /// Counts the gang's tasks that fit on a worker now and once other runs have ended.
     fn gang_capacity(
         &self,
         candidate: &Candidate,
--- a/src/cell/placing/mod.rs
+++ b/src/cell/placing/mod.rs
@@ -1,9 +1,13 @@
-//! Which task starts next, and where.
+//! Placement: decides which waiting task starts next, and on which worker.
 //!
-//! `schedule` goes through the steps that wait, `place` picks workers; `preempt` stops less urgent tasks, `reserve` keeps
-//! room, `gather` collects it for gangs; `settled` leaves out workers that have just started, for tasks that may have crashed
-//! others; `pressure` says what a step need not mind after a long wait; `usage` bounds what a workspace has running, `share`
-//! finds what it sends beyond its share.
+//! - `schedule` places the tasks of waiting steps in order of urgency and sends the start orders.
+//! - `candidate` selects a worker among those with enough free resources.
+//! - `preempt` stops less urgent tasks to free resources.
+//! - `reservation` stores reservations of resources; `gang` makes them for gangs.
+//! - `stability` keeps tasks that may have crashed workers off recently started workers.
+//! - `relaxation` decides which placement restrictions a step that has waited for long may ignore.
+//! - `usage` limits the resources that a workspace has in use.
+//! - `fair_share` detects jobs submitted in excess of a workspace's share.
 
 pub(super) mod candidate;
 pub(super) mod fair_share;
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -1,8 +1,8 @@
-//! Stopping less urgent tasks for more urgent ones that find no room.
+//! Preemption: stops less urgent tasks so that more urgent ones can start.
 //!
-//! The load that this answers: large tasks that need whole workers, of which the advice service clears
-//! a few, beside small tasks of a less urgent queue that keep a piece of each worker taken. The small
-//! ones have time to spare and save their progress: each loses half a second of work and a restore.
+//! It is meant for large tasks that need whole workers, of which the advice service clears only a few, while small tasks
+//! of a less urgent queue occupy a part of each worker. The small tasks aren't urgent and save their progress, so each
+//! loses half a second of work and the time to restore its progress.
 
 use crate::cell::Cell;
 use crate::cell::jobs::life::rank;
@@ -13,14 +13,14 @@
 use crate::id::Name;
 use crate::workload::{Room, Step, TaskKey};
 
-/// Nothing is stopped for a step before its turn came so long ago: a stop takes up to 900 ms, and room
-/// that small tasks leave by themselves is mostly there before.
+/// How long a step waits, from when it became ready, before tasks are stopped for it. A stop takes up to 900 ms, and in
+/// most cases enough small tasks end by themselves before that.
 const MIN_WAIT: Millis = Millis(300);
-/// How long room is kept for a step after tasks were stopped for it: the longest stop of the platform's
-/// contract is 900 ms, and a ticket holds for two seconds.
+/// How long resources stay reserved for a step. By the platform's contract a stop takes at most 900 ms, and a ticket of
+/// the advice service is valid for 2 s.
 const RESERVATION_TIME: Millis = Millis(1_500);
 
-/// A run that may be stopped.
+/// A run that can be stopped.
 #[derive(Debug, Clone)]
 struct Victim {
     task: TaskKey,
@@ -28,7 +28,7 @@
     charge: Room,
 }
 
-/// What has to be stopped at one worker to start so many tasks there.
+/// The runs to stop on one worker so that a number of tasks can start there.
 #[derive(Debug)]
 struct PreemptionPlan {
     worker: Name,
@@ -37,54 +37,53 @@
 }
 
 impl Cell {
-    /// Has less urgent tasks stopped so that `rest` tasks of a step can start on workers that are
-    /// cleared for it, and keeps their room. For a gang nothing is stopped unless that makes room for
-    /// all of it. Tasks that need most of a worker's accelerators would wait for good beside ones that need one.
+    /// Stops less urgent tasks so that unplaced tasks of a step can start on the candidates, and reserves the freed
+    /// resources. For a gang, tasks are stopped only if that makes room for all of it. Without preemption, tasks that need
+    /// most of a worker's accelerators could wait forever while tasks that need one accelerator keep starting.
     pub(in crate::cell) fn preempt_for(
         &mut self,
         now: Millis,
-        need: &UnplacedTasks,
+        unplaced: &UnplacedTasks,
         candidates: &[Candidate],
     ) {
-        let UnplacedTasks { step: key, spec, count: unplaced } = *need;
+        let UnplacedTasks { step: key, spec, count } = *unplaced;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let is_early = !job.has_waited(now, key, MIN_WAIT);
-        // It may be given back to its caller, and nothing was gained by what was stopped for it.
+        // A job that isn't stored yet may still be refused, and the tasks stopped for it would have lost work for nothing.
         let is_unstored = job.batch > self.kept;
         if is_early || is_unstored || candidates.is_empty() || self.reserved.has_exclusive(key) {
             return;
         }
-        let (mine, queue) = (rank(job), job.queue.name.clone());
+        let (step_rank, queue) = (rank(job), job.queue.name.clone());
         let priority = job.priority();
         let mut plans: Vec<PreemptionPlan> = candidates
             .iter()
             .map(|candidate| {
-                plan_preemption(candidate, spec, unplaced, self.victims(&candidate.name, priority))
+                plan_preemption(candidate, spec, count, self.victims(&candidate.name, priority))
             })
             .filter(|plan| plan.tasks > 0)
             .collect();
         plans.sort_by_key(|plan| plan.victims.len() * 100 / plan.tasks as usize);
-        let mut left = unplaced;
+        let mut missing = count;
         let mut chosen = Vec::new();
-        for found in plans {
-            if left == 0 {
+        for plan in plans {
+            if missing == 0 {
                 break;
             }
-            let Some(candidate) =
-                candidates.iter().find(|candidate| candidate.name == found.worker)
+            let Some(candidate) = candidates.iter().find(|candidate| candidate.name == plan.worker)
             else {
                 continue;
             };
-            let part = plan_preemption(candidate, spec, left.min(found.tasks), found.victims);
-            left -= part.tasks;
-            chosen.push(part);
+            let trimmed = plan_preemption(candidate, spec, missing.min(plan.tasks), plan.victims);
+            missing -= trimmed.tasks;
+            chosen.push(trimmed);
         }
-        if spec.gang && left > 0 {
+        if spec.gang && missing > 0 {
             return;
         }
         for PreemptionPlan { worker, tasks, victims } in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&spec.charge()));
-            self.reserved.reserve(&worker, key, mine, room, now + RESERVATION_TIME);
+            self.reserved.reserve(&worker, key, step_rank, room, now + RESERVATION_TIME);
             for Victim { task, run, .. } in victims {
                 log::info!(
                     "event=preempted task={task} run={run} worker={worker} for={key} queue={queue}"
@@ -94,14 +93,14 @@
         }
     }
 
-    /// Keeps room for tasks of a step that found none, at the workers cleared for it that are next to
-    /// having it: tasks that cannot be stopped for the step would take each piece that becomes free.
-    pub(in crate::cell) fn reserve_shared_for(&mut self, now: Millis, need: &UnplacedTasks) {
-        let UnplacedTasks { step: key, spec, count: unplaced } = *need;
+    /// Reserves the cleared workers that are closest to having room for a task of the step. Without this, tasks that
+    /// can't be stopped for the step would take the resources one by one as they become free.
+    pub(in crate::cell) fn reserve_shared_for(&mut self, now: Millis, unplaced: &UnplacedTasks) {
+        let UnplacedTasks { step: key, spec, count } = *unplaced;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let mine = rank(job);
-        let is_off = self.bounds.off.has(Mechanism::Reserve);
-        if is_off || self.reserved.has_exclusive(key) || self.reserved.has_shared(key) {
+        let step_rank = rank(job);
+        let is_disabled = self.bounds.off.has(Mechanism::Reserve);
+        if is_disabled || self.reserved.has_exclusive(key) || self.reserved.has_shared(key) {
             return;
         }
         let charge = spec.charge();
@@ -110,19 +109,18 @@
             .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.holds(&charge));
         candidates
             .sort_by_key(|candidate| std::cmp::Reverse((candidate.free.gpu, candidate.free.cpu)));
-        for candidate in candidates.into_iter().take(unplaced as usize) {
+        for candidate in candidates.into_iter().take(count as usize) {
             self.reserved.reserve_shared(
                 &candidate.name,
                 key,
-                mine,
+                step_rank,
                 charge,
                 now + RESERVATION_TIME,
             );
         }
     }
 
-    /// Whether a worker has room for a task of a job of this priority, or would have if less urgent
-    /// tasks were stopped.
+    /// Whether a task of a job with this priority fits on a worker, now or after stopping less urgent tasks.
     pub(in crate::cell) fn fits_after_preemption(
         &self,
         candidate: &Candidate,
@@ -135,7 +133,7 @@
         after_stops.has_room(spec, &spec.charge())
     }
 
-    /// Runs at a worker that may be stopped for a job of this priority, the least urgent first.
+    /// Runs on a worker that can be stopped for a job with this priority, the least urgent first.
     fn victims(&self, worker: &Name, priority: u32) -> Vec<Victim> {
         if self.bounds.off.has(Mechanism::Preempt) {
             return Vec::new();
@@ -145,30 +143,30 @@
             .runs
             .iter()
             .filter(|(_, run)| matches!(run.phase, Phase::Running(_)))
-            .filter_map(|((task, no), run)| {
+            .filter_map(|((task, run_number), run)| {
                 let job = self.jobs.get(&task.step.job)?;
                 let spec = job.spec(task.step.step)?;
-                let may_stop = job.priority() > priority && spec.can_stop();
-                let victim = Victim { task: *task, run: *no, charge: run.charge };
-                may_stop.then_some((rank(job), victim))
+                let can_stop = job.priority() > priority && spec.can_stop();
+                let victim = Victim { task: *task, run: *run_number, charge: run.charge };
+                can_stop.then_some((rank(job), victim))
             })
             .collect();
-        found.sort_by(|(one, _), (other, _)| other.cmp(one));
+        found.sort_by(|(a, _), (b, _)| b.cmp(a));
         found.into_iter().map(|(_, victim)| victim).collect()
     }
 }
 
-/// The fewest of `victims`, in order, that make room for up to `most` tasks at a worker.
+/// Plans to stop the fewest victims, in order, that make room for up to `max` tasks on a worker.
 fn plan_preemption(
     candidate: &Candidate,
     spec: &Step,
-    most: u32,
+    max: u32,
     victims: Vec<Victim>,
 ) -> PreemptionPlan {
     let charge = spec.charge();
     let mut candidate = candidate.clone();
     let (mut tasks, mut stopped, mut needed) = (0, 0, 0);
-    while tasks < most {
+    while tasks < max {
         match victims.get(stopped) {
             _ if candidate.has_room(spec, &charge) => {
                 candidate.free = candidate.free.less(&charge);
--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -1,8 +1,8 @@
-//! Steps that have waited for long though there is room.
+//! Relaxed placement for steps that have waited for long although enough resources are free.
 //!
-//! The load that this answers: a gang that finds too little room has it kept again and again; steps after it that only
-//! wait for the gang have room kept, too; workers are set aside or left to one task. Each of these is right for a while, and
-//! together they leave workers idle beside tasks that fit them.
+//! Resources are reserved again and again for a gang that doesn't find enough, and then for the steps that wait behind
+//! it; workers are set aside, or quarantined for one job. Each of these is right for a while, but together they can leave
+//! workers idle while there are tasks that fit on them. So a step that has waited for long ignores some or all of them.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -10,30 +10,30 @@
 use crate::id::Name;
 use crate::workload::{Room, StepKey};
 
-/// After so long without a worker, though half of the room is free, a step goes where it would not go otherwise. By the
-/// platform's contract a task with room for it waits for 3 s at the most.
+/// How long a step waits without any of its tasks being placed before its placement is relaxed, if half of the cores
+/// are free. By the platform's contract a task for which there is room waits for at most 3 s.
 const MAX_IDLE_TIME: Millis = Millis(2_000);
 
-/// After so long without a run a task that lasts goes wherever it may: the contract allows 9 s, and a question about it
-/// takes up to one second more, or three if its answer is lost.
+/// How long a long-running task waits without a run before its placement is fully relaxed. The contract allows 9 s,
+/// and a request to the advice service takes up to 1 s of the time after that, or 3 s if the response is lost.
 const MAX_LASTING_IDLE: Millis = Millis(2_000);
 
-/// What a step need not mind any more.
+/// Which placement restrictions a step may ignore.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::cell) enum Relaxation {
-    /// Nothing: it has not waited for long, or half of the processors are in use and it does not last.
+    /// None: the step hasn't waited for long, or it isn't long-running and at least half of the cores are in use.
     None,
-    /// Workers that are set aside, for 16 s at the most, or left to a task that crashes workers, for as long as that
-    /// runs; room that is gathered for a gang.
+    /// Workers that are set aside, which lasts for at most 16 s; workers that are quarantined for another job, which lasts
+    /// for as long as its task runs; reservations for a gang that aren't all free yet.
     Partial,
-    /// Room that is kept for others, too: half of all room is free, or the step lasts, whose bound holds however full the
-    /// service is. Beside accelerators that are mostly taken, a task that
-    /// needs many would be passed by those that need few.
+    /// All reservations, too: at least half of all resources are free, or the step is long-running, since the bound on
+    /// its wait holds however full the service is. If only cores are free, other reservations stay in force: while most
+    /// accelerators are in use, tasks that need few of them would otherwise always go before a task that needs many.
     Full,
 }
 
 impl Cell {
-    /// How hard a step is pressed by its wait.
+    /// The restrictions that a step may ignore after its wait.
     pub(in crate::cell) fn relaxation(&self, now: Millis, job: &Job, key: StepKey) -> Relaxation {
         let Some(step) = job.step(key) else { return Relaxation::None };
         let idle = step.longest_idle();
@@ -44,21 +44,21 @@
         if since.is_none_or(|since| now.since(since) < MAX_IDLE_TIME) {
             return Relaxation::None;
         }
-        let (used, all) = self.service_usage(&job.queue.service);
+        let (used, total) = self.service_usage(&job.queue.service);
         match used.plus(&used) {
-            twice if twice.cpu >= all.cpu => Relaxation::None,
-            twice if all.holds(&twice) => Relaxation::Full,
+            doubled if doubled.cpu >= total.cpu => Relaxation::None,
+            doubled if total.holds(&doubled) => Relaxation::Full,
             _ => Relaxation::Partial,
         }
     }
 
-    /// What of a service's room is in use, and all of it.
+    /// The resources in use and the total resources of the workers of a service that currently report.
     fn service_usage(&self, service: &Name) -> (Room, Room) {
         let heard = self.workers.values().filter(|worker| worker.heard);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
-        let none = (Room::default(), Room::default());
-        of_service.fold(none, |(used, all), worker| {
-            (used.plus(&worker.used), all.plus(&worker.listed.room))
+        let zero = (Room::default(), Room::default());
+        of_service.fold(zero, |(used, total), worker| {
+            (used.plus(&worker.used), total.plus(&worker.listed.room))
         })
     }
 }
--- a/src/cell/placing/reservation.rs
+++ b/src/cell/placing/reservation.rs
@@ -1,7 +1,7 @@
-//! Room that is kept for a step that is about to start.
+//! Reservations of resources on workers for steps that are about to start.
 //!
-//! The load that this answers: a gang waits for whole workers while smaller tasks of less urgent jobs
-//! come all the time and take every piece of room as it becomes free.
+//! Without them a gang that needs whole workers could wait forever, while smaller tasks of less urgent jobs keep arriving
+//! and take all resources as they become free.
 
 use crate::cell::placing::relaxation::Relaxation;
 use crate::clock::Millis;
@@ -9,38 +9,40 @@
 use crate::workload::{Room, StepKey};
 use std::collections::HashMap;
 
-/// The place of a job among those that wait: lower ones first.
+/// The position of a job among the waiting ones: its priority, then its deadline. Lower ranks come first.
 pub type Rank = (u32, Millis);
 
-/// Room kept at one worker.
+/// Resources reserved for a step on one worker.
 #[derive(Debug, Clone)]
 struct Reservation {
     step: StepKey,
     rank: Rank,
     room: Room,
     until: Millis,
-    /// Tasks that can be stopped for the step may use the room meanwhile.
+    /// Tasks that can be stopped for the step may use the resources in the meantime.
     is_shared: bool,
 }
 
-/// All room that is kept, by worker.
+/// All reservations in a cell.
 #[derive(Debug, Default)]
 pub struct Reservations {
     by_worker: HashMap<Name, Vec<Reservation>>,
+    /// Steps with reservations that no less urgent task may use, and when these expire.
     exclusive: HashMap<StepKey, Millis>,
+    /// Steps with reservations that tasks which can be stopped may use, and when these expire.
     shared: HashMap<StepKey, Millis>,
-    /// The gang for which room is gathered, and until when.
+    /// The gang for which resources are reserved before they are all free, and when its reservations expire.
     gang: Option<(StepKey, Millis)>,
 }
 
 impl Reservations {
-    /// Keeps room at a worker for a step until a time, from all that are less urgent.
+    /// Reserves resources on a worker for a step until a time. Less urgent steps can't use them.
     pub fn reserve(&mut self, worker: &Name, step: StepKey, rank: Rank, room: Room, until: Millis) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: false });
         self.exclusive.insert(step, until);
     }
 
-    /// As [`Self::add`], but tasks that can be stopped for the step may use the room meanwhile.
+    /// As [`Self::reserve`], but tasks that can be stopped for the step may use the resources in the meantime.
     pub fn reserve_shared(
         &mut self,
         worker: &Name,
@@ -53,7 +55,7 @@
         self.shared.insert(step, until);
     }
 
-    /// As [`Self::add`], for a gang whose room is not all free yet.
+    /// As [`Self::reserve`], for a gang whose resources aren't all free yet.
     pub fn reserve_for_gang(
         &mut self,
         worker: &Name,
@@ -66,7 +68,7 @@
         self.gang = Some((step, until));
     }
 
-    /// Whether room is gathered at a worker for a gang of another step.
+    /// Whether resources on a worker are reserved for a gang of another step.
     pub fn has_gang_at(&self, worker: &Name, step: StepKey) -> bool {
         let Some((gang, _)) = self.gang.filter(|(gang, _)| *gang != step) else { return false };
         self.by_worker.get(worker).is_some_and(|reservations| {
@@ -74,7 +76,7 @@
         })
     }
 
-    /// Whether room is gathered for a gang.
+    /// Whether resources are reserved for a gang.
     pub fn has_gang(&self) -> bool {
         self.gang.is_some()
     }
@@ -83,18 +85,18 @@
         self.by_worker.entry(worker.clone()).or_default().push(reservation);
     }
 
-    /// Whether room is kept for a step alone.
+    /// Whether a step has exclusive reservations.
     pub fn has_exclusive(&self, step: StepKey) -> bool {
         self.exclusive.contains_key(&step)
     }
 
-    /// Whether room that others may use is kept for a step.
+    /// Whether a step has reservations that other tasks may use.
     pub fn has_shared(&self, step: StepKey) -> bool {
         self.shared.contains_key(&step)
     }
 
-    /// The room at a worker that a step must leave to others that are as urgent or more;
-    /// `can_stop`: its tasks can be stopped for steps of a more urgent queue.
+    /// The resources on a worker that a step may not use, because they are reserved for steps that are at least as
+    /// urgent. `can_stop` says whether its tasks can be stopped for steps with a more urgent priority.
     pub fn unavailable(
         &self,
         worker: &Name,
@@ -121,7 +123,7 @@
         others.fold(Room::default(), |sum, reservation| sum.plus(&reservation.room))
     }
 
-    /// A step needs no room any more.
+    /// Removes all reservations of a step.
     pub fn release(&mut self, step: StepKey) {
         let shared = self.shared.remove(&step);
         let gang = self.gang.take_if(|(gang, _)| *gang == step).map(|(_, until)| until);
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Room whose time is over is free for all; whether there was any.
+    /// Removes expired reservations; returns whether there were any.
     pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.exclusive.len() + self.shared.len();
         self.exclusive.retain(|_, until| now < *until);
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -1,4 +1,4 @@
-//! Which task starts next, and where.
+//! The scheduling pass: places the tasks of waiting steps on workers, and sends the start orders.
 
 use crate::cell::advising::clearance::TICKET_SPARE;
 use crate::cell::jobs::job::{Job, StepState};
@@ -19,7 +19,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 impl Cell {
-    /// Places waiting tasks, the most urgent first, as far as there is room.
+    /// Places as many waiting tasks as fit, the most urgent first. Does nothing unless the cell's state has changed since
+    /// the last pass.
     pub fn schedule(&mut self, now: Millis) {
         self.give_up(now);
         if self.is_stale || !std::mem::take(&mut self.changed) {
@@ -32,6 +33,8 @@
         self.ask_next(now);
     }
 
+    /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes why
+    /// the step waits.
     fn place_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.inherited && self.doubt.is_some() {
@@ -39,15 +42,15 @@
         }
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
         if step.waiting.is_empty() {
-            // All its tasks were found to run, or to be done, since it was listed.
+            // All its tasks were found to be running or done since the step became ready.
             let (priority, due) = rank(job);
             self.ready.remove(&(priority, due, key));
             return self.note_wait(now, key, None);
         }
         let advice = job.queue.advice;
-        // Most steps wait for an answer most of the time: these cost nothing more.
-        let pauses = advice.is_some() && (step.advised.asking || now < step.advised.again);
-        if pauses && !step.advised.has_ticket(now + TICKET_SPARE) {
+        // Most steps wait for a response of the advice service most of the time. Stop early for them.
+        let awaits_advice = advice.is_some() && (step.advised.asking || now < step.advised.again);
+        if awaits_advice && !step.advised.has_ticket(now + TICKET_SPARE) {
             let why = self.why(now, key, &[]);
             return self.note_wait(now, key, why);
         }
@@ -62,43 +65,44 @@
             Some(_) => self.ticketed_candidates(now, key, job, step, &spec),
             None => self.open_candidates(now, key, job, &spec),
         };
-        let waits_for_settled = self.retain_stable(key, &spec, &mut candidates);
+        let waits_for_stable = self.retain_stable(key, &spec, &mut candidates);
         self.choose_home_domain(key, &candidates);
         match spec.gang {
             true => self.place_gang(now, key, &spec, &candidates, waiting.len()),
             false => self.place_tasks(now, key, &spec, &mut candidates, &waiting),
         }
-        let left = self.jobs.get(&key.job).and_then(|job| job.step(key));
-        let left = left.map_or(0, |step| step.waiting.len());
-        // What the workspace may not start yet needs no room, and no clearance that would run out meanwhile.
-        let rest = self.jobs.get(&key.job).map_or(0, |job| self.allowed_starts(job, &spec, left));
-        if rest > 0 {
-            let need = UnplacedTasks { step: key, spec: &spec, count: rest as u32 };
-            self.preempt_for(now, &need, &candidates);
-            self.reserve_shared_for(now, &need);
-            self.reserve_for_gang(now, &need);
+        let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
+        let still_waiting = step.map_or(0, |step| step.waiting.len());
+        // Tasks that the workspace may not start yet need no reservation, and no tickets that would expire by then.
+        let unplaced =
+            self.jobs.get(&key.job).map_or(0, |job| self.allowed_starts(job, &spec, still_waiting));
+        if unplaced > 0 {
+            let tasks = UnplacedTasks { step: key, spec: &spec, count: unplaced as u32 };
+            self.preempt_for(now, &tasks, &candidates);
+            self.reserve_shared_for(now, &tasks);
+            self.reserve_for_gang(now, &tasks);
         }
         match advice {
-            _ if left == 0 => {
+            _ if still_waiting == 0 => {
                 self.reserved.release(key);
-                let ranks = self.jobs.get(&key.job).map(rank);
-                if let Some((priority, due)) = ranks {
+                let step_rank = self.jobs.get(&key.job).map(rank);
+                if let Some((priority, due)) = step_rank {
                     self.ready.remove(&(priority, due, key));
                 }
             }
-            Some(advice) if rest > 0 => self.question(now, key, &spec, advice, rest),
+            Some(advice) if unplaced > 0 => self.question(now, key, &spec, advice, unplaced),
             _ => {}
         }
         let why = self.why(now, key, &candidates).map(|why| match why {
-            _ if rest == 0 => Why::Bound,
+            _ if unplaced == 0 => Why::Bound,
             Why::Crashes => why,
-            _ if waits_for_settled => Why::NewWorkers,
+            _ if waits_for_stable => Why::NewWorkers,
             _ => why,
         });
         self.note_wait(now, key, why);
     }
 
-    /// The workers that may run a step.
+    /// The workers that may run a step's tasks now, without regard to the advice service.
     pub(in crate::cell) fn open_candidates(
         &self,
         now: Millis,
@@ -109,7 +113,7 @@
         self.filter_candidates(now, key, job, spec, self.workers.iter())
     }
 
-    /// The workers that may run a step and whose tickets for it hold.
+    /// The workers that may run a step's tasks now and have a valid ticket for it.
     fn ticketed_candidates(
         &self,
         now: Millis,
@@ -119,11 +123,12 @@
         spec: &Step,
     ) -> Vec<Candidate> {
         let tickets = step.advised.tickets(now + TICKET_SPARE);
-        let known = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
-        self.filter_candidates(now, key, job, spec, known)
+        let cleared = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
+        self.filter_candidates(now, key, job, spec, cleared)
     }
 
-    /// The workers that may run a step as far as is known, whether their tickets hold or not.
+    /// The workers that the advice service has cleared for a step, also with expired tickets. All workers that may run its
+    /// tasks if the queue doesn't use the advice service.
     pub(in crate::cell) fn cleared_candidates(
         &self,
         now: Millis,
@@ -136,11 +141,12 @@
             return self.open_candidates(now, key, job, spec);
         }
         let names = step.advised.cleared.keys();
-        let known = names.filter_map(|name| Some((name, self.workers.get(name)?)));
-        self.filter_candidates(now, key, job, spec, known)
+        let cleared = names.filter_map(|name| Some((name, self.workers.get(name)?)));
+        self.filter_candidates(now, key, job, spec, cleared)
     }
 
-    /// Those of some workers that may run a step, with the room that others leave to it.
+    /// Selects from `workers` those that may run a step's tasks. Their free resources don't include what is reserved for
+    /// other steps.
     fn filter_candidates<'a>(
         &self,
         now: Millis,
@@ -149,21 +155,21 @@
         spec: &Step,
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Candidate> {
-        let rank = rank(job);
+        let step_rank = rank(job);
         let skips_aside = !self.bounds.off.has(Mechanism::Aside);
-        let is_quarantine =
+        let is_quarantined =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let relaxation = self.relaxation(now, job, key);
         let is_excluded = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_aside && worker.is_aside(now)) || is_quarantine(worker))
+                && ((skips_aside && worker.is_aside(now)) || is_quarantined(worker))
         };
         let open = workers.filter(|(_, worker)| worker.is_open(self.kept) && !is_excluded(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
-        let candidate = |(name, worker)| {
+        let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
             let unavailable =
-                self.reserved.unavailable(name, key, rank, spec.can_stop(), relaxation);
+                self.reserved.unavailable(name, key, step_rank, spec.can_stop(), relaxation);
             let step_runs = if spec.apart == 0 { 0 } else { count_step_runs(worker, key) };
             let is_reserved = self.reserved.has_gang_at(name, key);
             Candidate {
@@ -173,11 +179,11 @@
                 ..candidate
             }
         };
-        suitable.map(candidate).collect()
+        suitable.map(to_candidate).collect()
     }
 
-    /// Gives a job a failure domain, the one with the most idle processors: its tasks go there as
-    /// far as there is room, so that a cut between failure domains holds up few jobs.
+    /// Assigns a home failure domain to a job: the one with the most idle cores. Its tasks go there while they fit, so that
+    /// a network partition between failure domains delays few jobs.
     fn choose_home_domain(&mut self, key: StepKey, candidates: &[Candidate]) {
         if self.bounds.off.has(Mechanism::Home) {
             return;
@@ -192,6 +198,7 @@
         job.home = idle.into_iter().max_by_key(|(_, cpu)| *cpu).map(|(domain, _)| domain.clone());
     }
 
+    /// Places waiting tasks of a step that isn't a gang, each on the best candidate.
     fn place_tasks(
         &mut self,
         now: Millis,
@@ -213,7 +220,7 @@
             let needs_settled = needs_settled(&state.crashes);
             let candidate = match pick_worker(candidates, spec, home, state) {
                 Some(candidate) => candidate,
-                // The others may go to workers that have just started, too.
+                // Other tasks of the step may run on unstable workers.
                 None if needs_settled => continue,
                 None => return,
             };
@@ -226,7 +233,7 @@
         }
     }
 
-    /// Places all tasks of a gang, or none.
+    /// Places all tasks of a gang together, or none.
     fn place_gang(
         &mut self,
         now: Millis,
@@ -256,7 +263,7 @@
         }
     }
 
-    /// The saved progress of any member is good for the whole gang.
+    /// The saved progress of the first member that has any. It is valid for the whole gang.
     fn saved_gang_progress(&self, key: StepKey) -> Name {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let tasks = step.map(|step| step.tasks.as_slice()).unwrap_or_default();
@@ -264,7 +271,7 @@
         saved.cloned().unwrap_or_else(|| "".into())
     }
 
-    /// The number for a start: above all earlier ones of these tasks, in this epoch and before.
+    /// The run number for a new start: higher than all earlier ones of these tasks, in this epoch and before.
     fn next_run_number(&self, key: StepKey, indices: impl IntoIterator<Item = u32>) -> u64 {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let runs = indices.into_iter().filter_map(|index| {
@@ -274,32 +281,41 @@
         (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
     }
 
-    /// Takes the room for a run and has it started as soon as the store knows of it.
-    fn bind(&mut self, now: Millis, task: TaskKey, name: &Name, no: u64, spec: &Step, saved: &str) {
+    /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding is
+    /// stored.
+    fn bind(
+        &mut self,
+        now: Millis,
+        task: TaskKey,
+        name: &Name,
+        run_number: u64,
+        spec: &Step,
+        saved: &str,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut run = Run::bound(no, spec, Phase::Starting);
+        let mut run = Run::bound(run_number, spec, Phase::Starting);
         run.since = now;
         run.held = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
-        let times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
-        run.limit = times.and_then(|times| times.limit(spec.estimate));
+        let run_times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
+        run.limit = run_times.and_then(|times| times.limit(spec.estimate));
         worker.add(task, run);
         let age = now.since(job.since);
         job.bound = true;
-        let text = job.work.spec.clone();
+        let spec_text = job.work.spec.clone();
         let Some(step) = job.step_mut(task.step) else { return };
-        step.place(task.index, name.clone(), no);
+        step.place(task.index, name.clone(), run_number);
         step.idle_since = None;
         let ticket = step.advised.cleared.get(name).map(|ticket| ticket.text.clone());
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
-        state.runs = no;
+        state.runs = run_number;
         let saved = match saved {
             "" if !spec.gang => state.saved.clone(),
             saved => saved.into(),
         };
-        log::info!("event=start task={task} run={no} worker={name} age_ms={age}");
+        log::info!("event=start task={task} run={run_number} worker={name} age_ms={age}");
         let ticket = ticket.unwrap_or_else(|| "".into());
-        let start = Start { task, run: no, spec: text, saved, ticket };
+        let start = Start { task, run: run_number, spec: spec_text, saved, ticket };
         self.dirty.insert(task.step.job);
         if self.is_quarantined(task) {
             self.quarantine(name, task);
@@ -307,20 +323,20 @@
         self.unsent.push_back((self.batch, name.clone(), start));
     }
 
-    /// Sends the starts whose bindings are in the store: the next owner has to know of them.
+    /// Sends the starts whose bindings are in the store, up to batch `kept`. The next owner has to know of them.
     pub(in crate::cell) fn send_starts(&mut self, now: Millis, kept: u64) {
         self.send_starts_if(now, |_, batch, _| batch <= kept);
     }
 
-    /// Sends the starts of accepted jobs that may go now; the others stay, in order.
-    fn send_starts_if(&mut self, now: Millis, may_go: impl Fn(&Self, u64, TaskKey) -> bool) {
+    /// Sends the queued starts of accepted jobs for which `may_send` holds. The others stay queued in order.
+    fn send_starts_if(&mut self, now: Millis, may_send: impl Fn(&Self, u64, TaskKey) -> bool) {
         let lease = self.bounds.lease;
         let unsent = std::mem::take(&mut self.unsent);
-        let goes = |(batch, _, start): &(u64, Name, Start)| {
-            self.is_accepted(start.task.step.job) && may_go(self, *batch, start.task)
+        let is_ready = |(batch, _, start): &(u64, Name, Start)| {
+            self.is_accepted(start.task.step.job) && may_send(self, *batch, start.task)
         };
-        let (ready, rest): (VecDeque<_>, VecDeque<_>) = unsent.into_iter().partition(goes);
-        self.unsent = rest;
+        let (ready, remaining): (VecDeque<_>, VecDeque<_>) = unsent.into_iter().partition(is_ready);
+        self.unsent = remaining;
         for (_, name, start) in ready {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let run = worker.runs.get(&(start.task, start.run));
@@ -333,12 +349,15 @@
                 continue;
             }
             if worker.is_overfull() {
-                log::info!("event=room-shrank task={} worker={name}", start.task);
+                log::info!("event=worker-overcommitted task={} worker={name}", start.task);
                 self.lose(&name, start.task, start.run);
                 continue;
             }
             let Some(until) = worker.lease(now, lease) else {
-                log::info!("event=start-given-up task={} worker={name} why=no-clock", start.task);
+                log::info!(
+                    "event=start-given-up task={} worker={name} why=clock-unknown",
+                    start.task
+                );
                 self.lose(&name, start.task, start.run);
                 continue;
             };
@@ -349,16 +368,16 @@
         }
     }
 
-    /// Whether a job is in the store; one that is not known any more holds nothing up.
+    /// Whether a job is stored. Starts of a job that is no longer known aren't delayed.
     fn is_accepted(&self, key: JobKey) -> bool {
         self.jobs.get(&key).is_none_or(|job| job.batch <= self.kept)
     }
 
-    /// Sends all starts while the store is away for everybody. The next owner will know that it was. Jobs that are
-    /// not in the store are not accepted yet, and may be given back.
-    pub fn send_unkept(&mut self, now: Millis) {
-        // Crashes have to be counted in the store before the task starts again: through
-        // outages that each end with a takeover it would start more often than is allowed.
+    /// Sends starts whose bindings aren't stored, while the store is unavailable to all entries. The next owner will know of
+    /// the outage. Jobs that aren't stored are excluded: they aren't accepted yet and may still be refused.
+    pub fn send_unstored(&mut self, now: Millis) {
+        // Crashes of a task have to be stored before it starts again. Otherwise it could start more often than is allowed
+        // over several outages that each end with a takeover.
         self.send_starts_if(now, |cell, batch, task| {
             batch <= cell.kept || cell.crashes(task).is_empty()
         });
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -1,7 +1,7 @@
-//! Workers that have just started, and tasks under which workers crashed.
+//! Restricts tasks that may have crashed workers to stable workers.
 //!
-//! The load that this answers: a worker that starts again and again, each time with one more start of the same task that
-//! reached nobody. Its crashes tell nothing of the task, and would end its job.
+//! A worker may crash and restart repeatedly for reasons of its own, each time before a start of the same task reached
+//! it. Such crashes are no evidence against the task, but would be counted against it and end its job.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::StepState;
@@ -11,8 +11,9 @@
 use crate::workload::{Step, StepKey};
 
 impl Cell {
-    /// Leaves to a step the workers that its waiting tasks may go to; whether it has to wait for some of the others to
-    /// have stayed up.
+    /// Removes unstable workers from the candidates if none of the step's waiting tasks may run on them, or if the step
+    /// is a gang and some of its tasks may not. Returns whether all candidates were removed, so that the step has to wait
+    /// until a worker becomes stable. Also records when the next of the unstable candidates becomes stable.
     pub(in crate::cell) fn retain_stable(
         &mut self,
         key: StepKey,
@@ -20,11 +21,12 @@
         candidates: &mut Vec<Candidate>,
     ) -> bool {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
-        let Some((any, all)) = step.map(count_suspects) else { return false };
-        let new = candidates.iter().filter(|candidate| any && !candidate.is_stable);
-        let times = new.filter_map(|candidate| self.workers.get(&candidate.name)?.settles_at());
+        let Some((any, all)) = step.map(needs_stable) else { return false };
+        let unstable = candidates.iter().filter(|candidate| any && !candidate.is_stable);
+        let times =
+            unstable.filter_map(|candidate| self.workers.get(&candidate.name)?.settles_at());
         self.next_settled = times.chain(self.next_settled).min();
-        // A gang starts whole.
+        // All tasks of a gang start together.
         if all || (any && spec.gang) {
             let before = candidates.len();
             candidates.retain(|candidate| candidate.is_stable);
@@ -33,7 +35,7 @@
         false
     }
 
-    /// A worker that steps wait for has stayed up by now.
+    /// Schedules again once a worker that steps wait for has become stable.
     pub(in crate::cell) fn check_stability(&mut self, now: Millis) {
         if self.next_settled.take_if(|at| now >= *at).is_some() {
             self.changed = true;
@@ -41,9 +43,9 @@
     }
 }
 
-/// Whether any and whether all of a step's waiting tasks go only to workers that have stayed up.
-fn count_suspects(step: &StepState) -> (bool, bool) {
+/// Whether any and whether all of a step's waiting tasks may only run on stable workers.
+fn needs_stable(step: &StepState) -> (bool, bool) {
     let tasks = || step.waiting.iter().filter_map(|index| step.tasks.get(*index as usize));
-    let is_suspect = |needs: bool| tasks().any(|task| needs_settled(&task.crashes) == needs);
-    (is_suspect(true), is_suspect(true) && !is_suspect(false))
+    let any_with = |needs: bool| tasks().any(|task| needs_settled(&task.crashes) == needs);
+    (any_with(true), any_with(true) && !any_with(false))
 }
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -1,10 +1,10 @@
-//! What each workspace has running, and what more of it may start.
+//! Limits on the resources that each workspace has in use.
 //!
-//! The load that this answers: one workspace sends many times its usual, and its tasks take whatever room there is
-//! before those of the others come to it.
+//! Without them, a workspace that submits many times its usual number of jobs could take all free resources before the
+//! tasks of the others are placed.
 //!
-//! Each run holds its part of its workspace's usage for as long as anything may run: from when a worker is chosen
-//! until the worker has said that the run is gone, or its leases are surely over.
+//! Each run counts towards its workspace's usage for as long as it may be running: from when a worker is chosen until
+//! the worker reports that the run has ended, or its lease has certainly expired.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What one workspace has running. Clones are the same count.
+/// The resources that one workspace has in use. Clones share one counter.
 #[derive(Debug, Clone, Default)]
 struct Usage(Arc<Mutex<Room>>);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A run's part of its workspace's usage, given back when it is dropped.
+/// The share of a run in its workspace's usage; subtracted again when dropped.
 #[derive(Debug)]
 pub struct UsageGuard {
     usage: Usage,
@@ -38,7 +38,8 @@
     }
 }
 
-/// The usage of all workspaces in one cell, and their bounds: all jobs of a workspace with a bound are in one cell.
+/// The usage and the limits of all workspaces in one cell. All jobs of a workspace with a limit are in one cell, so its
+/// usage there is its total usage.
 #[derive(Debug, Default)]
 pub(in crate::cell) struct WorkspaceUsages {
     by_workspace: HashMap<Name, Usage>,
@@ -46,12 +47,12 @@
 }
 
 impl WorkspaceUsages {
-    /// A workspace of the policy in force.
+    /// Looks up a workspace in the current policy.
     pub fn workspace(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.workspaces.get(name)
     }
 
-    /// Counts a run for its workspace.
+    /// Adds the resources of a run to its workspace's usage until the guard is dropped.
     pub fn acquire(&mut self, workspace: &Name, room: Room) -> UsageGuard {
         let usage = self.by_workspace.entry(workspace.clone()).or_default().clone();
         let now = usage.room().plus(&room);
@@ -59,24 +60,24 @@
         UsageGuard { usage, room }
     }
 
-    /// What a workspace has running here.
+    /// The resources that a workspace has in use in this cell.
     pub fn used(&self, workspace: &Name) -> Room {
         match self.by_workspace.get(workspace) {
             Some(usage) => *usage.room(),
-            // No run of it was counted here yet.
+            // No run of the workspace has been counted yet.
             None => Room::default(),
         }
     }
 
-    /// How many tasks of a size a workspace may start here, at most `most`. One task runs alone though it is larger
-    /// than the bound: it would never run otherwise.
+    /// The number of tasks of a size that a workspace may start, at most `max`. A single task that exceeds the limit may
+    /// start if the workspace has nothing else running: it would never run otherwise.
     pub fn allowed_tasks(&self, workspace: &Workspace, room: &Room, max: usize) -> usize {
         let used = self.used(&workspace.name);
         let left = workspace.limit.less(&used);
-        let quotient = |left: u64, each: u64| match each {
-            // A task that takes none of it fits any number of times.
+        let quotient = |left: u64, per_task: u64| match per_task {
+            // The task uses none of this resource.
             0 => u64::MAX,
-            each => left / each,
+            per_task => left / per_task,
         };
         let count = quotient(left.cpu, room.cpu).min(quotient(left.mem, room.mem));
         let count = count.min(quotient(left.gpu, room.gpu)).min(max as u64) as usize;
@@ -88,13 +89,13 @@
 }
 
 impl Cell {
-    /// The workspaces of another version of the policy.
+    /// Replaces the workspaces by those of a new version of the policy.
     pub fn set_workspaces(&mut self, workspaces: Workspaces) {
         self.usages.workspaces = workspaces;
         self.changed = true;
     }
 
-    /// How many tasks of a step the job's workspace may start now, of `most`. A gang starts whole or not at all.
+    /// How many of `max` tasks of a step the job's workspace may start now. All tasks of a gang start together or none.
     pub(in crate::cell) fn allowed_starts(&self, job: &Job, spec: &Step, max: usize) -> usize {
         let workspace = job.workspace.as_ref().and_then(|name| self.usages.workspace(name));
         let Some(workspace) = workspace else { return max };
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -209,7 +209,7 @@
                     false => cell.withhold_starts("no-authority"),
                 }
                 if lock(&self.authority).rests_on_peers(now) {
-                    cell.send_unkept(now);
+                    cell.send_unstored(now);
                     self.note_rest(now);
                 }
                 cell.take_actions()
--- a/tests/accepting.rs
+++ b/tests/accepting.rs
@@ -74,7 +74,7 @@
     let mut site = Site::new(1);
     submit(&mut site, job(1), step());
     assert_eq!(starts(&mut site), 0);
-    site.cell.send_unkept(Millis(site.now));
+    site.cell.send_unstored(Millis(site.now));
     assert_eq!(starts(&mut site), 0);
 }
 
@@ -86,7 +86,7 @@
     submit(&mut site, job(1), step());
     assert_eq!(starts(&mut site), 0);
     let now = Millis(site.now);
-    site.cell.send_unkept(now);
+    site.cell.send_unstored(now);
     let batch = site.cell.take_batch(now).expect("its record");
     site.cell.keep(now, batch.no);
     assert_eq!(starts(&mut site), 1);
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -803,7 +803,7 @@
             false => self.owners[owner].cell.withhold_starts("no-authority"),
         }
         if self.rests_on_peers(owner) {
-            self.owners[owner].cell.send_unkept(Millis(self.now));
+            self.owners[owner].cell.send_unstored(Millis(self.now));
         }
         for action in self.owners[owner].cell.take_actions() {
             self.count_stop(owner, &action);
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -381,7 +381,7 @@
             return;
         }
         if self.store_away > self.now {
-            self.cell.send_unkept(Millis(self.now));
+            self.cell.send_unstored(Millis(self.now));
             return;
         }
         while let Some(batch) = self.cell.take_batch(Millis(self.now)) {
