--- a/src/cell/placing/gang.rs
+++ b/src/cell/placing/gang.rs
@@ -30,8 +30,12 @@
 impl Cell {
     /// Reserves resources for all unplaced tasks of a gang, so that less urgent tasks can't take them. Prefers the
     /// cleared workers on which most of its tasks fit. Reserves for one gang at a time, since two could block each other.
-    pub(in crate::cell) fn reserve_for_gang(&mut self, now: Millis, unplaced: &UnplacedTasks) {
-        let UnplacedTasks { step: key, spec, count } = *unplaced;
+    pub(in crate::cell) fn reserve_for_gang(
+        &mut self,
+        now: Millis,
+        unplaced_tasks: &UnplacedTasks,
+    ) {
+        let UnplacedTasks { step: key, spec, count: unplaced } = *unplaced_tasks;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let gang_rank = rank(job);
         let is_early = !job.has_waited(now, key, MIN_GANG_WAIT);
@@ -47,7 +51,7 @@
             .collect();
         capacities
             .sort_by_key(|capacity| std::cmp::Reverse((capacity.fits_now, capacity.fits_later)));
-        let mut missing = count as usize;
+        let mut missing = unplaced as usize;
         let mut chosen = Vec::new();
         for GangCapacity { worker, fits_later, .. } in capacities {
             let tasks = fits_later.min(missing);
@@ -59,7 +63,7 @@
         if missing > 0 {
             return;
         }
-        log::info!("event=gang-reservation step={key} tasks={count} workers={}", chosen.len());
+        log::info!("event=gang-reservation step={key} tasks={unplaced} workers={}", chosen.len());
         for (worker, tasks) in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&charge));
             self.reserved.reserve_for_gang(&worker, key, gang_rank, room, now + RESERVATION_TIME);
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -43,10 +43,10 @@
     pub(in crate::cell) fn preempt_for(
         &mut self,
         now: Millis,
-        unplaced: &UnplacedTasks,
+        unplaced_tasks: &UnplacedTasks,
         candidates: &[Candidate],
     ) {
-        let UnplacedTasks { step: key, spec, count } = *unplaced;
+        let UnplacedTasks { step: key, spec, count: unplaced } = *unplaced_tasks;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let is_early = !job.has_waited(now, key, MIN_WAIT);
         // A job that isn't stored yet may still be refused, and the tasks stopped for it would have lost work for nothing.
@@ -59,12 +59,12 @@
         let mut plans: Vec<PreemptionPlan> = candidates
             .iter()
             .map(|candidate| {
-                plan_preemption(candidate, spec, count, self.victims(&candidate.name, priority))
+                plan_preemption(candidate, spec, unplaced, self.victims(&candidate.name, priority))
             })
             .filter(|plan| plan.tasks > 0)
             .collect();
         plans.sort_by_key(|plan| plan.victims.len() * 100 / plan.tasks as usize);
-        let mut missing = count;
+        let mut missing = unplaced;
         let mut chosen = Vec::new();
         for plan in plans {
             if missing == 0 {
@@ -95,8 +95,12 @@
 
     /// Reserves the cleared workers that are closest to having room for a task of the step. Without this, tasks that
     /// can't be stopped for the step would take the resources one by one as they become free.
-    pub(in crate::cell) fn reserve_shared_for(&mut self, now: Millis, unplaced: &UnplacedTasks) {
-        let UnplacedTasks { step: key, spec, count } = *unplaced;
+    pub(in crate::cell) fn reserve_shared_for(
+        &mut self,
+        now: Millis,
+        unplaced_tasks: &UnplacedTasks,
+    ) {
+        let UnplacedTasks { step: key, spec, count: unplaced } = *unplaced_tasks;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let step_rank = rank(job);
         let is_disabled = self.bounds.off.has(Mechanism::Reserve);
@@ -109,7 +113,7 @@
             .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.holds(&charge));
         candidates
             .sort_by_key(|candidate| std::cmp::Reverse((candidate.free.gpu, candidate.free.cpu)));
-        for candidate in candidates.into_iter().take(count as usize) {
+        for candidate in candidates.into_iter().take(unplaced as usize) {
             self.reserved.reserve_shared(
                 &candidate.name,
                 key,
