--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -1,4 +1,4 @@
-//! The advice service: which workers may run a step.
+//! The client for the platform's advice service, which decides which workers may run a step.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -11,25 +11,25 @@
 use hyper::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
 
-/// The most workers that one question may name.
+/// The maximum number of workers in one request.
 pub const MAX_WORKERS: usize = 100;
 
 #[derive(Serialize)]
-struct RawQuestion<'a> {
+struct RawRequest<'a> {
     step: String,
     workers: &'a [Name],
 }
 
 #[derive(Deserialize)]
-struct RawAnswer {
-    /// Not about health: the workers that may run the step, each with its ticket.
+struct RawResponse {
+    /// Despite its name not about health: the workers that may run the step, each with its ticket.
     #[serde(default)]
     healthy: Vec<(Name, Name)>,
     #[serde(default)]
     valid_ms: Option<f64>,
 }
 
-/// The service's client.
+/// A client for the advice service.
 #[derive(Debug, Clone)]
 pub struct AdviceClient {
     http: HttpClient,
@@ -37,7 +37,7 @@
 }
 
 impl AdviceClient {
-    /// A client of the service at `addr`.
+    /// Creates a client for the service at `addr`.
     pub fn new(http: HttpClient, addr: Name) -> Self {
         Self { http, addr }
     }
@@ -45,29 +45,30 @@
     /// Asks which of `workers` may run a step.
     ///
     /// # Errors
-    /// No answer, a refusal, or one that cannot be read.
+    /// If there is no response, its status isn't 200, or its body is malformed.
     pub async fn ask(
         &self,
         step: StepKey,
         workers: &[Name],
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Cleared, HttpError> {
         let malformed = |err: &dyn std::fmt::Display| {
             HttpError::Malformed(self.addr.to_string(), err.to_string())
         };
-        let question = RawQuestion { step: step.to_string(), workers };
-        let body = serde_json::to_vec(&question).map_err(|err| malformed(&err))?;
+        let payload = RawRequest { step: step.to_string(), workers };
+        let body = serde_json::to_vec(&payload).map_err(|err| malformed(&err))?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(uri(&self.addr, "/advise")?)
             .header(CONTENT_TYPE, "application/json")
             .body(Full::from(Bytes::from(body)))
             .map_err(|err| malformed(&err))?;
-        let answer = self.http.send(&self.addr, request, limit).await?;
-        if answer.status != StatusCode::OK {
-            return Err(HttpError::Status(self.addr.to_string(), answer.status));
+        let response = self.http.send(&self.addr, request, timeout).await?;
+        if response.status != StatusCode::OK {
+            return Err(HttpError::Status(self.addr.to_string(), response.status));
         }
-        let raw: RawAnswer = serde_json::from_slice(&answer.body).map_err(|err| malformed(&err))?;
+        let raw: RawResponse =
+            serde_json::from_slice(&response.body).map_err(|err| malformed(&err))?;
         let valid = raw.valid_ms.map(|ms| Millis(ms.max(0.0) as u64));
         Ok(Cleared { rows: raw.healthy, valid })
     }
--- a/src/platform/api.rs
+++ b/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The messages of the platform's log and list, of workers and of runners, as JSON over HTTP.
+//! The JSON messages exchanged over HTTP with the platform's log and with workers.
 
 use crate::clock::Millis;
 use crate::id::{Name, TaskId};
@@ -7,113 +7,113 @@
 use crate::trace::Stamp;
 use serde::{Deserialize, Serialize};
 
-/// A reader asks for records from an offset on.
+/// A request for records of the log from an offset on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRequest {
-    /// The first offset wanted.
+    /// The offset of the first record to return.
     pub from: u64,
-    /// The most records to return.
+    /// The maximum number of records to return.
     pub max: u32,
-    /// How long to wait for a record if there is none, in milliseconds.
+    /// How long to wait for a record if there is none yet, in milliseconds.
     pub wait: Millis,
 }
 
 /// One record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its place.
+    /// Its offset in the log.
     pub offset: u64,
-    /// What was appended.
+    /// The data that was appended.
     pub data: String,
 }
 
-/// What a reader gets.
+/// The response to a [`ReadRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// The oldest offset still kept.
+    /// The offset of the oldest remaining record.
     pub first: u64,
-    /// The offset that the next append will get.
+    /// The offset of the next record to be appended.
     pub next: u64,
-    /// Records in order.
+    /// The records, in order of their offsets.
     pub records: Vec<LogRecord>,
 }
 
-/// The reply to an append.
+/// The response to an append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// The place of the new record.
+    /// The offset of the new record.
     pub offset: u64,
 }
 
-/// An order to start a task. A repeated order for a task that the worker knows has no effect.
+/// An order to start a task. It has no effect if the worker already knows the task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
     /// The kind of work.
     pub kind: Name,
-    /// What the task was given.
+    /// The resources allocated to the task.
     pub size: Size,
-    /// How long it is declared to run; 0: until it is stopped.
+    /// Its declared run time; 0 if it runs until it is stopped.
     pub run: Millis,
-    /// Whether it may be repeated; for the time line.
+    /// Whether it may be repeated. Recorded in the timeline.
     pub repeat: bool,
-    /// How long it may run without renewal.
+    /// How long it may run without a renewal of its lease.
     pub lease: Millis,
-    /// The sender's clock.
+    /// The timestamp of the sender's clock.
     pub stamp: Stamp,
 }
 
-/// A worker's answer about one task.
+/// A worker's reply about one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskReply {
-    /// It runs.
+    /// It is running.
     Running,
-    /// It ended, now or earlier.
+    /// It has ended, now or earlier.
     Ended(Outcome),
-    /// The worker would not start it.
+    /// The worker refused to start it.
     Refused,
 }
 
-/// An order to stop a task. The worker remembers it: a later start has no effect.
+/// An order to stop a task. The worker remembers it, so a start order that arrives later has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopOrder {
     /// The task.
     pub task: TaskId,
 }
 
-/// Leases to renew and ended tasks that the worker may forget.
+/// An order to renew leases and to forget ended tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncOrder {
-    /// Tasks to keep running.
+    /// The tasks whose leases to renew.
     pub renew: Vec<TaskId>,
-    /// Ended tasks to forget.
+    /// The ended tasks that the worker may forget.
     pub ack: Vec<TaskId>,
-    /// The lease from now on.
+    /// The length of the renewed leases.
     pub lease: Millis,
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Running {
     /// The task.
     pub task: TaskId,
     /// The kind of work.
     pub kind: Name,
-    /// What it was given.
+    /// The resources allocated to it.
     pub size: Size,
-    /// What it uses, with a lag.
+    /// The resources that it uses, measured with a delay.
     pub usage: Size,
 }
 
-/// What a worker runs and has finished but may not forget yet.
+/// A worker's report: its running tasks, and the ended tasks that it hasn't been told to forget.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The worker's incarnation: its start time.
+    /// The worker's incarnation, which is its start time.
     pub inc: u64,
-    /// Tasks that run.
+    /// The running tasks.
     pub running: Vec<Running>,
-    /// Tasks that ended.
+    /// The ended tasks with their outcomes.
     pub ended: Vec<(TaskId, Outcome)>,
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as the platform keeps it, turned into the policy in force.
+//! Decodes the operators' configuration, which the platform's store holds, into a policy.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The key of the configuration among the operators' records.
+/// The key of the configuration in the topic of operators' records.
 pub const KEY: &str = "config";
 /// The topic that holds the operators' records.
 pub const TOPIC: &str = "keyed.op";
@@ -16,7 +16,7 @@
 #[derive(Debug, Deserialize)]
 struct RawAdvice {
     decide_ms: f64,
-    /// Not a period: the time added for each worker that a question names.
+    /// Despite its name not a period: the time that each worker in a request adds to the response time.
     period_ms: f64,
     valid_ms: f64,
 }
@@ -30,7 +30,7 @@
     path_prefix: String,
     #[serde(default)]
     timeout_ms: u64,
-    /// The fixed part of a job's objective, not a bound on one answer.
+    /// Despite its name not a limit on a request's latency: the fixed part of a job's objective.
     #[serde(default)]
     target_latency_ms: f64,
     #[serde(default)]
@@ -38,12 +38,12 @@
     service: Name,
     #[serde(default)]
     max_attempts: u32,
-    /// A factor on the longest chain of a job.
+    /// The factor on the length of a job's longest chain of steps in its objective.
     #[serde(default)]
     extension: f64,
     #[serde(default)]
     advice: Option<RawAdvice>,
-    /// Callers need no key.
+    /// Whether callers need no API key.
     #[serde(default)]
     anonymous: bool,
 }
@@ -63,7 +63,7 @@
     api_keys: Vec<Name>,
     #[serde(default)]
     weight: u32,
-    /// 0 is no bound.
+    /// A limit of 0 means unlimited.
     #[serde(default)]
     upper_bound: RawResourceLimit,
 }
@@ -71,7 +71,7 @@
 #[derive(Debug, Deserialize)]
 struct RawService {
     name: Name,
-    /// The workers refuse what does not fit.
+    /// Whether the workers refuse tasks that don't fit.
     #[serde(default)]
     admission_check: bool,
 }
@@ -100,36 +100,36 @@
     tenants: Option<Vec<RawTenant>>,
 }
 
-/// Where callers reach a queue.
+/// The route from a host and a path prefix to a queue.
 #[derive(Debug)]
 pub struct Route {
-    /// The host that callers name.
+    /// The host in callers' requests.
     pub host: String,
-    /// What the path begins with.
+    /// The prefix of the path.
     pub prefix: String,
-    /// The most time that one exchange may take.
+    /// The time limit for a request.
     pub timeout: Millis,
     /// The queue.
     pub queue: Arc<Queue>,
-    /// Anybody may call; else a caller bears the key of a workspace.
+    /// Whether anybody may send requests. Otherwise they need the API key of a workspace.
     pub is_anonymous: bool,
 }
 
-/// Bounds on callers' exchanges.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// The largest head, in bytes.
+    /// The maximum size of a request's header, in bytes.
     pub header_bytes: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// The longest time to send a head.
+    /// The time limit for sending a request's header.
     pub header_timeout: Millis,
-    /// The longest time that a connection stays open without an exchange.
+    /// How long a connection stays open without a request.
     pub idle_timeout: Millis,
 }
 
 impl Default for Limits {
-    /// The platform's own first configuration has these.
+    /// The values of the platform's initial configuration.
     fn default() -> Self {
         Self {
             header_bytes: 16_384,
@@ -140,32 +140,32 @@
     }
 }
 
-/// One version of the policy.
+/// One version of the policy: queues, routes, services, limits and workspaces.
 #[derive(Debug, Default)]
 pub struct Policy {
-    /// Rises with every change.
+    /// The version; every change increases it.
     pub version: u64,
-    /// The queues by name.
+    /// The queues, by name.
     pub queues: HashMap<Name, Arc<Queue>>,
-    /// The routes by host, the longest prefix first.
+    /// The routes, by host in lower case, the longest prefix first.
     routes: HashMap<String, Vec<Route>>,
-    /// The services that there are; workers of others are not used.
+    /// The known services. Workers of other services aren't used.
     pub services: Vec<Name>,
-    /// Those of them whose workers refuse what does not fit.
+    /// The services whose workers refuse tasks that don't fit.
     pub admission_checked: Vec<Name>,
-    /// Bounds on callers' exchanges.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
     /// The workspaces.
     pub workspaces: Workspaces,
-    /// Callers bear keys: the policy tells of workspaces, though it may be of none.
+    /// Whether callers need API keys: the configuration has a list of workspaces, which may be empty.
     pub requires_keys: bool,
 }
 
 impl Policy {
-    /// Reads a configuration; unknown fields are passed over.
+    /// Decodes a configuration from JSON; unknown fields are ignored.
     ///
     /// # Errors
-    /// The text is not a configuration.
+    /// If the text isn't JSON, or a field is missing or has the wrong type.
     pub fn parse(text: &[u8]) -> Result<Self, serde_json::Error> {
         let raw: RawConfig = serde_json::from_slice(text)?;
         let mut policy = Self { version: raw.version, ..Self::default() };
@@ -212,7 +212,7 @@
         self.routes.entry(route.host.to_ascii_lowercase()).or_default().push(route);
     }
 
-    /// The route of a caller's host and path: the longest prefix wins.
+    /// Finds the route for a request's host and path. The longest matching prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let routes = self.routes.get(&host)?;
@@ -221,22 +221,26 @@
 }
 
 fn parse_workspaces(raw: Vec<RawTenant>) -> Workspaces {
-    let or = |bound: u64, none: u64| if bound == 0 { none } else { bound };
-    let none = Room::UNLIMITED;
-    let mut all = Workspaces::default();
+    let or_unlimited = |limit: u64, unlimited: u64| if limit == 0 { unlimited } else { limit };
+    let unlimited = Room::UNLIMITED;
+    let mut result = Workspaces::default();
     for RawTenant { name, api_keys, weight, upper_bound: RawResourceLimit { cpu, mem_mb, gpu } } in
         raw
     {
-        let limit =
-            Room { cpu: or(cpu, none.cpu), mem: or(mem_mb, none.mem), gpu: or(gpu, none.gpu) };
-        all.add(Workspace { name, weight, limit }, api_keys);
+        let limit = Room {
+            cpu: or_unlimited(cpu, unlimited.cpu),
+            mem: or_unlimited(mem_mb, unlimited.mem),
+            gpu: or_unlimited(gpu, unlimited.gpu),
+        };
+        result.add(Workspace { name, weight, limit }, api_keys);
     }
-    all
+    result
 }
 
 fn parse_limits(raw: &RawLimits) -> Limits {
     let defaults = Limits::default();
-    let or = |given: u64, usual: Millis| if given == 0 { usual } else { Millis(given) };
+    let or_default =
+        |millis: u64, default: Millis| if millis == 0 { default } else { Millis(millis) };
     Limits {
         header_bytes: if raw.max_header_bytes == 0 {
             defaults.header_bytes
@@ -244,7 +248,7 @@
             raw.max_header_bytes
         },
         body_bytes: if raw.max_body_bytes == 0 { defaults.body_bytes } else { raw.max_body_bytes },
-        header_timeout: or(raw.header_timeout_ms, defaults.header_timeout),
-        idle_timeout: or(raw.idle_timeout_ms, defaults.idle_timeout),
+        header_timeout: or_default(raw.header_timeout_ms, defaults.header_timeout),
+        idle_timeout: or_default(raw.idle_timeout_ms, defaults.idle_timeout),
     }
 }
--- a/src/platform/front.rs
+++ b/src/platform/front.rs
@@ -1,4 +1,4 @@
-//! Callers' requests and the answers to them, as the platform has them.
+//! The HTTP headers of callers' requests, and the replies to callers.
 
 use crate::clock::Millis;
 use bytes::Bytes;
@@ -8,75 +8,75 @@
 };
 use hyper::{Request, Response, StatusCode};
 
-/// How long a caller waits for its answer, in milliseconds from when it sent the request.
+/// How long a caller waits for its reply, in milliseconds from when it sent the request.
 const DEADLINE_HEADER: &str = "X-Sprucerudder-Deadline-Ms";
 
-/// The host that a caller names.
+/// The host named by a request; empty if it names none.
 pub fn host<B>(request: &Request<B>) -> &str {
     let header = request.headers().get(HOST).and_then(|host| header_text(HOST.as_str(), host));
-    // Without a host no route fits, and the caller is told so.
+    // No route matches an empty host, so the caller gets a 404.
     header.or(request.uri().host()).unwrap_or_default()
 }
 
-/// How callers show their keys.
+/// The authentication scheme of callers' API keys.
 const AUTH_SCHEME: &str = "Bearer";
 
-/// The key that a caller bears.
+/// The API key in a request's `Authorization` header.
 pub fn api_key<B>(request: &Request<B>) -> Option<&str> {
     let text = header_text(AUTHORIZATION.as_str(), request.headers().get(AUTHORIZATION)?)?;
     let (scheme, key) = text.trim().split_once(' ')?;
     scheme.eq_ignore_ascii_case(AUTH_SCHEME).then_some(key.trim())
 }
 
-/// A header's text; one that is none counts as absent.
+/// A header's value as text. A value that isn't text counts as absent.
 fn header_text<'a>(name: &str, value: &'a HeaderValue) -> Option<&'a str> {
     let text = value.to_str();
     text.inspect_err(|err| log::info!("event=header-unreadable name={name} error={err:?}")).ok()
 }
 
-/// How long a caller waits.
+/// How long a caller waits for its reply, if the request says so.
 pub fn deadline<B>(request: &Request<B>) -> Option<Millis> {
     let text = header_text(DEADLINE_HEADER, request.headers().get(DEADLINE_HEADER)?)?;
     let parsed = text.trim().parse::<f64>();
     let parsed = parsed.inspect_err(|err| {
-        // The caller is served with the usual time, as one that does not say.
+        // The default applies, as for a request without the header.
         log::info!("event=header-unreadable name={DEADLINE_HEADER} error={err:?}");
     });
     parsed.ok().map(|ms| Millis(ms.max(0.0) as u64))
 }
 
-/// What a caller is told.
+/// The reply to a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// It is done, and kept.
+    /// The request was carried out, and the result is stored.
     Accepted,
     /// The state of a job.
     State(&'static str),
-    /// The number of jobs that wait.
+    /// The number of waiting jobs.
     Pending(u32),
     /// There is no such job.
     NoJob,
     /// There is no such queue.
     NoQueue,
-    /// The request has a fault and will never be taken.
+    /// The request is invalid; retrying doesn't help.
     Malformed(String),
-    /// Only GET, POST and DELETE are served.
+    /// The method isn't GET, POST or DELETE.
     NoMethod,
-    /// The caller bears no key, or one that is not in force.
+    /// The request has no API key, or one that isn't valid.
     InvalidKey,
     /// The job belongs to another workspace.
     OtherWorkspace,
-    /// Nothing was done, and nothing will be: come back after so many seconds.
+    /// The request was not carried out and never will be; the caller may retry it.
     Busy {
-        /// Seconds.
+        /// The time after which to retry, in seconds.
         after: u64,
     },
-    /// It may have been done: ask again with the same key.
+    /// The request may have been carried out; the caller should retry it with the same key.
     Unconfirmed,
 }
 
 impl Reply {
-    /// The answer over HTTP.
+    /// The HTTP response for this reply.
     pub fn response(&self) -> Response<Full<Bytes>> {
         let (status, body) = match self {
             Self::Accepted => (StatusCode::OK, String::new()),
@@ -85,17 +85,24 @@
             Self::NoJob => (StatusCode::GONE, error_body("there is no such job")),
             Self::NoQueue => (StatusCode::NOT_FOUND, error_body("there is no such queue")),
             Self::Malformed(why) => (StatusCode::BAD_REQUEST, error_body(why)),
-            Self::NoMethod => {
-                (StatusCode::METHOD_NOT_ALLOWED, error_body("only GET, POST and DELETE"))
+            Self::NoMethod => (
+                StatusCode::METHOD_NOT_ALLOWED,
+                error_body("only GET, POST and DELETE are supported"),
+            ),
+            Self::InvalidKey => {
+                (StatusCode::UNAUTHORIZED, error_body("missing or invalid API key"))
             }
-            Self::InvalidKey => (StatusCode::UNAUTHORIZED, error_body("this key is not in force")),
             Self::OtherWorkspace => {
-                (StatusCode::FORBIDDEN, error_body("the job is another workspace's"))
-            }
-            Self::Busy { .. } => {
-                (StatusCode::SERVICE_UNAVAILABLE, error_body("not taken: come back"))
+                (StatusCode::FORBIDDEN, error_body("the job belongs to another workspace"))
             }
-            Self::Unconfirmed => (StatusCode::GATEWAY_TIMEOUT, error_body("in doubt: ask again")),
+            Self::Busy { .. } => (
+                StatusCode::SERVICE_UNAVAILABLE,
+                error_body("the request was not carried out; retry later"),
+            ),
+            Self::Unconfirmed => (
+                StatusCode::GATEWAY_TIMEOUT,
+                error_body("the outcome is unknown; retry with the same key"),
+            ),
         };
         let is_empty = body.is_empty();
         let mut response = Response::new(Full::from(body));
@@ -117,6 +124,7 @@
     }
 }
 
+/// A JSON body with an error message.
 fn error_body(text: &str) -> String {
     serde_json::json!({ "error": text }).to_string()
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! One pooled HTTP client for the platform, workers and runners: whole bodies with a bound and a
+//! The pooled HTTP client for calls to the platform, workers and runners. It reads whole bodies of limited size within a
 //! time limit.
 
 use crate::clock::Millis;
@@ -16,81 +16,83 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use thiserror::Error;
 
-/// The largest body that is read, in bytes.
+/// The largest response body that is read, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// The header by which an entry says who calls.
+/// The header with the name of the entry that sends the request.
 pub const CALLER_HEADER: &str = "entry-name";
-/// The header with the request's id.
+/// The header with the ID of the request.
 pub const REQUEST_ID_HEADER: &str = "request-id";
-/// The header with which a runner says that it is leaving.
+/// The header by which a runner reports that it is leaving.
 pub const UPSTREAM_STATE_HEADER: &str = "upstream-state";
-/// Idle connections kept for each address.
+/// The maximum number of idle connections kept for each address.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// The longest wait for a connection to open: a hundred times the way between failure domains, and
-/// as much for a first packet that is lost.
+/// The time limit for opening a connection: a hundred times the latency between failure domains, and as much again in
+/// case the first packet is lost.
 const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
-/// Why an exchange failed.
+/// Why an HTTP exchange failed.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// No connection: nothing of the request was sent.
+    /// The connection could not be opened; nothing of the request was sent.
     #[error("cannot connect to {0}")]
     Connect(String),
-    /// The exchange broke off after the request may have been sent.
-    #[error("{0} broke off: {1}")]
+    /// The exchange failed after the request may have been sent.
+    #[error("exchange with {0} failed: {1}")]
     Broken(String, String),
-    /// No answer in time.
-    #[error("{0} did not answer in time")]
+    /// There was no response within the time limit.
+    #[error("no response from {0} within the time limit")]
     Timeout(String),
-    /// The answer is not a success.
-    #[error("{0} answered {1}")]
+    /// The response's status isn't a success.
+    #[error("{0} responded with status {1}")]
     Status(String, StatusCode),
-    /// The answer or the address cannot be read.
-    #[error("{0}: {1}")]
+    /// The address or the body of the request or response is malformed.
+    #[error("malformed data in the exchange with {0}: {1}")]
     Malformed(String, String),
 }
 
 impl HttpError {
-    /// Whether surely nothing of the request reached the other side.
+    /// Whether certainly nothing of the request was sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
 }
 
-/// A whole answer.
+/// A response with its whole body.
 #[derive(Debug)]
 pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The body, as long as its declared length.
+    /// The body; its length is the declared one.
     pub body: Bytes,
 }
 
 impl HttpResponse {
-    /// What a body says of its answer, or the defaults: most answers have none. A body that cannot
-    /// be read leaves the status alone to decide, which is the safe side: a refusal whose reason is
-    /// not known counts as the general one.
+    /// Decodes the JSON body. Returns the default for an empty body, which most responses have, and for a malformed one:
+    /// then only the status decides, and a refusal without a known reason counts as the general one, which is safe.
     pub fn json_or_default<T: DeserializeOwned + Default>(&self) -> T {
         if self.body.is_empty() {
             return T::default();
         }
         serde_json::from_slice(&self.body).unwrap_or_else(|err| {
-            log::warn!("event=answer-unreadable status={} error={err:?}", self.status.as_u16());
+            log::warn!(
+                "event=response-body-malformed status={} error={err:?}",
+                self.status.as_u16()
+            );
             T::default()
         })
     }
 }
 
-/// The client of one address, with its idle connections.
+/// The client for one address, with its idle connections.
 type Pool = Client<HttpConnector, Full<Bytes>>;
 
-/// The client.
+/// An HTTP client with a pool of connections for each address.
 ///
-/// Connections may go silent for good, without a reset, while new ones work. So an exchange without
-/// an answer in time ends all idle connections to its address: without this each of up to [`POOL`]
-/// silent ones costs one more exchange its whole time limit.
+/// Existing connections may become dead without a reset while new ones work. So an exchange that times out drops all
+/// idle connections to its address. Otherwise each of up to [`MAX_IDLE_CONNECTIONS`] dead ones would cost one more
+/// exchange its whole time limit.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     pools: Arc<Mutex<HashMap<Name, Arc<Pool>>>>,
@@ -116,27 +118,27 @@
         pool
     }
 
-    /// Lets go of the idle connections to an address, unless that was done since `pool` was taken.
+    /// Drops the idle connections to an address, unless its pool has been replaced since `pool` was taken.
     fn drop_pool(&self, addr: &str, pool: &Arc<Pool>) {
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
-        if pools.get(addr).is_some_and(|known| Arc::ptr_eq(known, pool)) {
+        if pools.get(addr).is_some_and(|current| Arc::ptr_eq(current, pool)) {
             pools.remove(addr);
         }
     }
 
-    /// Sends one request and reads the whole answer within `limit`.
+    /// Sends one request and reads the whole response within the time limit.
     ///
     /// # Errors
-    /// [`HttpError::Connect`] only if nothing was sent.
+    /// [`HttpError::Connect`] if nothing was sent. After any other error the request may have been sent.
     pub async fn send(
         &self,
         addr: &str,
         request: Request<Full<Bytes>>,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<HttpResponse, HttpError> {
         let pool = self.pool(addr);
         let exchange = exchange(&pool, addr, request);
-        let result = match tokio::time::timeout(limit.duration(), exchange).await {
+        let result = match tokio::time::timeout(timeout.duration(), exchange).await {
             Ok(result) => result,
             Err(_) => Err(HttpError::Timeout(addr.to_string())),
         };
@@ -146,33 +148,33 @@
         result
     }
 
-    /// Posts `ask` as JSON and reads a JSON answer; `caller` says who asks.
+    /// Posts `payload` as JSON and decodes a JSON response. `caller` is the name of the sending entry.
     ///
     /// # Errors
-    /// As [`Http::post_bytes`].
+    /// See [`HttpClient::post_bytes`].
     pub async fn post_json<P: Serialize, T: DeserializeOwned>(
         &self,
         caller: &str,
         addr: &str,
         path: &str,
         payload: &P,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<T, HttpError> {
         let body = serde_json::to_vec(payload).map_err(|err| malformed(addr, err))?;
-        self.post_bytes(caller, addr, path, body.into(), limit).await
+        self.post_bytes(caller, addr, path, body.into(), timeout).await
     }
 
-    /// Posts a body and reads a JSON answer.
+    /// Posts a body and decodes a JSON response.
     ///
     /// # Errors
-    /// As [`Http::send`], and [`HttpError::Status`] or [`HttpError::Malformed`].
+    /// See [`HttpClient::send`]; also [`HttpError::Status`] and [`HttpError::Malformed`].
     pub async fn post_bytes<T: DeserializeOwned>(
         &self,
         caller: &str,
         addr: &str,
         path: &str,
         body: Bytes,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<T, HttpError> {
         let request = Request::builder()
             .method(Method::POST)
@@ -181,30 +183,33 @@
             .header(CALLER_HEADER, caller)
             .body(Full::from(body))
             .map_err(|err| malformed(addr, err))?;
-        let answer = self.send(addr, request, limit).await?;
-        if !answer.status.is_success() {
-            return Err(HttpError::Status(addr.to_string(), answer.status));
+        let response = self.send(addr, request, timeout).await?;
+        if !response.status.is_success() {
+            return Err(HttpError::Status(addr.to_string(), response.status));
         }
-        serde_json::from_slice(&answer.body).map_err(|err| malformed(addr, err))
+        serde_json::from_slice(&response.body).map_err(|err| malformed(addr, err))
     }
 }
 
+/// Sends a request and reads the whole response; checks the declared length of its body.
 async fn exchange(
     pool: &Pool,
     addr: &str,
     request: Request<Full<Bytes>>,
 ) -> Result<HttpResponse, HttpError> {
-    let broken = |err: String| HttpError::Broken(addr.to_string(), err);
-    let answer = pool.request(request).await.map_err(|err| match err.is_connect() {
+    let failed = |err: String| HttpError::Broken(addr.to_string(), err);
+    let response = pool.request(request).await.map_err(|err| match err.is_connect() {
         true => HttpError::Connect(addr.to_string()),
-        false => broken(err.to_string()),
+        false => failed(err.to_string()),
     })?;
-    let (parts, body) = answer.into_parts();
-    let whole = Limited::new(body, MAX_BODY_BYTES).collect().await;
-    let body = whole.map_err(|err| broken(err.to_string()))?.to_bytes();
+    let (parts, body) = response.into_parts();
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
+    let body = collected.map_err(|err| failed(err.to_string()))?.to_bytes();
     let declared = parts.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
     match declared.and_then(|text| text.parse::<usize>().ok()) {
-        Some(length) if length != body.len() => Err(broken(format!("{length} bytes declared"))),
+        Some(length) if length != body.len() => {
+            Err(failed(format!("the body's length differs from the declared {length} bytes")))
+        }
         _ => Ok(HttpResponse { status: parts.status, headers: parts.headers, body }),
     }
 }
@@ -213,10 +218,10 @@
     HttpError::Malformed(addr.to_string(), err.to_string())
 }
 
-/// The URI of a path at an address.
+/// Builds the URI of a path at an address.
 ///
 /// # Errors
-/// [`HttpError::Malformed`] if the address or path is not one.
+/// [`HttpError::Malformed`] if the address or the path is invalid.
 pub fn uri(addr: &str, path: &str) -> Result<Uri, HttpError> {
     let built = Uri::builder().scheme("http").authority(addr).path_and_query(path).build();
     built.map_err(|err| malformed(addr, err))
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Everything that speaks to systems that are not ours: names, formats and calls.
+//! Clients, formats and wire names of the platform's systems: its store, its workers, its advice service and its callers.
 
 pub mod advice;
 pub mod api;
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the platform gives to a process, turned into the project's own.
+//! Decodes the settings file that the platform provides for an entry.
 
 use crate::cell::mechanism::Off;
 use crate::cell::owner::map::CELL_WORKERS;
@@ -8,13 +8,13 @@
 use std::num::NonZeroUsize;
 use thiserror::Error;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "SPRUCERUDDER_SETTINGS";
-/// The way of giving orders to workers that is served: the owner calls the worker.
+/// The only supported value of `orders`: the owner calls the workers.
 const INVOKE_ORDERS: &str = "invoke";
-/// The part of the platform's contract by which callers belong to workspaces.
+/// The entry of `contracts` by which callers belong to workspaces.
 const TENANTS_CONTRACT: &str = "tenants";
-/// The form of the platform's store that is served.
+/// The only supported value of `platform.form`.
 const LOG_STORE: &str = "log";
 
 #[derive(Debug, Deserialize)]
@@ -27,7 +27,7 @@
 struct RawLimits {
     #[serde(default = "one")]
     cores: usize,
-    /// A share of one processor; with several cores each thread has it at the speed of all.
+    /// The share of a core that each thread may use; an entry has one thread per core.
     #[serde(default = "whole")]
     cpu_share: f64,
 }
@@ -75,7 +75,7 @@
     contracts: Vec<Name>,
 }
 
-/// What one entry needs to know on the platform.
+/// The settings of one entry.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The entry's name.
@@ -84,58 +84,58 @@
     pub ip: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Where callers come, `IP:PORT`.
+    /// The address for callers, `IP:PORT`.
     pub front_addr: Name,
-    /// Where the balancer asks whether callers may come.
+    /// The address at which the load balancer checks readiness.
     pub ready_addr: Name,
-    /// Where other entries come.
+    /// The address for other entries.
     pub peer_addr: Name,
-    /// Where other entries are told to come: another address if there is a relay in between.
+    /// The address that is advertised to other entries. It differs from `peer_addr` if there is a relay in between.
     pub advertised_addr: Name,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub metrics_addr: Name,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store_addr: Name,
-    /// The most bytes in one call to the store.
+    /// The maximum size of one call to the store, in bytes.
     pub call_bytes: usize,
-    /// Partitions of a topic in the store, at least one.
+    /// The number of partitions of a topic in the store, at least 1.
     pub partitions: u32,
-    /// The fewest workers of a cell where there are several; not from the file.
+    /// The minimum number of workers per cell if there are several cells. Not read from the file.
     pub min_workers: NonZeroUsize,
-    /// The advice service, if there is one.
+    /// The address of the advice service, if there is one.
     pub advice_addr: Option<Name>,
-    /// Callers belong to workspaces, and bear their keys.
+    /// Whether callers belong to workspaces and must send their API keys.
     pub has_workspaces: bool,
-    /// Processors.
+    /// The number of cores.
     pub cores: usize,
-    /// What the entry may use of them, in thousandths of one.
+    /// The CPU time that the entry may use, in thousandths of a core.
     pub millicores: u32,
-    /// The longest lease that a worker takes.
+    /// The longest lease that workers accept.
     pub max_lease: Millis,
-    /// How long a finished job's state can be asked for.
+    /// How long the state of a finished job can be queried.
     pub job_retention: Millis,
-    /// The time between a request to stop and being killed.
+    /// The time between the request to stop and the forced end of the process.
     pub stop_grace: Millis,
-    /// Mechanisms that are switched off; not from the file.
+    /// Mechanisms that are disabled. Not read from the file.
     pub disabled: Off,
 }
 
-/// Why an entry cannot start.
+/// Why the settings are unusable.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is not the settings of a process.
-    #[error("the settings cannot be read: {0}")]
+    /// The text isn't TOML, or a setting is missing or has the wrong type.
+    #[error("invalid settings: {0}")]
     Syntax(#[from] toml::de::Error),
-    /// An address that the role needs is missing.
-    #[error("the settings name no address for {0}")]
+    /// A required listen address is missing.
+    #[error("the settings have no address for listen.{0}")]
     Missing(&'static str),
-    /// Workers or store are spoken to in a way that is not built.
-    #[error("{0} = {1:?} is not served: only {2:?} is")]
+    /// A setting has a value that isn't supported: the setting, its value and the supported value.
+    #[error("{0} = {1:?} is not supported; the only supported value is {2:?}")]
     Unsupported(&'static str, Name, &'static str),
 }
 
 impl Settings {
-    /// Reads settings; unknown fields are passed over.
+    /// Decodes settings from TOML; unknown fields are ignored.
     ///
     /// # Errors
     /// See [`SettingsError`].
@@ -147,7 +147,7 @@
         if !raw.platform.form.is_empty() && *raw.platform.form != *LOG_STORE {
             return Err(SettingsError::Unsupported("platform.form", raw.platform.form, LOG_STORE));
         }
-        let seconds = |s: f64| Millis((s.max(0.0) * 1_000.0) as u64);
+        let seconds = |value: f64| Millis((value.max(0.0) * 1_000.0) as u64);
         let (first, second) = raw.internal_ports;
         Ok(Self {
             disabled: Off::default(),
@@ -164,7 +164,7 @@
             partitions: raw.platform.parts.max(1),
             min_workers: CELL_WORKERS,
             advice_addr: raw.advice.filter(|addr| !addr.is_empty()),
-            has_workspaces: raw.contracts.iter().any(|part| **part == *TENANTS_CONTRACT),
+            has_workspaces: raw.contracts.iter().any(|contract| **contract == *TENANTS_CONTRACT),
             cores: raw.limits.cores.max(1),
             millicores: (raw.limits.cpu_share.max(0.0) * raw.limits.cores.max(1) as f64 * 1_000.0)
                 as u32,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: append-only topics, some of which keep the newest record of each key.
+//! The client for the platform's store: append-only topics, some of which keep the latest record of each key.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -12,96 +12,95 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// A read answers with at most this many kilobytes; small enough to be decoded within a few
-/// milliseconds of a quarter of a core.
+/// The maximum size of the response to a read, in kilobytes. A quarter of a core decodes that within a few milliseconds.
 const MAX_READ_KB: u32 = 512;
 
 /// Why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Nothing was done.
-    #[error("the store refused: {0}")]
+    /// The store rejected the request and did nothing.
+    #[error("the store rejected the request with status {0}")]
     Refused(StatusCode),
-    /// Whether it was done is not known.
-    #[error("no answer from the store: {0}")]
+    /// It is unknown whether the store carried out the request.
+    #[error("no usable response from the store: {0}")]
     Unknown(HttpError),
-    /// The partition does not end where the append wants it to.
-    #[error("the partition ends at {0}")]
+    /// The partition's end differs from the offset that the append expects; the actual end is given.
+    #[error("the partition ends at offset {0}, not where the append expects")]
     EndMismatch(u64),
-    /// A producer with a higher epoch has written.
-    #[error("a producer of a later epoch has written")]
+    /// A producer with a higher epoch has written to the partition.
+    #[error("a producer with a higher epoch has written to the partition")]
     Fenced,
-    /// The sequence number is not the one after the last.
-    #[error("the sequence number does not follow the last")]
+    /// The sequence number isn't the next one of this producer.
+    #[error("the sequence number of the append is not the next one")]
     OutOfSequence,
-    /// The records are gone; the oldest one kept is named.
-    #[error("records before {0} are gone")]
+    /// The records have been deleted; the offset of the oldest remaining one is given.
+    #[error("the records before offset {0} have been deleted")]
     Gone(u64),
-    /// The answer cannot be read.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The response is malformed.
+    #[error("malformed response from the store: {0}")]
     Malformed(String),
 }
 
-/// Where a call goes.
+/// A partition of a topic.
 #[derive(Debug, Clone, Copy)]
 pub struct Partition<'a> {
     /// The topic.
     pub topic: &'a str,
-    /// The partition.
+    /// The number of the partition, from 0.
     pub index: u32,
 }
 
-/// What an append depends on.
+/// The condition under which an append takes effect.
 #[derive(Debug, Clone, Copy)]
 pub enum Precondition<'a> {
     /// The partition must end at this offset.
     End(u64),
-    /// Nobody with a higher epoch may have written, and a repeated call has one effect.
+    /// No producer with a higher epoch may have written. A repeated call has no further effect.
     Producer {
         /// The producer's name.
         name: &'a str,
         /// The producer's epoch.
         epoch: u64,
-        /// The number of this call in the epoch.
+        /// The sequence number of this call in the epoch.
         seq: u64,
     },
 }
 
-/// The answer to an append.
+/// The response to an append.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct Appended {
-    /// The place of the first record.
+    /// The offset of the first appended record.
     pub offset: u64,
-    /// The place after the last one.
+    /// The offset after the last appended record.
     pub end: u64,
 }
 
-/// Records from some offset on.
+/// The response to a read.
 #[derive(Debug)]
 pub struct Records {
-    /// The place after the partition's last record.
+    /// The offset after the partition's last record.
     pub end: u64,
-    /// The records with their places.
+    /// The records with their offsets.
     pub records: Vec<(u64, Bytes)>,
 }
 
-/// The newest record of a key.
+/// The latest record of a key.
 #[derive(Debug)]
 pub struct LatestRecord {
     /// The key.
     pub key: Name,
-    /// The value; empty if the key was dropped.
+    /// The value; empty if the key was deleted.
     pub value: Vec<u8>,
 }
 
-/// Some of the newest records of all keys.
+/// A page of the latest records of all keys.
 #[derive(Debug)]
 pub struct Page {
     /// The records.
     pub items: Vec<LatestRecord>,
-    /// Whether there are more after the last one.
+    /// Whether there are more pages.
     pub has_more: bool,
-    /// The place after the partition's last record.
+    /// The offset after the partition's last record.
     pub end: u64,
 }
 
@@ -131,20 +130,20 @@
     first: u64,
 }
 
-/// The store's client.
+/// A client for the store.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     http: HttpClient,
     addr: Name,
 }
 
-/// Adds a record of a plain topic to the body of an append.
+/// Adds a record of a plain topic to the body of an append: its length and the data.
 pub fn encode_record(body: &mut BytesMut, data: &[u8]) {
     body.put_u32(data.len() as u32);
     body.put_slice(data);
 }
 
-/// Adds a record of a keyed topic to the body of an append; an empty value drops the key.
+/// Adds a record of a keyed topic to the body of an append. An empty value deletes the key.
 pub fn encode_keyed(body: &mut BytesMut, key: &str, value: &[u8]) {
     body.put_u32((1 + key.len() + value.len()) as u32);
     body.put_u8(key.len() as u8);
@@ -152,20 +151,20 @@
     body.put_slice(value);
 }
 
-/// Splits a record of a keyed topic into its key and its value; `None`: it is not such a record.
-/// One bad record must not hide the others, so readers go on without it.
+/// Splits a record of a keyed topic into its key and its value; `None` if it is malformed. Readers skip malformed records,
+/// so that one doesn't hide the others.
 pub fn decode_keyed(record: &Bytes) -> Option<(Name, Bytes)> {
-    let split = || -> Result<(Name, Bytes), String> {
-        let len = usize::from(*record.first().ok_or("it is empty")?);
-        let key = record.get(1..1 + len).ok_or("it is shorter than its key")?;
+    let decode = || -> Result<(Name, Bytes), String> {
+        let len = usize::from(*record.first().ok_or("the record is empty")?);
+        let key = record.get(1..1 + len).ok_or("the record is shorter than its key")?;
         let key = std::str::from_utf8(key).map_err(|err| err.to_string())?;
         Ok((key.into(), record.slice(1 + len..)))
     };
-    split().inspect_err(|err| log::warn!("event=record-unreadable error={err:?}")).ok()
+    decode().inspect_err(|err| log::warn!("event=keyed-record-malformed error={err:?}")).ok()
 }
 
 impl StoreClient {
-    /// A client of the store at `addr`.
+    /// Creates a client for the store at `addr`.
     pub fn new(http: HttpClient, addr: Name) -> Self {
         Self { http, addr }
     }
@@ -175,30 +174,30 @@
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<HttpResponse, StoreError> {
         let malformed = |err: &dyn std::fmt::Display| StoreError::Malformed(err.to_string());
         let uri = uri(&self.addr, path).map_err(|err| malformed(&err))?;
         let request = Request::builder().method(method).uri(uri).body(Full::from(body));
         let request = request.map_err(|err| malformed(&err))?;
-        let answer = self.http.send(&self.addr, request, limit).await;
-        let answer = answer.map_err(StoreError::Unknown)?;
-        match answer.status {
-            status if status.is_success() => Ok(answer),
-            _ => Err(parse_problem(&answer)),
+        let response = self.http.send(&self.addr, request, timeout).await;
+        let response = response.map_err(StoreError::Unknown)?;
+        match response.status {
+            status if status.is_success() => Ok(response),
+            _ => Err(parse_problem(&response)),
         }
     }
 
-    /// Appends records, all or none.
+    /// Appends records, all of them or none.
     ///
     /// # Errors
-    /// [`StoreError::Unknown`] if it may have been done.
+    /// [`StoreError::Unknown`] if the records may have been appended.
     pub async fn append(
         &self,
         partition: Partition<'_>,
         precondition: Precondition<'_>,
         body: Bytes,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Appended, StoreError> {
         let Partition { topic, index } = partition;
         let path = match precondition {
@@ -207,30 +206,30 @@
                 "/log-append?topic={topic}&part={index}&producer={name}&epoch={epoch}&seq={seq}"
             ),
         };
-        let answer = self.call(Method::POST, &path, body, limit).await?;
-        parse_json(&answer.body)
+        let response = self.call(Method::POST, &path, body, timeout).await?;
+        parse_json(&response.body)
     }
 
-    /// Reads records from an offset on; waits up to `wait` for the first one.
+    /// Reads records from an offset on. Waits up to `wait` for a record if there is none.
     ///
     /// # Errors
-    /// [`StoreError::Gone`] if they were removed.
+    /// [`StoreError::Gone`] if the records at the offset have been deleted.
     pub async fn read(
         &self,
         partition: Partition<'_>,
         from: u64,
         wait: Millis,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Records, StoreError> {
         let Partition { topic, index } = partition;
         let path = format!(
             "/log-read?topic={topic}&part={index}&from={from}&max_kb={MAX_READ_KB}&wait_ms={wait}"
         );
-        let answer = self.call(Method::GET, &path, Bytes::new(), limit).await?;
-        decode_records(answer.body, from)
+        let response = self.call(Method::GET, &path, Bytes::new(), timeout).await?;
+        decode_records(response.body, from)
     }
 
-    /// Reads the newest records of all keys after `after`.
+    /// Reads a page of the latest records of all keys, from the key following `after`.
     ///
     /// # Errors
     /// See [`StoreError`].
@@ -238,49 +237,50 @@
         &self,
         partition: Partition<'_>,
         after: Option<&str>,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Page, StoreError> {
         let Partition { topic, index } = partition;
         let mut path = format!("/log-newest?topic={topic}&part={index}");
         if let Some(key) = after {
-            // The platform gives the key to continue after in the field of a step's dependencies.
+            // The platform uses the name of a step's dependencies for the key to continue after.
             path.push_str("&depends_on=");
             path.push_str(key);
         }
-        let answer = self.call(Method::GET, &path, Bytes::new(), limit).await?;
-        parse_page(&answer.body)
+        let response = self.call(Method::GET, &path, Bytes::new(), timeout).await?;
+        parse_page(&response.body)
     }
 
-    /// Reads the newest records of all keys; they may be of slightly different times.
+    /// Reads all pages of the latest records of all keys, and the end of the partition as of the first page. Later pages
+    /// may contain newer records.
     ///
     /// # Errors
     /// See [`StoreError`].
     pub async fn latest_all(
         &self,
         partition: Partition<'_>,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<(Vec<LatestRecord>, u64), StoreError> {
-        let mut page = self.latest(partition, None, limit).await?;
+        let mut page = self.latest(partition, None, timeout).await?;
         let end = page.end;
         let mut all = std::mem::take(&mut page.items);
         while page.has_more {
             let Some(last) = all.last().map(|item| item.key.clone()) else { break };
-            page = self.latest(partition, Some(&last), limit).await?;
+            page = self.latest(partition, Some(&last), timeout).await?;
             all.append(&mut page.items);
         }
         Ok((all, end))
     }
 }
 
-/// Reads a page of newest records. One that cannot be read does not hide the others.
+/// Decodes a page of latest records. Malformed records are skipped, so that one doesn't hide the others.
 ///
 /// # Errors
-/// [`StoreError::Malformed`]: it is no page at all.
+/// [`StoreError::Malformed`] if the body isn't a page.
 pub fn parse_page(body: &[u8]) -> Result<Page, StoreError> {
     let raw: RawPage<'_> = parse_json(body)?;
     let items = raw.items.into_iter().filter_map(|item| {
-        let found = parse_latest(item.get());
-        found.inspect_err(|err| log::warn!("event=item-unreadable error={err}")).ok()
+        let decoded = parse_latest(item.get());
+        decoded.inspect_err(|err| log::warn!("event=latest-record-malformed error={err}")).ok()
     });
     Ok(Page { items: items.collect(), has_more: raw.has_more, end: raw.end })
 }
@@ -296,21 +296,22 @@
     serde_json::from_slice(body).map_err(|err| StoreError::Malformed(err.to_string()))
 }
 
-fn parse_problem(answer: &HttpResponse) -> StoreError {
-    let raw: RawProblem = answer.json_or_default();
-    match (answer.status, raw.reason.as_str()) {
+/// Maps an unsuccessful response to an error.
+fn parse_problem(response: &HttpResponse) -> StoreError {
+    let raw: RawProblem = response.json_or_default();
+    match (response.status, raw.reason.as_str()) {
         (StatusCode::PRECONDITION_FAILED, _) => StoreError::EndMismatch(raw.end),
         (StatusCode::CONFLICT, "fenced") => StoreError::Fenced,
         (StatusCode::CONFLICT, "seq") => StoreError::OutOfSequence,
         (StatusCode::GONE, _) => StoreError::Gone(raw.first),
-        _ => StoreError::Refused(answer.status),
+        _ => StoreError::Refused(response.status),
     }
 }
 
-/// Splits the raw answer to a read: the end, the first offset kept, then the records.
+/// Decodes the binary response to a read: the partition's end, its first remaining offset, then the records.
 fn decode_records(mut body: Bytes, from: u64) -> Result<Records, StoreError> {
     const HEADER_BYTES: usize = 16;
-    let truncated = || StoreError::Malformed("a read's answer is too short".to_string());
+    let truncated = || StoreError::Malformed("the response to a read is truncated".to_string());
     if body.len() < HEADER_BYTES {
         return Err(truncated());
     }
--- a/src/platform/submit.rs
+++ b/src/platform/submit.rs
@@ -1,21 +1,21 @@
-//! Jobs as callers write them, turned into the project's own types.
+//! Decodes the jobs that callers submit as JSON.
 
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::workload::{Room, Step, Work};
 use serde::{Deserialize, Deserializer};
 
-/// A yes or no that some callers send as a number.
-fn flag<'de, D: Deserializer<'de>>(d: D) -> Result<bool, D::Error> {
+/// Decodes a boolean, which some callers send as a number.
+fn flag<'de, D: Deserializer<'de>>(deserializer: D) -> Result<bool, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Either {
+    enum BoolOrNumber {
         Bool(bool),
         Number(f64),
     }
-    Ok(match Either::deserialize(d)? {
-        Either::Bool(yes) => yes,
-        Either::Number(number) => number != 0.0,
+    Ok(match BoolOrNumber::deserialize(deserializer)? {
+        BoolOrNumber::Bool(value) => value,
+        BoolOrNumber::Number(number) => number != 0.0,
     })
 }
 
@@ -37,16 +37,16 @@
     gang: bool,
     #[serde(default, deserialize_with = "flag")]
     rack_local: bool,
-    /// A label of the worker.
+    /// The label that a worker must have.
     #[serde(default)]
     requires: Name,
-    /// The rack of the data.
+    /// The rack that holds the data.
     #[serde(default)]
     affinity: Name,
-    /// Not a label: the most tasks of the step on one worker.
+    /// Despite its name not a label: the maximum number of tasks of the step on one worker.
     #[serde(default)]
     anti_affinity: u32,
-    /// Copies of one task may run side by side.
+    /// Whether copies of one task may run at the same time.
     #[serde(default, deserialize_with = "flag")]
     concurrent: bool,
     #[serde(default, deserialize_with = "flag")]
@@ -57,7 +57,7 @@
     image: Name,
     #[serde(default)]
     target_ms: f64,
-    /// Not a count: the processors asked for are not charged.
+    /// Despite its name not a count: the tasks use cores that others leave idle, and the requested ones aren't charged.
     #[serde(default, deserialize_with = "flag")]
     fill_count: bool,
     #[serde(default)]
@@ -101,10 +101,10 @@
     }
 }
 
-/// Reads a job; unknown fields are passed over.
+/// Decodes a job; unknown fields are ignored.
 ///
 /// # Errors
-/// The body is not JSON or not a job.
+/// If the body isn't JSON or isn't a job.
 pub fn parse(body: &[u8]) -> Result<Work, serde_json::Error> {
     let raw: RawJob = serde_json::from_slice(body)?;
     Ok(Work {
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: how they list themselves and how they are told what to run.
+//! Decodes the entries by which workers list themselves, and sends orders to workers.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -15,9 +15,9 @@
 use std::sync::OnceLock;
 use thiserror::Error;
 
-/// The topic in which workers list themselves, each under its id.
+/// The topic in which workers list themselves, each under its ID.
 pub const TOPIC: &str = "keyed.servers";
-/// Names the life of a worker that a call is meant for.
+/// The header with the instance of a worker for which a request is meant.
 const INSTANCE_HEADER: &str = "X-Sprucerudder-Expected-Instance";
 
 #[derive(Debug, Deserialize)]
@@ -36,9 +36,9 @@
     capacity: RawCapacity,
     labels: Vec<Name>,
     born: Option<Millis>,
-    /// Only while it drains: the least time until it leaves.
+    /// The minimum time until the worker leaves. Only present while it is draining.
     remaining_ms: Option<f64>,
-    // Not used, but an entry without them comes from another writer.
+    // The following fields aren't used, but an entry without them was not written by a worker.
     #[serde(rename = "version")]
     _version: Name,
     #[serde(rename = "slots")]
@@ -49,40 +49,40 @@
     _seq: u64,
 }
 
-/// Why an entry names no worker.
+/// Why an entry isn't the valid entry of a worker.
 #[derive(Debug, Error)]
 pub enum WorkerEntryError {
-    /// It is no text, or fields are missing or of another type.
-    #[error("it is not the entry of a worker: {0}")]
+    /// It isn't JSON, or fields are missing or have the wrong type.
+    #[error("not a worker entry: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// The platform knows no such state.
-    #[error("there is no state {0:?}")]
+    /// The state is unknown.
+    #[error("unknown worker state {0:?}")]
     State(Name),
-    /// It cannot be called there.
-    #[error("{0:?} is not an address")]
+    /// The address is invalid.
+    #[error("invalid worker address {0:?}")]
     Address(Name),
 }
 
-/// Reads a worker's own entry. Other writers may have put one there: unless all of it can be read it
-/// names no worker.
+/// Decodes the entry by which a worker lists itself. An entry may come from another writer, so it only counts as a
+/// worker's if all of it can be decoded.
 ///
 /// # Errors
-/// See [`ListedError`].
+/// See [`WorkerEntryError`].
 pub fn parse_worker_entry(id: Name, text: &[u8]) -> Result<Listed, WorkerEntryError> {
     let raw: RawWorker = serde_json::from_slice(text)?;
     if raw.address.parse::<SocketAddr>().is_err() {
         return Err(WorkerEntryError::Address(raw.address));
     }
-    let leaves = match &*raw.state {
+    let is_draining = match &*raw.state {
         "ready" => false,
         "draining" => true,
         _ => return Err(WorkerEntryError::State(raw.state)),
     };
-    if leaves && raw.remaining_ms.is_none() {
-        // It may be gone at any moment: what runs there is moved.
-        log::warn!("event=worker-without-time-left worker={id}");
+    if is_draining && raw.remaining_ms.is_none() {
+        // Without this time the worker may leave at any moment, so its tasks are moved at once.
+        log::warn!("event=drain-time-missing worker={id}");
     }
-    let left = Millis(raw.remaining_ms.unwrap_or(0.0).max(0.0) as u64);
+    let remaining = Millis(raw.remaining_ms.unwrap_or(0.0).max(0.0) as u64);
     let RawCapacity { cpu, mem_mb, gpu } = raw.capacity;
     Ok(Listed {
         id,
@@ -92,7 +92,7 @@
         domain: raw.zone,
         room: Room { cpu, mem: mem_mb, gpu },
         labels: raw.labels,
-        leaving: leaves.then_some(left),
+        leaving: is_draining.then_some(remaining),
     })
 }
 
@@ -135,13 +135,13 @@
 }
 
 #[derive(Deserialize, Default)]
-struct RawAnswer {
+struct RawResponse {
     clock_ms: Option<f64>,
     #[serde(default)]
     reason: String,
 }
 
-/// Task, run, saved progress, percent, and a gauge that is not there in the first half second.
+/// A running task: task, run number, saved progress, percent, and a gauge that is absent in the first half second.
 #[derive(Deserialize)]
 struct RawRunning<'a>(
     #[serde(borrow)] Cow<'a, str>,
@@ -155,7 +155,7 @@
     100.0
 }
 
-/// Number, task, run, how it ended, saved progress.
+/// An ended run: its number among the worker's ended runs, task, run number, how it ended, saved progress.
 #[derive(Deserialize)]
 struct RawEnded<'a>(u64, #[serde(borrow)] Cow<'a, str>, u64, Cow<'a, str>, Cow<'a, str>);
 
@@ -169,7 +169,7 @@
     ended: Vec<RawEnded<'a>>,
 }
 
-/// The client of one life of one worker.
+/// A client for one instance of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     http: HttpClient,
@@ -179,16 +179,17 @@
 }
 
 impl WorkerClient {
-    /// A client that gives orders with `fence` to the life `id` at `addr`.
+    /// Creates a client that sends orders with the fencing token `fence` to the worker instance `id` at `addr`.
     pub fn new(http: HttpClient, addr: Name, id: Name, fence: u64) -> Self {
         Self { http, addr, id, fence }
     }
 
+    /// Posts a JSON request to the worker instance.
     async fn call<P: Serialize>(
         &self,
         path: &str,
         payload: &P,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<HttpResponse, HttpError> {
         let malformed = |err: &dyn std::fmt::Display| {
             HttpError::Malformed(self.addr.to_string(), err.to_string())
@@ -201,22 +202,26 @@
             .header(INSTANCE_HEADER, &*self.id)
             .body(Full::from(Bytes::from(body)))
             .map_err(|err| malformed(&err))?;
-        self.http.send(&self.addr, request, limit).await
+        self.http.send(&self.addr, request, timeout).await
     }
 
-    async fn send_order<P: Serialize>(&self, path: &str, payload: &P, limit: Millis) -> Outcome {
-        match self.call(path, payload, limit).await {
-            Ok(answer) => parse_outcome(&answer),
+    /// Sends an order and maps its result to an outcome.
+    async fn send_order<P: Serialize>(&self, path: &str, payload: &P, timeout: Millis) -> Outcome {
+        match self.call(path, payload, timeout).await {
+            Ok(response) => parse_outcome(&response),
             Err(err) if err.is_unsent() => Outcome::Unsent,
             Err(err) => {
-                log::debug!("event=order-unanswered worker={} path={path} error={err:?}", self.id);
+                log::debug!(
+                    "event=order-without-response worker={} path={path} error={err:?}",
+                    self.id
+                );
                 Outcome::Unknown
             }
         }
     }
 
-    /// Starts a run that ends by itself at `until` on the worker's clock unless it is renewed.
-    pub async fn start(&self, start: &Start, until: u64, limit: Millis) -> Outcome {
+    /// Starts a run. Unless its lease is renewed, it ends at `until` on the worker's clock.
+    pub async fn start(&self, start: &Start, until: u64, timeout: Millis) -> Outcome {
         let payload = RawStart {
             task: start.task.to_string(),
             run: start.run,
@@ -226,48 +231,48 @@
             checkpoint: &start.saved,
             ticket: &start.ticket,
         };
-        self.send_order("/run-start", &payload, limit).await
+        self.send_order("/run-start", &payload, timeout).await
     }
 
-    /// Stops a run; one that has not begun never will.
-    pub async fn stop(&self, task: TaskKey, run: u64, limit: Millis) -> Outcome {
+    /// Stops a run. A run that hasn't started yet will never start.
+    pub async fn stop(&self, task: TaskKey, run: u64, timeout: Millis) -> Outcome {
         let payload = RawStop { task: task.to_string(), run, fence: self.fence };
-        self.send_order("/run-stop", &payload, limit).await
+        self.send_order("/run-stop", &payload, timeout).await
     }
 
-    /// Lets a run work at a share of its speed, in hundredths.
-    pub async fn pace(&self, task: TaskKey, run: u64, percent: u32, limit: Millis) -> Outcome {
+    /// Limits a run to a percentage of its full speed.
+    pub async fn pace(&self, task: TaskKey, run: u64, percent: u32, timeout: Millis) -> Outcome {
         let payload = RawPace { task: task.to_string(), run, percent, fence: self.fence };
-        self.send_order("/pace", &payload, limit).await
+        self.send_order("/pace", &payload, timeout).await
     }
 
-    /// Renews the lease of all that runs there, confirms ends up to `seen`, and waits up to `wait`
-    /// for another one.
+    /// Renews the leases of all runs on the worker until `until`, confirms the ended runs up to number `confirmed`, and
+    /// waits up to `wait` for another run to end. Returns the worker's report.
     ///
     /// # Errors
     /// See [`HoldError`].
     pub async fn renew(
         &self,
-        seen: u64,
+        confirmed: u64,
         until: Option<u64>,
         wait: Millis,
-        limit: Millis,
+        timeout: Millis,
     ) -> Result<Report, HoldError> {
         let wait_ms = (wait.0 > 0).then_some(wait.0);
-        let payload = RawHold { fence: self.fence, last_seen: seen, until_ms: until, wait_ms };
-        let answer = self.call("/hold", &payload, limit).await;
-        let answer = answer.map_err(|err| HoldError::Silent(err.to_string()))?;
-        match parse_outcome(&answer) {
-            Outcome::Done(_) => parse_report(&answer.body).map_err(HoldError::Silent),
+        let payload = RawHold { fence: self.fence, last_seen: confirmed, until_ms: until, wait_ms };
+        let response = self.call("/hold", &payload, timeout).await;
+        let response = response.map_err(|err| HoldError::Silent(err.to_string()))?;
+        match parse_outcome(&response) {
+            Outcome::Done(_) => parse_report(&response.body).map_err(HoldError::Silent),
             Outcome::Refused(why) => Err(HoldError::Refused(why)),
-            other => Err(HoldError::Silent(format!("{other:?} {}", answer.status))),
+            other => Err(HoldError::Silent(format!("{other:?} {}", response.status))),
         }
     }
 }
 
-fn parse_outcome(answer: &HttpResponse) -> Outcome {
-    let raw: RawAnswer = answer.json_or_default();
-    match (answer.status, raw.reason.as_str()) {
+fn parse_outcome(response: &HttpResponse) -> Outcome {
+    let raw: RawResponse = response.json_or_default();
+    match (response.status, raw.reason.as_str()) {
         (status, _) if status.is_success() => Outcome::Done(raw.clock_ms.map(|ms| ms as u64)),
         (StatusCode::CONFLICT, "fence") => Outcome::Refused(Refusal::Fence),
         (StatusCode::CONFLICT, "old") => Outcome::Refused(Refusal::Old),
@@ -304,7 +309,7 @@
     })
 }
 
-/// Most runs have saved nothing: one shared empty name for them.
+/// Converts saved progress to a name. Most runs have saved none, so all empty names share one allocation.
 fn shared_name(text: &str) -> Name {
     static EMPTY: OnceLock<Name> = OnceLock::new();
     match text {
@@ -314,17 +319,23 @@
 }
 
 fn parse_ended(row: &RawEnded<'_>) -> Result<EndedRow, String> {
-    let RawEnded(no, task, run, how, saved) = row;
-    let end = match how.as_ref() {
+    let RawEnded(number, task, run, end_name, saved) = row;
+    let end = match end_name.as_ref() {
         "done" => End::Done,
         "failed" => End::Failed,
         "stopped" => End::Stopped,
         "lapsed" => End::Lapsed,
         "broken" => End::Broken,
         "alone" => End::Alone,
-        other => return Err(format!("{other:?} is not an end of {task}")),
+        other => return Err(format!("unknown end {other:?} of task {task}")),
     };
-    Ok(EndedRow { no: *no, task: parse_task_key(task)?, run: *run, end, saved: shared_name(saved) })
+    Ok(EndedRow {
+        no: *number,
+        task: parse_task_key(task)?,
+        run: *run,
+        end,
+        saved: shared_name(saved),
+    })
 }
 
 fn parse_task_key(text: &str) -> Result<TaskKey, String> {
