--- a/src/cell/placing/reservation.rs
+++ b/src/cell/placing/reservation.rs
@@ -106,7 +106,7 @@
         relaxation: Relaxation,
     ) -> Room {
         let reservations = self.by_worker.get(worker).map(Vec::as_slice).unwrap_or_default();
-        let is_usable = |reservation: &&Reservation| {
+        let may_be_used = |reservation: &&Reservation| {
             reservation.is_shared && can_stop && reservation.rank.0 < rank.0
         };
         let others = reservations
@@ -119,7 +119,7 @@
             Relaxation::Partial => !is_for_gang(reservation),
             Relaxation::Full => false,
         };
-        let others = others.filter(|reservation| !is_usable(reservation)).filter(is_blocked);
+        let others = others.filter(|reservation| !may_be_used(reservation)).filter(is_blocked);
         others.fold(Room::default(), |sum, reservation| sum.plus(&reservation.room))
     }
 
@@ -145,6 +145,7 @@
         has_expired
     }
 
+    /// Keeps only the reservations for which `is_kept` holds.
     fn retain(&mut self, is_kept: impl Fn(&Reservation) -> bool) {
         self.by_worker.retain(|_, reservations| {
             reservations.retain(&is_kept);
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -19,7 +19,7 @@
 struct Usage(Arc<Mutex<Room>>);
 
 impl Usage {
-    fn room(&self) -> MutexGuard<'_, Room> {
+    fn lock(&self) -> MutexGuard<'_, Room> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -33,7 +33,7 @@
 
 impl Drop for UsageGuard {
     fn drop(&mut self) {
-        let mut used = self.usage.room();
+        let mut used = self.usage.lock();
         *used = used.less(&self.room);
     }
 }
@@ -55,15 +55,15 @@
     /// Adds the resources of a run to its workspace's usage until the guard is dropped.
     pub fn acquire(&mut self, workspace: &Name, room: Room) -> UsageGuard {
         let usage = self.by_workspace.entry(workspace.clone()).or_default().clone();
-        let now = usage.room().plus(&room);
-        *usage.room() = now;
+        let now = usage.lock().plus(&room);
+        *usage.lock() = now;
         UsageGuard { usage, room }
     }
 
     /// The resources that a workspace has in use in this cell.
     pub fn used(&self, workspace: &Name) -> Room {
         match self.by_workspace.get(workspace) {
-            Some(usage) => *usage.room(),
+            Some(usage) => *usage.lock(),
             // No run of the workspace has been counted yet.
             None => Room::default(),
         }
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -96,6 +96,7 @@
     })
 }
 
+/// The body of a `/run-start` request.
 #[derive(Serialize)]
 struct RawStart<'a> {
     task: String,
@@ -109,6 +110,7 @@
     ticket: &'a str,
 }
 
+/// The body of a `/run-stop` request.
 #[derive(Serialize)]
 struct RawStop {
     task: String,
@@ -116,6 +118,7 @@
     fence: u64,
 }
 
+/// The body of a `/pace` request.
 #[derive(Serialize)]
 struct RawPace {
     task: String,
@@ -124,6 +127,7 @@
     fence: u64,
 }
 
+/// The body of a `/hold` request, which renews leases and waits for a report.
 #[derive(Serialize)]
 struct RawHold {
     fence: u64,
@@ -134,6 +138,7 @@
     wait_ms: Option<u64>,
 }
 
+/// The body of a response to an order; `reason` says why the worker refused it.
 #[derive(Deserialize, Default)]
 struct RawResponse {
     clock_ms: Option<f64>,
@@ -159,6 +164,7 @@
 #[derive(Deserialize)]
 struct RawEnded<'a>(u64, #[serde(borrow)] Cow<'a, str>, u64, Cow<'a, str>, Cow<'a, str>);
 
+/// The body of a response to `/hold`.
 #[derive(Deserialize)]
 struct RawReport<'a> {
     born: Option<Millis>,
@@ -270,6 +276,7 @@
     }
 }
 
+/// Maps a worker's response to the outcome of the order.
 fn parse_outcome(response: &HttpResponse) -> Outcome {
     let raw: RawResponse = response.json_or_default();
     match (response.status, raw.reason.as_str()) {
