--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -221,7 +221,7 @@
                     false => cell.give_up_starts("no-authority"),
                 }
                 if lock(&self.authority).rests_on_peers(now) {
-                    cell.send_unkept(now);
+                    cell.send_unstored(now);
                     self.note_unlogged_starts(now);
                 }
                 cell.take_actions()
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -831,7 +831,7 @@
             false => self.owners[owner].cell.give_up_starts("no-authority"),
         }
         if self.relies_on_peers(owner) {
-            self.owners[owner].cell.send_unkept(Millis(self.now));
+            self.owners[owner].cell.send_unstored(Millis(self.now));
         }
         for action in self.owners[owner].cell.take_actions() {
             self.count_preemption(owner, &action);
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -389,7 +389,7 @@
             return;
         }
         if self.store_down > self.now {
-            self.cell.send_unkept(Millis(self.now));
+            self.cell.send_unstored(Millis(self.now));
             return;
         }
         while let Some(batch) = self.cell.take_batch(Millis(self.now)) {
