--- a/src/cell/advising/mod.rs
+++ b/src/cell/advice/mod.rs
@@ -1,4 +1,4 @@
 //! What the advice service is asked (`clearance`), and by which entry (`advice`).
 
-pub mod advice;
-pub(super) mod clearance;
+pub mod queue;
+pub(super) mod request;
--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advice/request.rs
@@ -1,6 +1,6 @@
 //! What the advice service is asked, and what its answers mean for placing.
 
-use crate::cell::advising::advice::AdviceRequest;
+use crate::cell::advice::queue::AdviceRequest;
 use crate::cell::jobs::job::{Job, Ticket};
 use crate::cell::jobs::life::rank;
 use crate::cell::mechanism::Mechanism;
@@ -14,26 +14,26 @@
 
 /// A ticket is used only if it holds this much longer: an order takes a few milliseconds, and a
 /// busy owner some tens.
-pub(in crate::cell) const TICKET_SPARE: Millis = Millis(250);
-/// The most workers that one question may name, by the platform's contract.
-const MAX_NAMED: usize = 100;
+pub(in crate::cell) const MIN_TICKET_VALIDITY: Millis = Millis(250);
+/// The most workers that one request may name, by the platform's contract.
+const MAX_REQUEST_WORKERS: usize = 100;
 /// The share of workers that is assumed to be cleared when deciding how many to name: one in two.
-const CLEARED_SHARE: usize = 2;
+const WORKERS_PER_CLEARANCE: usize = 2;
 /// The shortest wait before a step is asked about again for want of room, so that steps that wait
 /// for room do not use up the advice service.
-const ASK_AGAIN: Millis = Millis(250);
-/// A question about workers known to be cleared names so many at least: some fill up meanwhile.
-const LEAST_AGAIN: usize = 4;
+const REQUEST_INTERVAL: Millis = Millis(250);
+/// A request about workers known to be cleared names so many at least: some fill up meanwhile.
+const MIN_RENEWED_WORKERS: usize = 4;
 
 impl Cell {
     /// Has the advice service asked about a step whose tasks found no cleared worker with room.
-    pub(in crate::cell) fn question(
+    pub(in crate::cell) fn request_advice(
         &mut self,
         now: Millis,
         key: StepKey,
         spec: &Step,
         advice: Advice,
-        rest: usize,
+        remaining: usize,
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
@@ -41,23 +41,30 @@
         if advised.asking || now < advised.again {
             return;
         }
-        let workers = self.to_name(now, key, job, spec, rest);
+        let workers = self.select_workers(now, key, job, spec, remaining);
         if workers.is_empty() {
             return;
         }
         let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
-        let question = AdviceRequest { step: key, workers, cost, rank: rank(job) };
-        self.advice_queue.push(question);
+        let request = AdviceRequest { step: key, workers, cost, rank: rank(job) };
+        self.advice_queue.push(request);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
             (step.advised.asking, step.advised.since) = (true, now);
         }
     }
 
-    /// The workers that the next question about a step names: those known to be cleared that have
+    /// The workers that the next request about a step names: those known to be cleared that have
     /// room but no ticket that holds; if there are none, those never asked about, ones with room
     /// first; if none of them has room, those known to be cleared where tasks can be stopped. Asking about busy
     /// workers at once too, and again only about known good ones, leaves the service's time to other steps.
-    fn to_name(&self, now: Millis, key: StepKey, job: &Job, spec: &Step, rest: usize) -> Vec<Name> {
+    fn select_workers(
+        &self,
+        now: Millis,
+        key: StepKey,
+        job: &Job,
+        spec: &Step,
+        remaining: usize,
+    ) -> Vec<Name> {
         let (Some(step), Some(advice)) = (job.step(key), job.queue.advice) else {
             return Vec::new();
         };
@@ -66,21 +73,22 @@
         let names_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open(now, key, job, spec).into_iter();
         let asked = |fit: &Fit| {
-            advised.denied.contains(&fit.name) || advised.holds(&fit.name, now + TICKET_SPARE)
+            advised.denied.contains(&fit.name)
+                || advised.holds(&fit.name, now + MIN_TICKET_VALIDITY)
         };
         let (known, unknown): (Vec<Fit>, Vec<Fit>) = open
             .filter(|fit| !asked(fit) && (names_busy || fit.holds(spec, &charge)))
             .partition(|fit| advised.cleared.contains_key(&fit.name));
         if spec.gang
-            && let Some(named) = self.to_name_again(now, key, spec, rest)
+            && let Some(named) = self.select_gang_workers(now, key, spec, remaining)
         {
             return named;
         }
         let has_room = |fit: &Fit| fit.holds(spec, &charge);
         let could_hold = |fit: &Fit| self.could_hold(fit, job.priority(), spec);
         let known: Vec<Fit> = known.into_iter().filter(could_hold).collect();
-        let again = rest.max(LEAST_AGAIN);
-        let anew = (rest * CLEARED_SHARE).max(balance(advice));
+        let again = remaining.max(MIN_RENEWED_WORKERS);
+        let anew = (remaining * WORKERS_PER_CLEARANCE).max(balanced_size(advice));
         let suffices = |known: &[Fit]| !spec.gang && known.iter().any(has_room);
         let (mut named, most) = match () {
             () if suffices(&known) => (known, again),
@@ -94,18 +102,18 @@
             let away = job.home.as_ref().is_some_and(|home| fit.domain != *home);
             (!fit.holds(spec, &charge), away, std::cmp::Reverse(fit.free.cpu))
         });
-        named.into_iter().take(most.min(MAX_NAMED)).map(|fit| fit.name).collect()
+        named.into_iter().take(most.min(MAX_REQUEST_WORKERS)).map(|fit| fit.name).collect()
     }
 
     /// The workers known to be cleared for a gang, if they have room for all of it: all tasks start
     /// together, so all tickets have to hold together. Were only those named whose tickets have
     /// run out, the tickets of others would run out meanwhile.
-    fn to_name_again(
+    fn select_gang_workers(
         &self,
         now: Millis,
         key: StepKey,
         spec: &Step,
-        rest: usize,
+        remaining: usize,
     ) -> Option<Vec<Name>> {
         let charge = spec.charge();
         let mut fits = self.known_good(now, key, spec);
@@ -113,35 +121,35 @@
         fits.sort_by_cached_key(|fit| std::cmp::Reverse(fit.count(spec, &charge)));
         let mut named = Vec::new();
         let mut room = 0;
-        for fit in fits.into_iter().take(MAX_NAMED) {
+        for fit in fits.into_iter().take(MAX_REQUEST_WORKERS) {
             // Some fill up before the answer is there.
-            if room >= rest + LEAST_AGAIN {
+            if room >= remaining + MIN_RENEWED_WORKERS {
                 break;
             }
             room += fit.count(spec, &charge);
             named.push(fit.name);
         }
-        (room >= rest).then_some(named)
+        (room >= remaining).then_some(named)
     }
 
     /// Hands waiting questions to entries that can ask them.
-    pub(in crate::cell) fn ask_next(&mut self, now: Millis) {
-        while let Some((entry, question)) = self.advice_queue.assign(now) {
-            let job = self.jobs.get(&question.step.job);
-            let since = job.and_then(|job| job.step(question.step)).map(|step| step.advised.since);
+    pub(in crate::cell) fn assign_requests(&mut self, now: Millis) {
+        while let Some((entry, request)) = self.advice_queue.assign_next(now) {
+            let job = self.jobs.get(&request.step.job);
+            let since = job.and_then(|job| job.step(request.step)).map(|step| step.advised.since);
             log::info!(
-                "event=question step={} entry={entry} workers={} cost_ms={} queued_ms={}",
-                question.step,
-                question.workers.len(),
-                question.cost,
+                "event=advice-requested step={} entry={entry} workers={} cost_ms={} queued_ms={}",
+                request.step,
+                request.workers.len(),
+                request.cost,
                 now.since(since.unwrap_or(now))
             );
-            self.actions.push(Action::RequestAdvice { entry, request: question });
+            self.actions.push(Action::RequestAdvice { entry, request });
         }
     }
 
     /// The advice service answered an entry, or `None`: it did not.
-    pub fn advised(
+    pub fn handle_advice(
         &mut self,
         now: Millis,
         entry: &Name,
@@ -149,15 +157,15 @@
         named: &[Name],
         answer: Option<Cleared>,
     ) {
-        self.advice_queue.answered(entry, key);
+        self.advice_queue.complete(entry, key);
         match answer {
-            Some(cleared) => self.clear(now, key, named, cleared),
-            None => self.return_question(key, entry, "no-answer"),
+            Some(cleared) => self.apply_advice(now, key, named, cleared),
+            None => self.return_request(key, entry, "no-answer"),
         }
         self.needs_placement = true;
     }
 
-    fn clear(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
+    fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
         let usual = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
         let until = now + cleared.valid.unwrap_or(usual);
@@ -167,10 +175,14 @@
         let since = step.advised.since;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted <= since);
-        log::info!("event=advised step={key} named={} cleared={}", named.len(), cleared.rows.len());
+        log::info!(
+            "event=advice-received step={key} named={} cleared={}",
+            named.len(),
+            cleared.rows.len()
+        );
         let advised = &mut step.advised;
         advised.asking = false;
-        advised.again = now + ASK_AGAIN;
+        advised.again = now + REQUEST_INTERVAL;
         let good: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !good.contains(*name) && is_same(name));
         advised.denied.extend(denied.cloned());
@@ -183,14 +195,14 @@
         }
     }
 
-    /// A question got no answer from an entry: it may be asked again.
-    pub(in crate::cell) fn return_question(&mut self, key: StepKey, entry: &Name, why: &str) {
-        log::info!("event=question-returned step={key} entry={entry} why={why}");
-        self.forget_question(key);
+    /// A request got no answer from an entry: it may be asked again.
+    pub(in crate::cell) fn return_request(&mut self, key: StepKey, entry: &Name, why: &str) {
+        log::info!("event=advice-request-returned step={key} entry={entry} why={why}");
+        self.clear_request(key);
     }
 
-    /// A step has no question under way any more.
-    pub(in crate::cell) fn forget_question(&mut self, key: StepKey) {
+    /// A step has no request under way any more.
+    pub(in crate::cell) fn clear_request(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
             step.advised.asking = false;
@@ -199,7 +211,7 @@
     }
 
     /// A worker did not take a ticket.
-    pub(in crate::cell) fn drop_ticket(&mut self, key: StepKey, name: &Name) {
+    pub(in crate::cell) fn invalidate_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(ticket) = step.and_then(|step| step.advised.cleared.get_mut(name)) {
             ticket.until = Millis(0);
@@ -207,9 +219,9 @@
     }
 
     /// Tickets run out and pauses end: steps that wait are looked at again.
-    pub(in crate::cell) fn expire_questions(&mut self, now: Millis) {
+    pub(in crate::cell) fn expire_requests(&mut self, now: Millis) {
         // A step whose answer was lost on its way was never asked about again.
-        for step in self.advice_queue.expire(now) {
+        for step in self.advice_queue.take_overdue(now) {
             let job = self.jobs.get(&step.job);
             let since = job.and_then(|job| job.step(step)).map(|state| state.advised.since);
             log::info!(
@@ -218,16 +230,16 @@
                 now.since(since.unwrap_or(now))
             );
             self.expired_waits += 1;
-            self.forget_question(step);
+            self.clear_request(step);
         }
         self.needs_placement = self.needs_placement || !self.ready_steps.is_empty();
     }
 }
 
-/// How many workers a question names so that naming them takes half as long as asking at all.
-fn balance(advice: Advice) -> usize {
+/// How many workers a request names so that naming them takes half as long as asking at all.
+fn balanced_size(advice: Advice) -> usize {
     match advice.each {
-        0 => MAX_NAMED,
+        0 => MAX_REQUEST_WORKERS,
         each => (advice.base.0 * 1_000 / each / 2) as usize,
     }
 }
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -296,7 +296,7 @@
     /// The record of the job.
     pub fn record(&self) -> JobRecord {
         match self.closed {
-            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome: fate },
+            Some((outcome, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome },
             None => JobRecord::Open { queue: (*self.queue).clone(), work: self.work.clone() },
         }
     }
@@ -316,11 +316,11 @@
         let width = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
         let notes = steps.flat_map(|(no, step)| {
-            let place = ((no / width) as u32, (no % width) as u16);
+            let step_index = ((no / width) as u32, (no % width) as u16);
             let tasks = step.tasks.iter().enumerate();
             let crashed = tasks.filter(|(_, task)| !task.crashes.is_empty());
             crashed.map(move |(index, task)| TaskCrashes {
-                step_index: place,
+                step_index,
                 index: index as u32,
                 crashes: task.crashes.clone(),
             })
@@ -374,14 +374,14 @@
         waiting.filter_map(|task| task.idle_since).min()
     }
 
-    fn note(&self, place: (u32, u16)) -> StepProgress {
+    fn note(&self, step_index: (u32, u16)) -> StepProgress {
         const BITS: usize = 8;
-        let mut note = StepProgress { step_index: place, ..StepProgress::default() };
+        let mut note = StepProgress { step_index, ..StepProgress::default() };
         if self.left < self.tasks.len() as u32 {
             note.done = vec![0; self.tasks.len().div_ceil(BITS)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
-            let bound = match &task.status {
+            let assignment = match &task.status {
                 Status::Done => {
                     if let Some(byte) = note.done.get_mut(index / BITS) {
                         *byte |= 1 << (index % BITS);
@@ -391,13 +391,13 @@
                 Status::Placed { worker, run } => Some((*run, worker.clone())),
                 Status::Waiting => None,
             };
-            if bound.is_some() || !task.failed.is_empty() || !task.saved.is_empty() {
-                let (failed, saved) = (task.failed.clone(), task.saved.clone());
+            if assignment.is_some() || !task.failed.is_empty() || !task.saved.is_empty() {
+                let (failed, checkpoint) = (task.failed.clone(), task.saved.clone());
                 note.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
-                    checkpoint: saved,
-                    assignment: bound,
+                    checkpoint,
+                    assignment,
                 });
             }
         }
--- a/src/cell/jobs/life.rs
+++ b/src/cell/jobs/life.rs
@@ -37,8 +37,8 @@
             let workspace = snapshot.workspaces.get(&key).cloned();
             match record {
                 JobRecord::Forwarded { cell } => drop(self.forwarded.insert(key, (cell, 0))),
-                JobRecord::Closed { queue, outcome: fate } => {
-                    let job = Job::ended(self.queue_named(queue), fate, now);
+                JobRecord::Closed { queue, outcome } => {
+                    let job = Job::ended(self.queue_named(queue), outcome, now);
                     self.jobs.insert(key, Job { workspace, ..job });
                     self.closed_jobs.push_back(key);
                 }
@@ -317,7 +317,7 @@
         if self.reservations.expire(now) {
             self.needs_placement = true;
         }
-        self.expire_questions(now);
+        self.expire_requests(now);
     }
 
     /// Inherited tasks that nobody runs may be started once every worker that an earlier owner
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -120,7 +120,9 @@
         let advised = &step.advised;
         let tickets = advised.tickets(now).count();
         let asking = match advised.asking {
-            true => self.advice_queue.asked(key).map_or("queued".to_string(), ToString::to_string),
+            true => {
+                self.advice_queue.client_of(key).map_or("queued".to_string(), ToString::to_string)
+            }
             false => "none".to_string(),
         };
         log::info!(
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -3,7 +3,7 @@
 //! Events come in by methods that take the time; what has to be done is collected as [`Action`]s.
 //! What must outlast the owner is collected as [`Batch`]es for the platform's store.
 
-pub mod advising;
+pub mod advice;
 pub mod jobs;
 pub mod mechanism;
 pub mod owner;
@@ -15,7 +15,7 @@
 use crate::id::Name;
 use crate::order::{Life, Listed, Start};
 use crate::workload::{JobKey, Queue, StepKey, TaskKey, Work};
-use advising::advice::{AdviceRequest, Advisers};
+use advice::queue::{AdviceQueue, AdviceRequest};
 use jobs::job::Job;
 use jobs::wait::LongWait;
 use mechanism::DisabledMechanisms;
@@ -110,7 +110,7 @@
     unstored_jobs: VecDeque<(u64, JobKey)>,
     /// Closed jobs in the order of their ends.
     closed_jobs: VecDeque<JobKey>,
-    advice_queue: Advisers,
+    advice_queue: AdviceQueue,
     /// Room that is kept for steps that are about to start.
     reservations: Reservations,
     /// What workspaces have running, and may.
@@ -158,7 +158,7 @@
     /// `doubt`, an earlier owner may have started tasks while the store was away.
     pub fn new(
         epoch: u64,
-        bounds: CellConfig,
+        config: CellConfig,
         queues: HashMap<Name, Arc<Queue>>,
         snapshot: Snapshot,
         doubt: bool,
@@ -166,7 +166,7 @@
     ) -> Self {
         let mut cell = Self {
             epoch,
-            config: bounds,
+            config,
             queues,
             jobs: BTreeMap::new(),
             workers: BTreeMap::new(),
@@ -176,7 +176,7 @@
             forwarded: HashMap::new(),
             unstored_jobs: VecDeque::new(),
             closed_jobs: VecDeque::new(),
-            advice_queue: Advisers::default(),
+            advice_queue: AdviceQueue::default(),
             reservations: Reservations::default(),
             usages: Usages::default(),
             shares: Shares::default(),
@@ -379,16 +379,16 @@
     /// wait for good. `is_home`: it belongs to this cell; others are asked only while there is no
     /// such entry, for the service takes one question at a time from each.
     pub fn add_entry(&mut self, entry: Name, is_home: bool) {
-        if let Some(step) = self.advice_queue.join(entry.clone(), is_home) {
-            self.return_question(step, &entry, "connected-again");
+        if let Some(step) = self.advice_queue.add_client(entry.clone(), is_home) {
+            self.return_request(step, &entry, "connected-again");
         }
         self.needs_placement = true;
     }
 
     /// An entry cannot any more.
     pub fn remove_entry(&mut self, entry: &Name) {
-        if let Some(step) = self.advice_queue.leave(entry) {
-            self.return_question(step, entry, "disconnected");
+        if let Some(step) = self.advice_queue.remove_client(entry) {
+            self.return_request(step, entry, "disconnected");
         }
     }
 
@@ -396,13 +396,13 @@
     pub fn stats(&self) -> CellStats {
         let runs = self.workers.values().map(|worker| worker.runs.len()).sum();
         let open = self.jobs.values().filter(|job| job.is_open()).count();
-        let heard = self.workers.values().filter(|worker| worker.heard).count();
+        let reachable_workers = self.workers.values().filter(|worker| worker.heard).count();
         CellStats {
             open_jobs: open,
             runs,
             ready_steps: self.ready_steps.len(),
             workers: self.workers.len(),
-            reachable_workers: heard,
+            reachable_workers,
             crash_counts: self.crash_counts,
             expired_waits: self.expired_waits,
         }
--- a/src/cell/owner/access.rs
+++ b/src/cell/owner/access.rs
@@ -10,7 +10,7 @@
 
 /// The policy is as the operators have it if it was read so short ago: the wait for its next record ends after a
 /// second, and one may be lost.
-const FRESH: Millis = Millis(2_500);
+const MAX_POLICY_AGE: Millis = Millis(2_500);
 
 /// What a caller gets.
 #[derive(Debug, Clone, PartialEq)]
@@ -20,21 +20,26 @@
     /// Its key is not in force.
     Denied,
     /// Nobody can tell here: what is known is too old.
-    Unsure,
+    Unknown,
 }
 
-/// Whether a caller may call with its key. `is_open`: no key is needed; `age`: since the policy was last read.
-pub fn access(all: &Workspaces, is_open: bool, key: Option<&str>, age: Millis) -> Access {
-    let workspace = key.and_then(|key| all.of_key(key)).cloned();
+/// Whether a caller may call with its key. `allows_anonymous`: no key is needed; `age`: since the policy was last read.
+pub fn authorize(
+    workspaces: &Workspaces,
+    allows_anonymous: bool,
+    key: Option<&str>,
+    age: Millis,
+) -> Access {
+    let workspace = key.and_then(|key| workspaces.of_key(key)).cloned();
     match workspace {
         Some(workspace) => Access::Granted(Some(workspace)),
-        None if is_open => Access::Granted(None),
-        None if key.is_some() && !is_fresh(age) => Access::Unsure,
+        None if allows_anonymous => Access::Granted(None),
+        None if key.is_some() && !is_policy_fresh(age) => Access::Unknown,
         None => Access::Denied,
     }
 }
 
 /// Whether what is not in a policy that was read so long ago is surely not there.
-pub fn is_fresh(age: Millis) -> bool {
-    age <= FRESH
+pub fn is_policy_fresh(age: Millis) -> bool {
+    age <= MAX_POLICY_AGE
 }
--- a/src/cell/owner/mod.rs
+++ b/src/cell/owner/mod.rs
@@ -6,11 +6,11 @@
 //! keep up, `admission` when refused callers come back, `access` who may call.
 
 pub mod access;
-pub mod admission;
 pub mod authority;
 pub mod balance;
+pub mod cell_map;
 pub mod election;
 pub(super) mod forward;
 pub mod lag;
-pub mod map;
-pub mod witness;
+pub mod log_reports;
+pub mod retry;
--- a/src/cell/owner/admission.rs
+++ b/src/cell/owner/retry.rs
@@ -7,14 +7,14 @@
 
 use crate::workload::{JobKey, Queue, Work};
 
-const SECOND: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 /// Callers' tries spread over about this many times the first wait.
-const SPAN: u64 = 3;
+const RETRY_SPAN: u64 = 3;
 /// The least wait in seconds: a takeover takes about two, and a header has whole seconds.
-pub const LEAST: u64 = 1;
+pub const MIN_RETRY_SECONDS: u64 = 1;
 /// The most: tries up to 9 s apart outlast the outages of the platform's contract; beyond that a
 /// short outage makes a caller wait in vain.
-const MOST: u64 = 3;
+const MAX_RETRY_SECONDS: u64 = 3;
 
 /// After how many seconds the caller of a refused job should come back: its tries cover the time in
 /// which the job can still be on time. Jobs with time to spare are told one of two times, so that
@@ -22,9 +22,10 @@
 pub fn retry_after(queue: &Queue, work: &Work, job: JobKey) -> u64 {
     let chain = work.chain();
     let slack = queue.objective(work) - chain;
-    let after = (slack.0 / SPAN / SECOND).clamp(LEAST, MOST);
+    let after =
+        (slack.0 / RETRY_SPAN / MILLIS_PER_SECOND).clamp(MIN_RETRY_SECONDS, MAX_RETRY_SECONDS);
     match after {
-        LEAST => LEAST,
+        MIN_RETRY_SECONDS => MIN_RETRY_SECONDS,
         after => after - job.0 % 2,
     }
 }
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -1,6 +1,6 @@
 //! Which task starts next, and where.
 
-use crate::cell::advising::clearance::TICKET_SPARE;
+use crate::cell::advice::request::MIN_TICKET_VALIDITY;
 use crate::cell::jobs::job::{Job, StepState};
 use crate::cell::jobs::life::rank;
 use crate::cell::jobs::stage::{is_paused, needs_settled};
@@ -27,7 +27,7 @@
         for key in ready {
             self.place_step(now, key);
         }
-        self.ask_next(now);
+        self.assign_requests(now);
     }
 
     fn place_step(&mut self, now: Millis, key: StepKey) {
@@ -45,7 +45,7 @@
         let advice = job.queue.advice;
         // Most steps wait for an answer most of the time: these cost nothing more.
         let pauses = advice.is_some() && (step.advised.asking || now < step.advised.again);
-        if pauses && !step.advised.has_ticket(now + TICKET_SPARE) {
+        if pauses && !step.advised.has_ticket(now + MIN_TICKET_VALIDITY) {
             let why = self.why(now, key, &[]);
             return self.note_wait(now, key, why);
         }
@@ -84,7 +84,7 @@
                     self.ready_steps.remove(&(priority, due, key));
                 }
             }
-            Some(advice) if rest > 0 => self.question(now, key, &spec, advice, rest),
+            Some(advice) if rest > 0 => self.request_advice(now, key, &spec, advice, rest),
             _ => {}
         }
         let why = self.why(now, key, &fits).map(|why| match why {
@@ -116,7 +116,7 @@
         step: &StepState,
         spec: &Step,
     ) -> Vec<Fit> {
-        let tickets = step.advised.tickets(now + TICKET_SPARE);
+        let tickets = step.advised.tickets(now + MIN_TICKET_VALIDITY);
         let known = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.fits(now, key, job, spec, known)
     }
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -43,16 +43,16 @@
                 break;
             }
         }
-        let no = self.open_batch;
+        let number = self.open_batch;
         self.open_batch += 1;
         for key in new {
             self.defer_job(key);
         }
         if records.is_empty() {
-            self.mark_stored(now, no);
+            self.mark_stored(now, number);
             return None;
         }
-        Some(Batch { number: no, records })
+        Some(Batch { number, records })
     }
 
     /// A new job that did not fit into the last batch goes into the next one.
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -38,7 +38,7 @@
                 self.mark_silent(now, name);
             }
             Outcome::Refused(Refusal::Ticket) => {
-                self.drop_ticket(task.step, name);
+                self.invalidate_ticket(task.step, name);
                 self.lose(name, task, run);
             }
             Outcome::Refused(
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -29,11 +29,11 @@
     pub fn hold(&mut self, now: Millis, name: &Name, renew: bool) -> Option<ReportCall> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(name)?;
-        let until = if renew && worker.heard { worker.lease(now, lease) } else { None };
+        let lease_end = if renew && worker.heard { worker.lease(now, lease) } else { None };
         // It may be another life: one that was told the last end of the life before forgot ends that nobody
         // had read. A time of the other clock does no harm: it is cut down to the longest lease.
-        let seen = if worker.is_unsure() { 0 } else { worker.confirmed() };
-        Some(ReportCall { confirmed: seen, lease_end: until })
+        let confirmed = if worker.is_unsure() { 0 } else { worker.confirmed() };
+        Some(ReportCall { confirmed, lease_end })
     }
 
     /// The batch that must be in the store before a worker's ends can be confirmed.
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -1,7 +1,7 @@
 //! `node`: runs an entry on the platform.
 
 use crate::cell::mechanism::DisabledMechanisms;
-use crate::cell::owner::map::CELL_WORKERS;
+use crate::cell::owner::cell_map::MIN_CELL_WORKERS;
 use crate::cmd::{Refusal, Run};
 use crate::logs;
 use crate::node::Node;
@@ -28,7 +28,7 @@
     #[bpaf(argument("ADDR"))]
     advertise: Option<String>,
     /// Least workers of a cell in a fleet of twice as many or more; counts when the fleet starts first
-    #[bpaf(argument("COUNT"), fallback(CELL_WORKERS), display_fallback)]
+    #[bpaf(argument("COUNT"), fallback(MIN_CELL_WORKERS), display_fallback)]
     cell_workers: NonZeroUsize,
     /// Mechanisms to switch off, to measure what they are worth
     #[bpaf(argument("NAME,..."), fallback(DisabledMechanisms::default()), hide)]
--- a/src/node/call.rs
+++ b/src/node/call.rs
@@ -1,7 +1,7 @@
 //! What callers ask about jobs, and how it is answered.
 
 use crate::cell::JobState;
-use crate::cell::owner::admission::{self, retry_after};
+use crate::cell::owner::retry::{self, retry_after};
 use crate::cell::records::journal::JobOutcome;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -119,7 +119,7 @@
             Ok(Tell::State(Some(JobState::Closed(JobOutcome::Cancelled)))) => {
                 Reply::State("cancelled")
             }
-            _ => Reply::Busy { after: admission::LEAST },
+            _ => Reply::Busy { after: retry::MIN_RETRY_SECONDS },
         }
     }
 
@@ -128,7 +128,9 @@
         let reply = match self.ask(ask).await {
             Ok(Tell::Cancelled(true)) => Reply::Accepted,
             Ok(Tell::Cancelled(false)) => Reply::NoJob,
-            Ok(Tell::Refused(_)) | Err(AskError::Unsent) => Reply::Busy { after: admission::LEAST },
+            Ok(Tell::Refused(_)) | Err(AskError::Unsent) => {
+                Reply::Busy { after: retry::MIN_RETRY_SECONDS }
+            }
             Ok(_) | Err(AskError::Unknown) => Reply::InDoubt,
         };
         log::info!("event=cancel job={} cell={} reply={reply:?}", self.job, self.view.cell);
@@ -150,6 +152,6 @@
     });
     match counts.sum::<Option<u32>>() {
         Some(count) => Reply::Pending(count),
-        None => Reply::Busy { after: admission::LEAST },
+        None => Reply::Busy { after: retry::MIN_RETRY_SECONDS },
     }
 }
--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -1,6 +1,6 @@
 //! The cells of the fleet: how an entry learns how workers and jobs are dealt to them, or decides it.
 
-use crate::cell::owner::map::CellMap;
+use crate::cell::owner::cell_map::CellMap;
 use crate::clock::Millis;
 use crate::id::{Name, hash};
 use crate::node::view::View;
@@ -39,8 +39,8 @@
 impl Cells {
     /// The cell of a job: that of its workspace, if it has one.
     pub fn of_job(&self, job: JobKey, workspace: Option<&Name>) -> Option<&Arc<View>> {
-        let of_job = || self.map.of_job(job);
-        let cell = workspace.map_or_else(of_job, |name| self.map.of_workspace(name));
+        let of_job = || self.map.cell_of_job(job);
+        let cell = workspace.map_or_else(of_job, |name| self.map.cell_of_workspace(name));
         self.views.get(cell as usize)
     }
 
@@ -77,10 +77,10 @@
             }
             tokio::time::sleep(STORE_RETRY.duration()).await;
         };
-        let home = map.of_entry(&self.me.name);
-        log::info!("event=cells count={} home={home}", map.cells());
-        let view = |cell| Arc::new(View::new(self.clone(), cell, map.cells(), cell == home));
-        let views: Vec<Arc<View>> = (0..map.cells()).map(view).collect();
+        let home = map.cell_of_entry(&self.me.name);
+        log::info!("event=cells count={} home={home}", map.cell_count());
+        let view = |cell| Arc::new(View::new(self.clone(), cell, map.cell_count(), cell == home));
+        let views: Vec<Arc<View>> = (0..map.cell_count()).map(view).collect();
         for view in &views {
             view.follow();
         }
@@ -107,7 +107,7 @@
         let bytes = bytes.map_err(|err| StoreError::Malformed(err.to_string()))?;
         let mut body = BytesMut::new();
         put_keyed(&mut body, KEY, &bytes);
-        let cells = map.cells();
+        let cells = map.cell_count();
         match self.store.append(MAP, Guard::End(end), body.freeze(), LIMIT).await {
             Ok(_) => log::info!("event=map-made cells={cells} workers={}", listed.len()),
             Err(err) => log::info!("event=map-not-made cells={cells} error={err:?}"),
--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -1,6 +1,6 @@
 //! The claims on a cell: how an entry follows them, makes one, and shows that it lives as the owner.
 
-use crate::cell::owner::election::{BEAT, Leader, Record};
+use crate::cell::owner::election::{ElectionRecord, HEARTBEAT_INTERVAL, Leader};
 use crate::clock::Millis;
 use crate::id::hash;
 use crate::node::view::View;
@@ -59,12 +59,12 @@
     }
 
     async fn read_claims(&self, wait: Millis, limit: Millis) -> Result<(), StoreError> {
-        let from = lock(&self.election).end();
+        let from = lock(&self.election).next_offset();
         let mut topic = TOPIC.to_string();
         let part = self.part(&mut topic);
         let read = match self.node.store.read(part, from, wait, limit).await {
             Err(StoreError::Gone(first)) => {
-                lock(&self.election).skip(first);
+                lock(&self.election).skip_to(first);
                 return Ok(());
             }
             read => read?,
@@ -74,14 +74,14 @@
             let mut election = lock(&self.election);
             election.caught_up(now);
             for (offset, bytes) in read.records {
-                match postcard::from_bytes::<Record>(&bytes) {
-                    Ok(record) => election.add(now, offset, record),
+                match postcard::from_bytes::<ElectionRecord>(&bytes) {
+                    Ok(record) => election.apply(now, offset, record),
                     Err(err) => {
                         log::warn!(
                             "event=claim-unreadable cell={} offset={offset} error={err:?}",
                             self.cell
                         );
-                        election.skip(offset + 1);
+                        election.skip_to(offset + 1);
                     }
                 }
             }
@@ -128,7 +128,7 @@
             }
             let mine = {
                 let election = lock(&self.election);
-                election.leader().filter(|_| election.is_mine()).map(|leader| leader.epoch)
+                election.leader().filter(|_| election.is_owner()).map(|leader| leader.epoch)
             };
             match mine {
                 Some(epoch) if epoch > owned => {
@@ -150,12 +150,12 @@
         let handicap = self.handicap();
         let end = {
             let mut election = lock(&self.election);
-            election.set_handicap(handicap);
-            election.claim(self.now())
+            election.set_extra_delay(handicap);
+            election.try_claim(self.now())
         };
         let Some(end) = end else { return };
         let (owner, addr) = (self.node.me.clone(), self.node.settings.advertise.clone());
-        let record = Record::Claim { owner, addr };
+        let record = ElectionRecord::Claim { owner, addr };
         let cell = self.cell;
         match self.append_claim(end, &record, APPEND_LIMIT).await {
             Ok(()) => log::info!("event=claimed cell={cell} end={end}"),
@@ -176,7 +176,7 @@
     async fn append_claim(
         &self,
         end: u64,
-        record: &Record,
+        record: &ElectionRecord,
         limit: Millis,
     ) -> Result<(), StoreError> {
         let bytes = postcard::to_stdvec(record);
@@ -186,7 +186,7 @@
         let mut topic = TOPIC.to_string();
         let part = self.part(&mut topic);
         let done = self.node.store.append(part, Guard::End(end), body.freeze(), limit).await?;
-        lock(&self.election).add(self.now(), done.offset, record.clone());
+        lock(&self.election).apply(self.now(), done.offset, record.clone());
         let leader = lock(&self.election).leader().cloned();
         self.set_leader(leader);
         Ok(())
@@ -197,18 +197,18 @@
         let mut limit = APPEND_LIMIT;
         while self.is_leader(epoch) && !self.has_given_up(epoch) {
             let sent = self.now();
-            let end = lock(&self.election).end();
+            let end = lock(&self.election).next_offset();
             let (owner, addr) = (self.node.me.clone(), self.node.settings.advertise.clone());
             let largest = self.owner_of(epoch).map_or(0, |owner| owner.largest());
-            let most = largest.max(self.node.settings.cpu);
-            let beat = Record::Beat { epoch, owner, addr, most };
+            let largest_cpu = largest.max(self.node.settings.cpu);
+            let beat = ElectionRecord::Heartbeat { epoch, owner, addr, largest_cpu };
             match self.append_claim(end, &beat, limit).await {
                 Ok(()) => {
                     limit = APPEND_LIMIT;
                     if let Some(owner) = self.owner_of(epoch) {
                         owner.confirm(sent);
                     }
-                    tokio::time::sleep(BEAT.duration()).await;
+                    tokio::time::sleep(HEARTBEAT_INTERVAL.duration()).await;
                 }
                 Err(StoreError::Moved(_)) => tokio::time::sleep(OVERTAKEN.duration()).await,
                 Err(err) => {
@@ -225,10 +225,10 @@
 
     /// Gives the cell up by plan, so that another entry claims it at once. A heartbeat under way
     /// may come first: then it is tried again.
-    pub(super) async fn release(&self, record: Record, epoch: u64) {
+    pub(super) async fn release(&self, record: ElectionRecord, epoch: u64) {
         let until = self.now() + RELEASE;
         while self.is_leader(epoch) && self.now() < until {
-            let end = lock(&self.election).end();
+            let end = lock(&self.election).next_offset();
             match self.append_claim(end, &record, APPEND_LIMIT).await {
                 Ok(()) => {
                     return log::info!("event=released cell={} epoch={epoch}", self.cell);
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -1,7 +1,7 @@
 //! What callers reach: jobs over HTTP, and what the balancer and operators ask.
 
-use crate::cell::owner::access::{Access, access, is_fresh};
-use crate::cell::owner::admission::LEAST;
+use crate::cell::owner::access::{Access, authorize, is_policy_fresh};
+use crate::cell::owner::retry::MIN_RETRY_SECONDS;
 use crate::clock::Millis;
 use crate::node::Node;
 use crate::node::call::{Call, pending};
@@ -115,20 +115,24 @@
 ) -> (&'static str, Reply) {
     let policy = node.policy();
     if policy.version == 0 {
-        return ("none", Reply::Busy { after: LEAST });
+        return ("none", Reply::Busy { after: MIN_RETRY_SECONDS });
     }
     let path = request.uri().path().to_string();
     let age = node.policy_age();
     let Some(route) = policy.route(host(&request), &path) else {
         // It may have been added since.
-        let reply = if is_fresh(age) { Reply::NoQueue } else { Reply::Busy { after: LEAST } };
+        let reply = if is_policy_fresh(age) {
+            Reply::NoQueue
+        } else {
+            Reply::Busy { after: MIN_RETRY_SECONDS }
+        };
         return ("none", reply);
     };
-    let workspace = match node.access(&policy, route, key(&request), age) {
+    let workspace = match node.authorize(&policy, route, key(&request), age) {
         Access::Granted(workspace) => workspace.map(|workspace| workspace.name.clone()),
         denied => {
             let reply = match denied {
-                Access::Unsure => Reply::Busy { after: LEAST },
+                Access::Unknown => Reply::Busy { after: MIN_RETRY_SECONDS },
                 _ => Reply::NoKey,
             };
             log::info!(
@@ -141,7 +145,7 @@
         }
     };
     let Some(cells) = node.cells() else {
-        return ("none", Reply::Busy { after: LEAST });
+        return ("none", Reply::Busy { after: MIN_RETRY_SECONDS });
     };
     let given = deadline(&request).unwrap_or(USUAL_WAIT);
     let wait = if route.timeout.0 > 0 { given.min(route.timeout) } else { given };
@@ -165,10 +169,10 @@
 
 impl Node {
     /// Whether a caller may call on a route with its key.
-    fn access(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
+    fn authorize(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
         // By the settings too: a policy that was written without workspaces would let anybody in.
         match policy.has_keys || self.settings.has_workspaces {
-            true => access(&policy.workspaces, route.is_open, key, age),
+            true => authorize(&policy.workspaces, route.is_open, key, age),
             false => Access::Granted(None),
         }
     }
@@ -178,7 +182,7 @@
 pub(super) async fn ready(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.is_ready() {
         true => Reply::Accepted.response(),
-        false => Reply::Busy { after: LEAST }.response(),
+        false => Reply::Busy { after: MIN_RETRY_SECONDS }.response(),
     }
 }
 
@@ -188,7 +192,7 @@
         Ok(text) => Response::new(Full::from(text)),
         Err(err) => {
             log::warn!("event=metrics-failed error={err:?}");
-            Reply::Busy { after: LEAST }.response()
+            Reply::Busy { after: MIN_RETRY_SECONDS }.response()
         }
     }
 }
--- a/src/node/link.rs
+++ b/src/node/link.rs
@@ -172,7 +172,7 @@
             Ok(Err(err)) => {
                 log::debug!("event=owner-unreachable owner={} error={err:?}", leader.owner);
                 if err.kind() == io::ErrorKind::ConnectionRefused {
-                    lock(&self.election).miss(leader.epoch);
+                    lock(&self.election).record_absence(leader.epoch);
                     self.recheck.notify_one();
                 }
                 return;
@@ -237,7 +237,7 @@
                     self.link.send_replace(Some(link.clone()));
                 }
                 Frame { no: 0, body: Tell::Refused(_) } => {
-                    lock(&self.election).miss(leader.epoch);
+                    lock(&self.election).record_absence(leader.epoch);
                     self.recheck.notify_one();
                     tokio::time::sleep(RETRY.duration()).await;
                     return Ok(());
@@ -254,7 +254,7 @@
                 }
                 Frame { no: 0, body: Tell::SteppedDown { epoch } } => {
                     log::info!("event=owner-stepped-down owner={} epoch={epoch}", leader.owner);
-                    lock(&self.election).step_down(epoch);
+                    lock(&self.election).record_step_down(epoch);
                     self.recheck.notify_one();
                 }
                 Frame { no: 0, body: Tell::Question { step, workers, cost } } => {
@@ -307,7 +307,7 @@
             }
             let store = !self.node.is_log_lost();
             if !store {
-                lock(&self.node.history).note_lost(self.now());
+                lock(&self.node.history).record_loss(self.now());
             }
             link.out.try_send(encode(0, Ask::Ping { store })?).map_err(io::Error::other)?;
             let heard = Millis(link.heard.load(Ordering::Relaxed));
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,7 +13,7 @@
 mod stop;
 mod view;
 
-use crate::cell::owner::witness::History;
+use crate::cell::owner::log_reports::LogHistory;
 use crate::clock::{Clock, Millis};
 use crate::id::{EntryId, Name};
 use crate::order::Cleared;
@@ -68,7 +68,7 @@
     cells: watch::Sender<Option<Arc<Cells>>>,
     stopping: AtomicBool,
     /// What this process told owners of the log.
-    history: Mutex<History>,
+    history: Mutex<LogHistory>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -95,7 +95,7 @@
         let http = Http::default();
         let clock = Clock::default();
         let node = Arc::new(Self {
-            history: Mutex::new(History::new(clock.now())),
+            history: Mutex::new(LogHistory::new(clock.now())),
             store: Store::new(http.clone(), settings.store.clone()),
             adviser: settings.advice.clone().map(|addr| Adviser::new(http.clone(), addr)),
             metrics: Metrics::new()?,
@@ -175,7 +175,7 @@
     /// Whether waiting for an owner is of no use: the log cannot be read, so nobody can claim.
     fn is_log_lost(&self) -> bool {
         let home = self.cells().and_then(|cells| cells.home().cloned());
-        home.is_none_or(|home| !lock(&home.election).is_fresh(self.now()))
+        home.is_none_or(|home| !lock(&home.election).is_log_fresh(self.now()))
     }
 
     /// Asks the advice service for the owner.
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -1,8 +1,8 @@
 //! Messages between an entry and the owner of the cell: length-delimited frames of `postcard`.
 
 use crate::cell::JobState;
-use crate::cell::owner::balance::Load;
-use crate::cell::owner::witness::Word;
+use crate::cell::owner::balance::ServiceLoad;
+use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::Cleared;
@@ -19,7 +19,7 @@
     /// The sender, the cell, the epoch in which it takes the receiver for its owner, what the sender
     /// may use of processors, in thousandths of one, whether it belongs to the cell, and what it knows of
     /// the time before.
-    Hello { entry: Name, cell: u32, epoch: u64, cpu: u32, is_home: bool, word: Word },
+    Hello { entry: Name, cell: u32, epoch: u64, cpu: u32, is_home: bool, word: LogReport },
     /// Whether the sender can read the platform's log.
     Ping { store: bool },
     /// A caller submits a job for its workspace; `stay`: its home sent it here, so it goes to no other cell.
@@ -57,7 +57,7 @@
     Done,
     /// The answer to a ping: whether the owner takes new jobs, what its cell has to do, and how many other entries
     /// the owner counts.
-    Pong { accepts: bool, loads: Vec<Load>, entries: u32 },
+    Pong { accepts: bool, loads: Vec<ServiceLoad>, entries: u32 },
     /// The job runs in another cell: ask there.
     Moved { cell: u32 },
     /// The job is in the store.
--- a/src/node/owner/forward.rs
+++ b/src/node/owner/forward.rs
@@ -1,6 +1,6 @@
 //! Jobs that run in another cell than their home.
 
-use crate::cell::owner::balance::{self, Choice, Load};
+use crate::cell::owner::balance::{self, Candidate, ServiceLoad};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::cells::Cells;
@@ -16,13 +16,13 @@
 
 impl Owner {
     /// What the cell has to do.
-    pub fn loads(&self) -> Vec<Load> {
+    pub fn loads(&self) -> Vec<ServiceLoad> {
         lock(&self.loads).clone()
     }
 
     /// The other cell that a job was sent to.
     pub(super) fn forwarded(&self, job: JobKey) -> Option<u32> {
-        lock(&self.cell).forwarded(job)
+        lock(&self.cell).forwarded_to(job)
     }
 
     /// Sends a job that is not known here to another cell, if that should run it. An error: no worker of
@@ -34,26 +34,26 @@
         work: &Work,
         workspace: Option<&Name>,
     ) -> Result<(), Refused> {
-        if self.view.cells == 1 || !self.is_sure() || lock(&self.cell).knows(job) {
+        if self.view.cells == 1 || !self.is_sure() || lock(&self.cell).knows_job(job) {
             return Ok(());
         }
         let Some(cells) = self.node.cells() else { return Ok(()) };
         let queue = self.node.policy().queues.get(queue).cloned();
         let Some(service) = queue.map(|queue| queue.service.clone()) else { return Ok(()) };
         // All that counts for a bound is counted here, as long as anything can run here.
-        if self.is_bounded(workspace) && lock(&self.cell).processors(&service) > 0 {
+        if self.is_bounded(workspace) && lock(&self.cell).service_cpu(&service) > 0 {
             return Ok(());
         }
         let near = self.near_data(&cells, work);
         let to = match near.or_else(|| self.emptier(&cells, &service, job)) {
             Some(to) if to != self.view.cell => to,
-            None if lock(&self.cell).processors(&service) == 0 => {
+            None if lock(&self.cell).service_cpu(&service) == 0 => {
                 log::info!("event=refused job={job} why=no-worker service={service}");
                 return Err(Refused::NoWorker);
             }
             _ => return Ok(()),
         };
-        lock(&self.cell).forward(job, to);
+        lock(&self.cell).forward_job(job, to);
         self.count_load(&cells, to, &service, work);
         Ok(())
     }
@@ -68,7 +68,7 @@
     fn near_data(&self, cells: &Cells, work: &Work) -> Option<u32> {
         let wanting = work.steps.iter().filter(|step| !step.near.is_empty());
         let rack = &wanting.max_by_key(|step| step.count)?.near;
-        let to = cells.map.of_rack(rack)?;
+        let to = cells.map.cell_of_rack(rack)?;
         cells.get(to).filter(|view| view.accepts())?;
         Some(to)
     }
@@ -76,16 +76,17 @@
     /// A cell that has far less to do than this one, or has workers of the service where this one has
     /// none left.
     fn emptier(&self, cells: &Cells, service: &Name, job: JobKey) -> Option<u32> {
-        let share = lock(&self.loads).iter().find(|load| load.service == *service).map(|l| l.share);
+        let share =
+            lock(&self.loads).iter().find(|load| load.service == *service).map(|l| l.utilization);
         let mine = match share {
             Some(share) => share,
             // Its workers were not heard yet.
-            None if lock(&self.cell).processors(service) > 0 => return None,
+            None if lock(&self.cell).service_cpu(service) > 0 => return None,
             None => u32::MAX,
         };
         let others = cells.views.iter().filter(|view| view.cell != self.view.cell);
-        let others: Vec<Choice> = others.filter_map(|view| view.choice(service)).collect();
-        balance::choose(mine, &others, job)
+        let others: Vec<Candidate> = others.filter_map(|view| view.choice(service)).collect();
+        balance::choose_cell(mine, &others, job)
     }
 
     fn count_load(&self, cells: &Cells, to: u32, service: &Name, work: &Work) {
@@ -95,7 +96,7 @@
             .filter(|step| step.after.is_empty())
             .map(|step| step.charge().cpu * u64::from(step.count))
             .sum();
-        let all = lock(&self.cell).processors(service).max(1);
+        let all = lock(&self.cell).service_cpu(service).max(1);
         if let Some(view) = cells.get(to) {
             view.add_load(service, (cpu * 1_000 / all) as u32);
         }
--- a/src/node/owner/history.rs
+++ b/src/node/owner/history.rs
@@ -1,6 +1,6 @@
 //! What owners and other entries tell each other of the time before a takeover.
 
-use crate::cell::owner::witness::Word;
+use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::lock;
@@ -9,17 +9,17 @@
 
 impl Owner {
     /// Takes in what an entry knows of the time before.
-    pub fn hear_word(&self, entry: &Name, word: Word) {
+    pub fn hear_word(&self, entry: &Name, word: LogReport) {
         let now = self.node.now();
-        lock(&self.authority).expect(now, word.entries);
+        lock(&self.authority).expect_peers(now, word.peers);
         let mut witnesses = lock(&self.witnesses);
         witnesses.add(entry, word);
-        if witnesses.suffice() && lock(&self.cell).trust_records() {
+        if witnesses.exclude_unrecorded_starts() && lock(&self.cell).trust_records() {
             let (cell, epoch) = (self.view.cell, self.epoch);
             log::info!(
                 "event=records-trusted cell={cell} epoch={epoch} steady={} entries={}",
-                witnesses.steady(),
-                witnesses.entries()
+                witnesses.steady_count(),
+                witnesses.entry_count()
             );
             self.wake.notify_one();
         }
@@ -27,7 +27,7 @@
 
     /// How many other entries there are. If this process does not own the cell any more, it tells the next owner.
     pub fn entries(&self) -> u32 {
-        let entries = lock(&self.authority).known(self.node.now()) as u32;
+        let entries = lock(&self.authority).known_peers(self.node.now()) as u32;
         self.view.entries.store(entries, Ordering::Relaxed);
         entries
     }
@@ -35,6 +35,6 @@
     /// This owner goes on without the log. It is no witness that no start was sent without a record: a later owner would
     /// count it beside the half of the entries that can read the log.
     pub fn note_rest(&self, now: Millis) {
-        lock(&self.node.history).note_lost(now);
+        lock(&self.node.history).record_loss(now);
     }
 }
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -6,13 +6,13 @@
 mod transfer;
 mod workers;
 
-use crate::cell::advising::advice::AdviceRequest;
+use crate::cell::advice::queue::AdviceRequest;
 use crate::cell::jobs::life::TICK;
 use crate::cell::owner::authority::Authority;
-use crate::cell::owner::balance::Load;
-use crate::cell::owner::election::SILENCE;
-use crate::cell::owner::lag::Lag;
-use crate::cell::owner::witness::Witnesses;
+use crate::cell::owner::balance::ServiceLoad;
+use crate::cell::owner::election::OWNER_TIMEOUT;
+use crate::cell::owner::lag::TickLag;
+use crate::cell::owner::log_reports::LogReports;
 use crate::cell::{Action, Cell, CellConfig};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -50,8 +50,8 @@
     peers: Mutex<HashMap<Name, Out>>,
     authority: Mutex<Authority>,
     /// What the other entries know of the time before.
-    witnesses: Mutex<Witnesses>,
-    lag: Mutex<Lag>,
+    witnesses: Mutex<LogReports>,
+    lag: Mutex<TickLag>,
     /// Pauses of the process that the cell knows of.
     pauses: AtomicU64,
     /// No heartbeat has been confirmed since the last pause.
@@ -61,7 +61,7 @@
     /// Wakes the watch of a worker for a report at once.
     looks: Mutex<HashMap<Name, Arc<Notify>>>,
     /// What the cell has to do, as of the last tick.
-    loads: Mutex<Vec<Load>>,
+    loads: Mutex<Vec<ServiceLoad>>,
     /// Bounds how many orders each worker is given at once.
     gates: Mutex<HashMap<Name, Arc<Semaphore>>>,
 }
@@ -74,7 +74,7 @@
             self.given_up.fetch_max(epoch, Ordering::Relaxed);
             return;
         };
-        let doubt = !lock(&self.election).is_steady(self.now());
+        let doubt = !lock(&self.election).is_log_steady(self.now());
         log::info!(
             "event=takeover cell={} epoch={epoch} jobs={} roster={} listed={} doubt={doubt} took_ms={}",
             self.cell,
@@ -84,13 +84,10 @@
             self.now().since(begun)
         );
         let node = &self.node;
-        let (lease, keep, off) = (node.lease(), node.settings.keep, node.settings.off);
-        let bounds = CellConfig {
-            lease,
-            max_lease: node.settings.lease_max,
-            job_retention: keep,
-            disabled: off,
-        };
+        let (lease, job_retention, disabled) =
+            (node.lease(), node.settings.keep, node.settings.off);
+        let bounds =
+            CellConfig { lease, max_lease: node.settings.lease_max, job_retention, disabled };
         let policy = node.policy();
         let mut cell = Cell::new(epoch, bounds, policy.queues.clone(), snapshot, doubt, self.now());
         cell.set_workspaces(policy.workspaces.clone());
@@ -99,7 +96,7 @@
             cell.add_entry(self.me().clone(), self.is_home);
         }
         let mut authority = Authority::new(self.now());
-        authority.expect(self.now(), self.entries.load(Ordering::Relaxed));
+        authority.expect_peers(self.now(), self.entries.load(Ordering::Relaxed));
         let owner = Arc::new(Owner {
             epoch,
             cell: Mutex::new(cell),
@@ -110,7 +107,7 @@
             peers: Mutex::default(),
             authority: Mutex::new(authority),
             witnesses: Mutex::default(),
-            lag: Mutex::new(Lag::new(self.now())),
+            lag: Mutex::new(TickLag::new(self.now())),
             pauses: AtomicU64::new(node.clock.pauses()),
             woke: AtomicBool::new(false),
             store: AtomicBool::new(true),
@@ -167,8 +164,8 @@
 
     /// A heartbeat that was sent at `sent` is in the log.
     pub fn confirm(&self, sent: Millis) {
-        lock(&self.authority).confirm(sent);
-        if self.node.now().since(sent) < SILENCE {
+        lock(&self.authority).confirm_heartbeat(sent);
+        if self.node.now().since(sent) < OWNER_TIMEOUT {
             self.woke.store(false, Ordering::Relaxed);
         }
         // Without jobs there may be no batch that shows that the store takes records again.
@@ -182,7 +179,7 @@
     fn may_order(&self) -> bool {
         let now = self.node.now();
         self.notice_pause(now);
-        lock(&self.authority).holds(now)
+        lock(&self.authority).is_valid(now)
     }
 
     /// After a pause of the process or its machine, what the cell believes of workers is too old: nothing
@@ -212,7 +209,7 @@
                     true => cell.schedule(now),
                     false => cell.give_up_starts("no-authority"),
                 }
-                if lock(&self.authority).rests_on_peers(now) {
+                if lock(&self.authority).depends_on_peers(now) {
                     cell.send_unkept(now);
                     self.note_rest(now);
                 }
@@ -244,21 +241,21 @@
                     look.notify_one();
                 }
             }
-            Action::RequestAdvice { entry, request: question } => self.ask(entry, question),
+            Action::RequestAdvice { entry, request } => self.ask(entry, request),
             Action::JobForgotten(job, workspace) => self.forget_at_home(job, workspace.as_ref()),
             order => drop(tokio::spawn(self.clone().order(order))),
         }
     }
 
     /// Has an entry, maybe this one, ask the advice service.
-    fn ask(self: &Arc<Self>, entry: Name, question: AdviceRequest) {
-        let AdviceRequest { step, workers, cost, .. } = question;
+    fn ask(self: &Arc<Self>, entry: Name, request: AdviceRequest) {
+        let AdviceRequest { step, workers, cost, .. } = request;
         if entry == self.node.me.name {
             let owner = self.clone();
             tokio::spawn(async move {
                 let answer = owner.node.advise(step, &workers, cost).await;
                 let now = owner.node.now();
-                lock(&owner.cell).advised(now, &entry, step, &workers, answer);
+                lock(&owner.cell).handle_advice(now, &entry, step, &workers, answer);
                 owner.wake.notify_one();
             });
             return;
@@ -287,7 +284,7 @@
                 let mut cell = lock(&self.cell);
                 cell.set_overloaded(is_late);
                 cell.tick(now, Millis::now());
-                *lock(&self.loads) = cell.loads();
+                *lock(&self.loads) = cell.service_loads();
                 cell.stats()
             };
             self.node.metrics.loaded(&load);
@@ -298,13 +295,13 @@
     /// Takes note of a tick; whether the processor does not keep up.
     fn note_lag(&self, now: Millis) -> bool {
         let mut lag = lock(&self.lag);
-        let before = lag.sheds();
-        lag.tick(now, TICK);
-        if lag.sheds() != before {
+        let before = lag.is_shedding();
+        lag.record_tick(now, TICK);
+        if lag.is_shedding() != before {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=overload cell={cell} epoch={epoch} sheds={}", lag.sheds());
+            log::info!("event=overload cell={cell} epoch={epoch} sheds={}", lag.is_shedding());
         }
-        lag.sheds()
+        lag.is_shedding()
     }
 
     async fn follow_policy(self: Arc<Self>) {
@@ -329,7 +326,7 @@
         lock(&self.peers).insert(entry.clone(), out);
         // The cell is handed only to entries that belong to it.
         let cpu = if is_home { cpu } else { 0 };
-        lock(&self.authority).join(self.node.now(), &entry, cpu);
+        lock(&self.authority).add_peer(self.node.now(), &entry, cpu);
         if self.node.adviser.is_some() {
             lock(&self.cell).add_entry(entry, is_home);
         }
@@ -351,7 +348,7 @@
 
     /// An entry says whether it can read the log.
     pub fn pinged(&self, entry: &Name, store: bool) {
-        lock(&self.authority).hear(self.node.now(), entry, store);
+        lock(&self.authority).update_peer(self.node.now(), entry, store);
     }
 
     /// Answers an entry.
@@ -402,7 +399,7 @@
                 }
             }
             Ask::Advised { step, named, answer } => {
-                lock(&self.cell).advised(self.node.now(), entry, step, &named, answer);
+                lock(&self.cell).handle_advice(self.node.now(), entry, step, &named, answer);
                 self.wake.notify_one();
                 Tell::Done
             }
@@ -422,15 +419,15 @@
                 log::warn!("event=refused job={job} why=another-workspace epoch={}", self.epoch);
                 return Tell::Refused(Refused::NotYours);
             }
-            if !cell.knows(job) && !self.may_accept() {
-                let age = lock(&self.authority).age(self.node.now());
+            if !cell.knows_job(job) && !self.may_accept() {
+                let age = lock(&self.authority).heartbeat_age(self.node.now());
                 log::info!(
                     "event=refused job={job} why=no-store epoch={} beat_ms={age}",
                     self.epoch
                 );
                 return Tell::Refused(Refused::NoStore);
             }
-            if !cell.knows(job) && lock(&self.lag).sheds() {
+            if !cell.knows_job(job) && lock(&self.lag).is_shedding() {
                 log::info!("event=refused job={job} why=overload epoch={}", self.epoch);
                 return Tell::Refused(Refused::Overload);
             }
@@ -464,7 +461,7 @@
 
     /// Whether new jobs are taken: the store took the last batch, and a heartbeat a moment ago.
     fn may_accept(&self) -> bool {
-        let heard = lock(&self.authority).age(self.node.now()) < STORE_FRESH;
+        let heard = lock(&self.authority).heartbeat_age(self.node.now()) < STORE_FRESH;
         heard && self.store.load(Ordering::Relaxed)
     }
 
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -153,7 +153,7 @@
                     if !self.store.swap(true, Ordering::Relaxed) {
                         log::info!("event=store-back batch={}", batch.number);
                     }
-                    lock(&self.authority).recover();
+                    lock(&self.authority).record_store_success();
                     self.node.metrics.appended(self.node.now().since(begun));
                     return Written::Done;
                 }
--- a/src/node/owner/transfer.rs
+++ b/src/node/owner/transfer.rs
@@ -2,7 +2,7 @@
 //! keep up, or the store turns only this one away.
 
 use crate::cell::mechanism::Mechanism;
-use crate::cell::owner::lag::BACK_OFF;
+use crate::cell::owner::lag::CLAIM_BACKOFF;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::frame::encode;
@@ -23,7 +23,7 @@
         let now = self.node.now();
         let due = {
             let mut authority = lock(&self.authority);
-            authority.fail(now);
+            authority.record_store_failure(now);
             authority.should_probe(now)
         };
         if due {
@@ -36,7 +36,7 @@
     pub fn probed(&self, entry: &Name, able: bool) {
         let isolated = {
             let mut authority = lock(&self.authority);
-            authority.probed(entry, able);
+            authority.record_probe(entry, able);
             authority.is_isolated(self.node.now())
         };
         if isolated && !self.is_over() {
@@ -57,7 +57,7 @@
 
     /// The processors of the largest other entry that could own the cell, in thousandths.
     pub fn largest(&self) -> u32 {
-        lock(&self.authority).largest(self.node.now())
+        lock(&self.authority).largest_peer_cpu(self.node.now())
     }
 
     /// Hands the cell over once an entry with far more processors could own it, or once this one
@@ -73,7 +73,7 @@
             let largest = self.largest();
             let is_small = largest >= cpu.max(1) * LARGER;
             let may_hand_over = lock(&self.view.election).may_hand_over(now);
-            let is_late = largest > 0 && may_hand_over && lock(&self.lag).is_heavy(now);
+            let is_late = largest > 0 && may_hand_over && lock(&self.lag).should_hand_over(now);
             if !(is_small || is_late) || !self.is_sure() {
                 continue;
             }
@@ -83,7 +83,7 @@
                 self.epoch
             );
             if is_late {
-                lock(&self.view.election).back_off(now + BACK_OFF);
+                lock(&self.view.election).back_off(now + CLAIM_BACKOFF);
             }
             let (view, owner) = (self.view.clone(), self.clone());
             tokio::spawn(async move { view.transfer(&owner, is_late).await });
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -71,7 +71,7 @@
     fn has(&self, worker: &Listed) -> bool {
         let is_named = self.node.policy.borrow().services.contains(&worker.service);
         let cells = self.node.cells();
-        is_named && cells.is_none_or(|cells| cells.map.of_worker(worker) == self.cell)
+        is_named && cells.is_none_or(|cells| cells.map.cell_of_worker(worker) == self.cell)
     }
 }
 
@@ -172,7 +172,7 @@
                 }
             };
             self.wake.notify_one();
-            let pause = if pause { HOLD_RETRY } else { timeouts.pause };
+            let pause = if pause { HOLD_RETRY } else { timeouts.interval };
             if pause > Millis(0) {
                 tokio::time::sleep(pause.duration()).await;
             }
--- a/src/node/stop.rs
+++ b/src/node/stop.rs
@@ -1,6 +1,6 @@
 //! A planned stop: the cell goes to another entry, callers go elsewhere, requests in flight end.
 
-use crate::cell::owner::election::Record;
+use crate::cell::owner::election::ElectionRecord;
 use crate::clock::Millis;
 use crate::node::Node;
 use crate::node::owner::Owner;
@@ -27,8 +27,8 @@
         owner.end();
         let epoch = owner.epoch();
         let record = match is_late {
-            true => Record::Overloaded { epoch },
-            false => Record::Release { epoch },
+            true => ElectionRecord::Overloaded { epoch },
+            false => ElectionRecord::Release { epoch },
         };
         self.release(record, epoch).await;
     }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,8 +1,8 @@
 //! What an entry knows of one cell, and its part in it.
 
-use crate::cell::owner::balance::{Choice, Load};
+use crate::cell::owner::balance::{Candidate, ServiceLoad};
 use crate::cell::owner::election::{Election, Leader};
-use crate::cell::owner::witness::Word;
+use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::link::{Link, LinkError};
@@ -55,7 +55,7 @@
     /// The last epoch that this entry owned and gave up or lost.
     pub given_up: AtomicU64,
     /// What the cell has to do, as its owner last said, and when.
-    pub loads: Mutex<(Millis, Vec<Load>)>,
+    pub loads: Mutex<(Millis, Vec<ServiceLoad>)>,
     /// How many other entries the last owner counted; 0: none was heard.
     pub entries: AtomicU32,
     /// The claims on the cell are followed.
@@ -118,7 +118,7 @@
     /// Whether this entry is the owner by the last claim that was read, and in this epoch.
     pub fn is_leader(&self, epoch: u64) -> bool {
         let election = lock(&self.election);
-        election.is_mine() && election.leader().is_some_and(|leader| leader.epoch == epoch)
+        election.is_owner() && election.leader().is_some_and(|leader| leader.epoch == epoch)
     }
 
     /// Whether this entry owned the cell in an epoch and does so no more.
@@ -135,12 +135,12 @@
 
     /// The cell as one that a job of a service could go to; `None`: it takes none, or has said nothing
     /// lately.
-    pub fn choice(&self, service: &str) -> Option<Choice> {
+    pub fn choice(&self, service: &str) -> Option<Candidate> {
         let loads = lock(&self.loads);
         let (at, loads) = &*loads;
         let is_fresh = self.now().since(*at) < LOAD_FRESH;
         let load = loads.iter().find(|load| *load.service == *service)?;
-        let choice = Choice { cell: self.cell, share: load.share };
+        let choice = Candidate { cell: self.cell, utilization: load.utilization };
         (is_fresh && self.accepts()).then_some(choice)
     }
 
@@ -149,7 +149,7 @@
     pub fn add_load(&self, service: &str, share: u32) {
         let mut loads = lock(&self.loads);
         if let Some(load) = loads.1.iter_mut().find(|load| *load.service == *service) {
-            load.share = load.share.saturating_add(share);
+            load.utilization = load.utilization.saturating_add(share);
         }
     }
 
@@ -160,7 +160,7 @@
             let changed = *watched != wanted;
             if changed && wanted {
                 // What was written meanwhile was not read: silence counts from here on.
-                lock(&self.election).resume(self.now());
+                lock(&self.election).resume_reading(self.now());
             }
             *watched = wanted;
             changed
@@ -220,9 +220,9 @@
     }
 
     /// What this entry tells a new owner of the time before.
-    pub fn word(&self) -> Word {
-        let is_steady = lock(&self.node.history).is_steady(self.now());
-        Word { is_steady, entries: self.entries.load(Ordering::Relaxed) }
+    pub fn word(&self) -> LogReport {
+        let log_steady = lock(&self.node.history).is_log_steady(self.now());
+        LogReport { log_steady, peers: self.entries.load(Ordering::Relaxed) }
     }
 
     /// The name under which other entries know this one.
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that the platform gives to a process, turned into the project's own.
 
 use crate::cell::mechanism::DisabledMechanisms;
-use crate::cell::owner::map::CELL_WORKERS;
+use crate::cell::owner::cell_map::MIN_CELL_WORKERS;
 use crate::clock::Millis;
 use crate::id::Name;
 use serde::Deserialize;
@@ -162,7 +162,7 @@
             store: raw.platform.address,
             call_bytes: raw.platform.call_bytes,
             parts: raw.platform.parts.max(1),
-            cell_size: CELL_WORKERS,
+            cell_size: MIN_CELL_WORKERS,
             advice: raw.advice.filter(|addr| !addr.is_empty()),
             has_workspaces: raw.contracts.iter().any(|part| **part == *WORKSPACES),
             cores: raw.limits.cores.max(1),
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,6 +1,6 @@
 //! When refused callers come back, replayed on an outage in which every job is refused.
 
-use sprucerudder::cell::owner::admission::{LEAST, retry_after};
+use sprucerudder::cell::owner::retry::{MIN_RETRY_SECONDS, retry_after};
 use sprucerudder::clock::Millis;
 use sprucerudder::workload::{JobKey, Queue, Step, Work};
 
@@ -49,7 +49,7 @@
     let long = (queue(4_000, 3_000), work(7_200));
     let middle = (queue(2_200, 1_000), work(3_600));
     for (queue, work) in [&long, &middle] {
-        assert_eq!(on_time(queue, work, |_| LEAST), 52, "a second for everybody");
+        assert_eq!(on_time(queue, work, |_| MIN_RETRY_SECONDS), 52, "a second for everybody");
     }
     let ours = |queue, work| on_time(queue, work, |job| retry_after(queue, work, job));
     assert_eq!(ours(&long.0, &long.1), 100);
@@ -60,7 +60,7 @@
 fn jobs_without_time_to_spare_come_back_first() {
     let (queue, work) = (queue(1_500, 250), work(840));
     for no in 0..10 {
-        assert_eq!(retry_after(&queue, &work, JobKey(no)), LEAST);
+        assert_eq!(retry_after(&queue, &work, JobKey(no)), MIN_RETRY_SECONDS);
     }
 }
 
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1,10 +1,11 @@
 //! Which cell runs a job.
 
-use sprucerudder::cell::owner::balance::{Choice, choose};
+use sprucerudder::cell::owner::balance::{Candidate, choose_cell};
 use sprucerudder::workload::JobKey;
 
-fn others(shares: &[u32]) -> Vec<Choice> {
-    let choice = |(cell, share): (usize, &u32)| Choice { cell: cell as u32 + 1, share: *share };
+fn others(shares: &[u32]) -> Vec<Candidate> {
+    let choice =
+        |(cell, share): (usize, &u32)| Candidate { cell: cell as u32 + 1, utilization: *share };
     shares.iter().enumerate().map(choice).collect()
 }
 
@@ -15,18 +16,18 @@
 
 #[test]
 fn a_home_with_room_keeps_its_jobs() {
-    assert!((0..100).all(|no| choose(800, &others(&[0, 0]), key(no)).is_none()));
+    assert!((0..100).all(|no| choose_cell(800, &others(&[0, 0]), key(no)).is_none()));
 }
 
 #[test]
 fn a_full_home_keeps_jobs_that_would_wait_elsewhere_as_long() {
-    assert!((0..100).all(|no| choose(1_000, &others(&[950, 900]), key(no)).is_none()));
-    assert!((0..100).all(|no| choose(1_000, &[], key(no)).is_none()));
+    assert!((0..100).all(|no| choose_cell(1_000, &others(&[950, 900]), key(no)).is_none()));
+    assert!((0..100).all(|no| choose_cell(1_000, &[], key(no)).is_none()));
 }
 
 #[test]
 fn of_two_others_the_emptier_one_gets_the_jobs_of_a_full_home() {
-    assert!((0..100).all(|no| choose(1_000, &others(&[900, 300]), key(no)) == Some(2)));
+    assert!((0..100).all(|no| choose_cell(1_000, &others(&[900, 300]), key(no)) == Some(2)));
 }
 
 #[test]
@@ -34,7 +35,7 @@
     let others = others(&[500; 14]);
     let mut counts = [0; 15];
     for no in 0..1_400 {
-        let cell = choose(1_200, &others, key(no)).unwrap();
+        let cell = choose_cell(1_200, &others, key(no)).unwrap();
         counts[cell as usize] += 1;
     }
     assert!(counts[1..].iter().all(|count| (30..300).contains(count)), "{counts:?}");
@@ -54,11 +55,12 @@
             let share = |cell: &Vec<(u64, u32)>| cell.iter().map(|(_, size)| size).sum::<u32>();
             let key = key(no);
             let home = (key.0 % 3) as usize;
-            let others: Vec<Choice> = (0..3)
+            let others: Vec<Candidate> = (0..3)
                 .filter(|cell| *cell != home)
-                .map(|cell| Choice { cell: cell as u32, share: share(&cells[cell]) })
+                .map(|cell| Candidate { cell: cell as u32, utilization: share(&cells[cell]) })
                 .collect();
-            let to = choose(share(&cells[home]), &others, JobKey(key.0 >> 7)).filter(|_| moves);
+            let to =
+                choose_cell(share(&cells[home]), &others, JobKey(key.0 >> 7)).filter(|_| moves);
             // One job in ten is as large as all others together.
             let size = if key.0 >> 32 & 0xff < 25 { 128 } else { 13 };
             cells[to.map_or(home, |cell| cell as usize)].push((no + 100, size));
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -614,7 +614,7 @@
     write(cell, now);
     let actions = cell.take_actions().into_iter();
     let named = |action| match action {
-        Action::RequestAdvice { request: question, .. } => Some(question.workers),
+        Action::RequestAdvice { request, .. } => Some(request.workers),
         _ => None,
     };
     actions.filter_map(named).flatten().collect()
@@ -643,7 +643,7 @@
     let good = full[0].clone();
     let rows = vec![(good.clone(), "ticket".into())];
     let answer = sprucerudder::order::Cleared { rows, valid: None };
-    cell.advised(Millis(500), &"e".into(), step_key, &all, Some(answer));
+    cell.handle_advice(Millis(500), &"e".into(), step_key, &all, Some(answer));
     for now in (600..6_000).step_by(100) {
         cell.tick(Millis(now), Millis(now));
         assert_eq!(named(&mut cell, now), Vec::<Name>::new(), "at {now}");
@@ -731,7 +731,7 @@
     let good: Vec<Name> = vec!["w1".into(), "w2".into()];
     let rows = good.iter().map(|name| (name.clone(), "ticket".into())).collect();
     let answer = sprucerudder::order::Cleared { rows, valid: None };
-    cell.advised(Millis(100), &"e".into(), step_key, &good, Some(answer));
+    cell.handle_advice(Millis(100), &"e".into(), step_key, &good, Some(answer));
     let first = starts(&mut cell, 101);
     assert_eq!(first.len(), 2);
     confirm(&mut cell, 102, &first);
@@ -759,7 +759,7 @@
         let good = asked.iter().take(good);
         let rows = good.map(|name| (name.clone(), "ticket".into())).collect();
         let cleared = sprucerudder::order::Cleared { rows, valid: None };
-        cell.advised(Millis(now), &"e".into(), step_key, asked, Some(cleared));
+        cell.handle_advice(Millis(now), &"e".into(), step_key, asked, Some(cleared));
     };
     let first = named(&mut cell, 11);
     assert_eq!(first.len(), 8);
@@ -796,7 +796,7 @@
         let good = asked.iter().filter(|name| is_good(name));
         let rows = good.map(|name| (name.clone(), "ticket".into())).collect();
         let cleared = sprucerudder::order::Cleared { rows, valid: None };
-        cell.advised(Millis(now), &"e".into(), step_key, &asked, Some(cleared));
+        cell.handle_advice(Millis(now), &"e".into(), step_key, &asked, Some(cleared));
         started = starts(&mut cell, now).len();
         now += 300;
         cell.tick(Millis(now), Millis(now));
@@ -819,10 +819,10 @@
 #[test]
 fn a_job_that_was_sent_to_another_cell_stays_there_for_every_later_owner() {
     let mut first = cell(&[listed("w1", "a")]);
-    first.forward(JobKey(7), 2);
-    assert_eq!(first.forwarded(JobKey(7)), None, "not before the store has it");
+    first.forward_job(JobKey(7), 2);
+    assert_eq!(first.forwarded_to(JobKey(7)), None, "not before the store has it");
     let snapshot = stored(&mut first, 10);
-    assert_eq!(first.forwarded(JobKey(7)), Some(2));
+    assert_eq!(first.forwarded_to(JobKey(7)), Some(2));
     let bounds = CellConfig {
         lease: LEASE,
         max_lease: LEASE,
@@ -831,25 +831,25 @@
     };
     let queues = HashMap::from([("q".into(), queue("q", 0))]);
     let mut next = Cell::new(2, bounds, queues, snapshot, false, Millis(0));
-    assert_eq!(next.forwarded(JobKey(7)), Some(2));
-    assert!(next.knows(JobKey(7)));
+    assert_eq!(next.forwarded_to(JobKey(7)), Some(2));
+    assert!(next.knows_job(JobKey(7)));
     assert_eq!(next.job_state(JobKey(7)), None, "it does not run here");
     // Once the other cell has forgotten it, it is a new job.
     next.forget_forwarded(JobKey(7));
     let left = stored(&mut next, 20);
     assert!(left.jobs.is_empty(), "{left:?}");
-    assert!(!next.knows(JobKey(7)));
+    assert!(!next.knows_job(JobKey(7)));
 }
 
 #[test]
 fn a_job_is_not_sent_elsewhere_if_the_store_did_not_take_that() {
     let mut cell = cell(&[listed("w1", "a")]);
-    cell.forward(JobKey(7), 2);
+    cell.forward_job(JobKey(7), 2);
     let batch = cell.take_batch(Millis(10)).unwrap();
     assert_eq!(cell.withdraw_batch(batch.number), vec![JobKey(7)]);
     cell.mark_stored(Millis(20), batch.number);
-    assert_eq!(cell.forwarded(JobKey(7)), None);
-    assert!(!cell.knows(JobKey(7)));
+    assert_eq!(cell.forwarded_to(JobKey(7)), None);
+    assert!(!cell.knows_job(JobKey(7)));
     assert!(stored(&mut cell, 30).jobs.is_empty());
 }
 
@@ -928,9 +928,8 @@
     let workers = [listed("w1", "a"), listed("w2", "a"), listed("w3", "a")];
     let (at, other) = (&workers[0].id, &workers[1].id);
     let task = TaskKey { step: StepKey { job: JobKey(1), time: 0, step: 0 }, index: 0 };
-    let bound = Some((1_025, at.clone()));
-    let note =
-        TaskProgress { index: 0, failed: Vec::new(), checkpoint: "".into(), assignment: bound };
+    let assignment = Some((1_025, at.clone()));
+    let note = TaskProgress { index: 0, failed: Vec::new(), checkpoint: "".into(), assignment };
     let step_note = StepProgress { step_index: (0, 0), done: Vec::new(), tasks: vec![note] };
     let record = JobRecord::Open { queue: (*queue("q", 0)).clone(), work: work(vec![step(1)]) };
     let member = |one: &Listed| WorkerRecord {
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -199,7 +199,7 @@
         let rows = good.map(|name| (name.clone(), "ticket".into())).collect();
         let answer = Some(Cleared { rows, valid: None });
         let cell = &mut self.owners[owner].cell;
-        cell.advised(Millis(self.now), entry, question.step, &question.workers, answer);
+        cell.handle_advice(Millis(self.now), entry, question.step, &question.workers, answer);
         self.drive(owner);
     }
 
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -18,7 +18,7 @@
 pub use search::*;
 
 use fastrand::Rng;
-use sprucerudder::cell::advising::advice::AdviceRequest;
+use sprucerudder::cell::advice::queue::AdviceRequest;
 use sprucerudder::cell::jobs::why::Why;
 use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::{Batch, Snapshot};
@@ -830,9 +830,7 @@
                     }
                 }
                 Action::Deposed => self.depose(owner),
-                Action::RequestAdvice { entry, request: question } => {
-                    self.ask(owner, entry, question)
-                }
+                Action::RequestAdvice { entry, request } => self.ask(owner, entry, request),
                 Action::Pace { .. } | Action::PollNow(_) | Action::Unwatch(_) => {}
             }
         }
--- a/tests/cellworld/outage.rs
+++ b/tests/cellworld/outage.rs
@@ -1,7 +1,7 @@
 //! A store that is away for everybody: its owner goes on by the word of the other entries.
 
 use super::*;
-use sprucerudder::cell::owner::witness::{Witnesses, Word};
+use sprucerudder::cell::owner::log_reports::{LogReport, LogReports};
 
 /// Other entries than the owner.
 const OTHERS: u64 = 8;
@@ -57,15 +57,15 @@
 
     /// So many in ten of the other entries have connected to a new owner, and told what they know of the time before.
     pub(super) fn witness(&mut self, owner: usize, part: u64) {
-        let mut witnesses = Witnesses::default();
-        let is_steady = self.outage.was_steady(self.now);
-        let word = Word { is_steady, entries: OTHERS as u32 };
+        let mut witnesses = LogReports::default();
+        let log_steady = self.outage.was_steady(self.now);
+        let word = LogReport { log_steady, peers: OTHERS as u32 };
         for no in 0..OTHERS {
             if self.pick(10) < part {
                 witnesses.add(&format!("e{no}").into(), word);
             }
         }
-        if witnesses.suffice() {
+        if witnesses.exclude_unrecorded_starts() {
             self.owners[owner].cell.trust_records();
             self.drive(owner);
         }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,8 +1,8 @@
 //! Who claims the cell, and when.
 
 use sprucerudder::cell::owner::authority::Authority;
-use sprucerudder::cell::owner::election::{Election, Record, SILENCE};
-use sprucerudder::cell::owner::lag::Lag;
+use sprucerudder::cell::owner::election::{Election, ElectionRecord, OWNER_TIMEOUT};
+use sprucerudder::cell::owner::lag::TickLag;
 use sprucerudder::clock::Millis;
 use sprucerudder::id::EntryId;
 
@@ -17,9 +17,10 @@
 fn follower(name: &str, cpu: u32) -> Election {
     let mut election = Election::new(entry(name), cpu, Millis(0));
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
-    election.add(Millis(1), 0, Record::Claim { owner: owner.clone(), addr });
-    let beat = Record::Beat { epoch: 1, owner, addr: "1.2.3.4:5".into(), most: LARGE };
-    election.add(Millis(2), 1, beat);
+    election.apply(Millis(1), 0, ElectionRecord::Claim { owner: owner.clone(), addr });
+    let beat =
+        ElectionRecord::Heartbeat { epoch: 1, owner, addr: "1.2.3.4:5".into(), largest_cpu: LARGE };
+    election.apply(Millis(2), 1, beat);
     election.caught_up(Millis(2));
     election
 }
@@ -29,7 +30,7 @@
     let looks = (0..1_000).map(|no| 10 + no * 10);
     let mut claims = looks.filter(|at| {
         election.caught_up(Millis(*at));
-        election.claim(Millis(*at)).is_some()
+        election.try_claim(Millis(*at)).is_some()
     });
     claims.next().unwrap_or(u64::MAX)
 }
@@ -38,7 +39,7 @@
 fn a_large_entry_claims_at_once_and_a_small_one_leaves_it_time() {
     let large = claims_at(&mut follower("large", LARGE));
     let small = claims_at(&mut follower("small", SMALL));
-    assert!(large <= 2 + SILENCE.0 + 10, "{large}");
+    assert!(large <= 2 + OWNER_TIMEOUT.0 + 10, "{large}");
     assert!(small >= large + 200, "{small} after {large}");
     assert!(small <= large + 400, "{small} after {large}");
 }
@@ -47,8 +48,12 @@
 fn entries_of_one_size_do_not_wait_for_each_other() {
     let mut election = follower("one", SMALL);
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
-    election.add(Millis(3), 2, Record::Beat { epoch: 1, owner, addr, most: SMALL });
-    assert!(claims_at(&mut election) <= 3 + SILENCE.0 + 10);
+    election.apply(
+        Millis(3),
+        2,
+        ElectionRecord::Heartbeat { epoch: 1, owner, addr, largest_cpu: SMALL },
+    );
+    assert!(claims_at(&mut election) <= 3 + OWNER_TIMEOUT.0 + 10);
 }
 
 #[test]
@@ -61,24 +66,24 @@
 #[test]
 fn a_new_owner_ends_the_wait_of_a_small_entry() {
     let mut election = follower("small", SMALL);
-    let late = 2 + SILENCE.0 + 100;
+    let late = 2 + OWNER_TIMEOUT.0 + 100;
     election.caught_up(Millis(late));
-    assert_eq!(election.claim(Millis(late)), None);
-    let record = Record::Claim { owner: entry("large"), addr: "1.2.3.4:6".into() };
-    election.add(Millis(late + 1), 2, record);
-    assert!(claims_at(&mut election) >= late + SILENCE.0);
+    assert_eq!(election.try_claim(Millis(late)), None);
+    let record = ElectionRecord::Claim { owner: entry("large"), addr: "1.2.3.4:6".into() };
+    election.apply(Millis(late + 1), 2, record);
+    assert!(claims_at(&mut election) >= late + OWNER_TIMEOUT.0);
 }
 
 #[test]
 fn only_an_entry_that_was_heard_for_a_while_and_reads_the_log_counts_as_larger() {
     let (mut authority, name) = (Authority::new(Millis(0)), "large".into());
-    authority.join(Millis(100), &name, LARGE);
-    assert_eq!(authority.largest(Millis(200)), 0, "it has just come");
-    authority.hear(Millis(1_900), &name, true);
-    assert_eq!(authority.largest(Millis(2_000)), LARGE);
-    assert_eq!(authority.largest(Millis(2_900)), 0, "it was not heard lately");
-    authority.hear(Millis(3_000), &name, false);
-    assert_eq!(authority.largest(Millis(3_010)), 0, "it cannot read the log");
+    authority.add_peer(Millis(100), &name, LARGE);
+    assert_eq!(authority.largest_peer_cpu(Millis(200)), 0, "it has just come");
+    authority.update_peer(Millis(1_900), &name, true);
+    assert_eq!(authority.largest_peer_cpu(Millis(2_000)), LARGE);
+    assert_eq!(authority.largest_peer_cpu(Millis(2_900)), 0, "it was not heard lately");
+    authority.update_peer(Millis(3_000), &name, false);
+    assert_eq!(authority.largest_peer_cpu(Millis(3_010)), 0, "it cannot read the log");
 }
 
 #[test]
@@ -86,9 +91,10 @@
     let restarted = EntryId { name: "owner".into(), inc: 2 };
     let mut election = Election::new(restarted, LARGE, Millis(0));
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
-    election.add(Millis(1), 0, Record::Claim { owner: owner.clone(), addr });
-    let beat = Record::Beat { epoch: 1, owner, addr: "1.2.3.4:5".into(), most: LARGE };
-    election.add(Millis(2), 1, beat);
+    election.apply(Millis(1), 0, ElectionRecord::Claim { owner: owner.clone(), addr });
+    let beat =
+        ElectionRecord::Heartbeat { epoch: 1, owner, addr: "1.2.3.4:5".into(), largest_cpu: LARGE };
+    election.apply(Millis(2), 1, beat);
     assert_eq!(claims_at(&mut election), 10);
 }
 
@@ -99,7 +105,7 @@
     let looks = (0..300).map(|no| back + no * 10);
     let mut claims = looks.filter(|at| {
         election.caught_up(Millis(*at));
-        election.claim(Millis(*at)).is_some()
+        election.try_claim(Millis(*at)).is_some()
     });
     let claimed = claims.next().unwrap_or(u64::MAX) - back;
     assert!((800..900).contains(&claimed), "{claimed} ms after the log was back");
@@ -108,32 +114,32 @@
 const TICK: Millis = Millis(100);
 
 /// Ticks that come `late` after they are due, from `from` on for two seconds.
-fn ticks(lag: &mut Lag, from: u64, late: u64) -> u64 {
+fn ticks(lag: &mut TickLag, from: u64, late: u64) -> u64 {
     let mut now = from;
     while now < from + 2_000 {
         now += TICK.0 + late;
-        lag.tick(Millis(now), TICK);
+        lag.record_tick(Millis(now), TICK);
     }
     now
 }
 
 #[test]
 fn an_owner_that_does_not_keep_up_gives_the_cell_up_and_not_at_once() {
-    let mut lag = Lag::new(Millis(0));
+    let mut lag = TickLag::new(Millis(0));
     let early = ticks(&mut lag, 0, 400);
-    assert!(!lag.is_heavy(Millis(early)), "it has just taken the cell over");
+    assert!(!lag.should_hand_over(Millis(early)), "it has just taken the cell over");
     let steady = ticks(&mut lag, 10_000, 1);
-    assert!(!lag.is_heavy(Millis(steady)), "it keeps up");
-    lag.tick(Millis(steady + 20_000), TICK);
-    assert!(!lag.is_heavy(Millis(steady + 20_000)), "a single pause is over");
+    assert!(!lag.should_hand_over(Millis(steady)), "it keeps up");
+    lag.record_tick(Millis(steady + 20_000), TICK);
+    assert!(!lag.should_hand_over(Millis(steady + 20_000)), "a single pause is over");
     let slow = ticks(&mut lag, steady + 20_000, 400);
-    assert!(lag.is_heavy(Millis(slow)));
+    assert!(lag.should_hand_over(Millis(slow)));
 }
 
 #[test]
 fn an_entry_that_backs_off_leaves_a_vacant_cell_to_others() {
     let mut election = follower("slow", LARGE);
-    election.add(Millis(10), 2, Record::Release { epoch: 1 });
+    election.apply(Millis(10), 2, ElectionRecord::Release { epoch: 1 });
     election.back_off(Millis(3_000));
     let claimed = claims_at(&mut election);
     assert!((3_000..3_100).contains(&claimed), "{claimed}");
@@ -142,14 +148,14 @@
 #[test]
 fn an_owner_that_does_not_keep_up_turns_new_jobs_away_and_takes_them_again_once_it_does() {
     const TICK: Millis = Millis(100);
-    let mut lag = Lag::new(Millis(0));
+    let mut lag = TickLag::new(Millis(0));
     let mut now = 0;
-    let mut run = |lag: &mut Lag, ticks: u64, late: u64| {
+    let mut run = |lag: &mut TickLag, ticks: u64, late: u64| {
         (0..ticks).find(|_| {
-            let before = lag.sheds();
+            let before = lag.is_shedding();
             now += TICK.0 + late;
-            lag.tick(Millis(now), TICK);
-            lag.sheds() != before
+            lag.record_tick(Millis(now), TICK);
+            lag.is_shedding() != before
         })
     };
     // A processor that keeps up, also with a pause of a second.
@@ -168,10 +174,10 @@
 fn a_cell_is_not_handed_on_again_by_an_owner_that_got_it_for_that_reason() {
     let mut election = follower("one", SMALL);
     assert!(election.may_hand_over(Millis(10)));
-    election.add(Millis(100), 2, Record::Overloaded { epoch: 1 });
+    election.apply(Millis(100), 2, ElectionRecord::Overloaded { epoch: 1 });
     assert!(election.is_vacant(), "it is free at once");
     let (owner, addr) = (entry("one"), "1.2.3.5:5".into());
-    election.add(Millis(200), 3, Record::Claim { owner, addr });
+    election.apply(Millis(200), 3, ElectionRecord::Claim { owner, addr });
     assert!(!election.is_vacant());
     assert!(!election.may_hand_over(Millis(20_000)), "the load is what is too much");
     assert!(election.may_hand_over(Millis(40_000)));
@@ -181,15 +187,15 @@
 /// each: 32,585 in 48 s, which left it less time for the reports.
 #[test]
 fn an_owner_that_does_not_keep_up_waits_longer_for_workers_until_it_does() {
-    let mut lag = Lag::new(Millis(0));
+    let mut lag = TickLag::new(Millis(0));
     let calm = lag.timeouts();
     let steady = ticks(&mut lag, 0, 1);
     assert_eq!(lag.timeouts(), calm, "it keeps up");
-    lag.tick(Millis(steady + 1_000), TICK);
+    lag.record_tick(Millis(steady + 1_000), TICK);
     assert_eq!(lag.timeouts(), calm, "a single pause");
     let slow = ticks(&mut lag, steady + 1_000, 400);
     let late = lag.timeouts();
-    assert!(late.report > calm.report && late.order > calm.order && late.pause > calm.pause);
+    assert!(late.report > calm.report && late.order > calm.order && late.interval > calm.interval);
     ticks(&mut lag, slow, 1);
     assert_eq!(lag.timeouts(), calm, "it keeps up again");
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -4,7 +4,7 @@
 //! `UPDATE_GOLDEN=1 cargo test --test golden` writes the files; those of a version stay as that wrote them.
 
 use sprucerudder::cell::jobs::stage::Evidence;
-use sprucerudder::cell::owner::election::Record;
+use sprucerudder::cell::owner::election::ElectionRecord;
 use sprucerudder::cell::records::journal::{
     JobOutcome, JobRecord, Progress, Snapshot, StepProgress, TaskProgress, WorkerRecord, put_job,
     put_progress, put_workers,
@@ -42,13 +42,9 @@
 }
 
 fn known() -> Progress {
-    let bound = Some((1_030, "i-1".into()));
-    let task = TaskProgress {
-        index: 2,
-        failed: vec![1_025],
-        checkpoint: "0bb8".into(),
-        assignment: bound,
-    };
+    let assignment = Some((1_030, "i-1".into()));
+    let task =
+        TaskProgress { index: 2, failed: vec![1_025], checkpoint: "0bb8".into(), assignment };
     Progress {
         steps: vec![StepProgress { step_index: (0, 1), done: vec![0b101], tasks: vec![task] }],
     }
@@ -58,14 +54,14 @@
     vec![WorkerRecord { id: "i-1".into(), service: "s".into(), addr: "10.1.64.25:8623".into() }]
 }
 
-fn claims() -> Vec<Record> {
+fn claims() -> Vec<ElectionRecord> {
     let owner = EntryId { name: "entry-1".into(), inc: 7 };
     let addr: sprucerudder::id::Name = "10.1.0.13:7720".into();
     vec![
-        Record::Claim { owner: owner.clone(), addr: addr.clone() },
-        Record::Beat { epoch: 9, owner, addr, most: 250 },
-        Record::Release { epoch: 9 },
-        Record::Overloaded { epoch: 9 },
+        ElectionRecord::Claim { owner: owner.clone(), addr: addr.clone() },
+        ElectionRecord::Heartbeat { epoch: 9, owner, addr, largest_cpu: 250 },
+        ElectionRecord::Release { epoch: 9 },
+        ElectionRecord::Overloaded { epoch: 9 },
     ]
 }
 
@@ -107,7 +103,7 @@
     for line in text.lines() {
         let (key, hex) = line.split_once(' ').unwrap();
         match key.starts_with("claim-") {
-            true => claimed.push(postcard::from_bytes::<Record>(&bytes(hex)).unwrap()),
+            true => claimed.push(postcard::from_bytes::<ElectionRecord>(&bytes(hex)).unwrap()),
             false => snapshot.apply(key, &bytes(hex)).unwrap(),
         }
     }
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -461,18 +461,18 @@
             match action {
                 Action::Watch(listed) => drop(self.watched.insert(listed.id)),
                 Action::Unwatch(id) => drop(self.watched.remove(&id)),
-                Action::RequestAdvice { entry, request: question } => {
-                    self.asked.push(question.workers.clone());
+                Action::RequestAdvice { entry, request } => {
+                    self.asked.push(request.workers.clone());
                     if self.unanswered > 0 {
                         self.unanswered -= 1;
                         continue;
                     }
-                    let named = question.workers.iter();
+                    let named = request.workers.iter();
                     let good = named.filter(|id| self.good.is_empty() || self.good.contains(*id));
                     let rows = good.map(|id| (id.clone(), "ticket".into())).collect();
                     let answer = sprucerudder::order::Cleared { rows, valid: None };
-                    let (step, named) = (question.step, &question.workers);
-                    self.cell.advised(now, &entry, step, named, Some(answer));
+                    let (step, named) = (request.step, &request.workers);
+                    self.cell.handle_advice(now, &entry, step, named, Some(answer));
                 }
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
                     let no = self.host(worker);
--- a/tests/map.rs
+++ b/tests/map.rs
@@ -1,7 +1,7 @@
 //! How workers and jobs are dealt to cells.
 
 use proptest::prelude::*;
-use sprucerudder::cell::owner::map::{CELL_WORKERS, CellMap};
+use sprucerudder::cell::owner::cell_map::{CellMap, MIN_CELL_WORKERS};
 use sprucerudder::order::Listed;
 use sprucerudder::workload::{JobKey, Room};
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
 fn sizes(map: &CellMap, workers: &[Listed]) -> HashMap<u32, usize> {
     let mut sizes = HashMap::new();
     for worker in workers {
-        *sizes.entry(map.of_worker(worker)).or_default() += 1;
+        *sizes.entry(map.cell_of_worker(worker)).or_default() += 1;
     }
     sizes
 }
@@ -38,7 +38,7 @@
 #[test]
 fn a_fleet_of_a_few_hundred_workers_is_one_cell() {
     for count in [1, 48, 350, 540, 799] {
-        assert_eq!(CellMap::new(&fleet(count, "s"), CELL_WORKERS).cells(), 1, "{count}");
+        assert_eq!(CellMap::new(&fleet(count, "s"), MIN_CELL_WORKERS).cell_count(), 1, "{count}");
     }
 }
 
@@ -46,12 +46,12 @@
 fn larger_fleets_have_cells_that_hold_the_widest_steps() {
     for count in [800, 1_000, 3_000, 25_000] {
         let workers = fleet(count, "s");
-        let map = CellMap::new(&workers, CELL_WORKERS);
+        let map = CellMap::new(&workers, MIN_CELL_WORKERS);
         let sizes = sizes(&map, &workers);
-        assert_eq!(sizes.len() as u32, map.cells());
+        assert_eq!(sizes.len() as u32, map.cell_count());
         let (least, most) = (sizes.values().min().unwrap(), sizes.values().max().unwrap());
-        assert!(least + 2 * RACK >= CELL_WORKERS.get(), "{count}: {least}");
-        assert!(*most < 2 * CELL_WORKERS.get(), "{count}: {most}");
+        assert!(least + 2 * RACK >= MIN_CELL_WORKERS.get(), "{count}: {least}");
+        assert!(*most < 2 * MIN_CELL_WORKERS.get(), "{count}: {most}");
         assert!(least * 10 >= most * 8, "{count}: {least} to {most}");
     }
 }
@@ -59,12 +59,12 @@
 #[test]
 fn each_cell_has_its_share_of_every_service_and_failure_domain() {
     let workers: Vec<Listed> = [fleet(900, "core"), fleet(300, "desk")].concat();
-    let map = CellMap::new(&workers, CELL_WORKERS);
+    let map = CellMap::new(&workers, MIN_CELL_WORKERS);
     for (service, count) in [("core", 900), ("desk", 300)] {
         let of_service: Vec<Listed> =
             workers.iter().filter(|worker| *worker.service == *service).cloned().collect();
         for (cell, size) in sizes(&map, &of_service) {
-            let share = count / map.cells() as usize;
+            let share = count / map.cell_count() as usize;
             assert!(size + 2 * RACK >= share, "{service} in cell {cell}: {size} of {share}");
         }
     }
@@ -72,14 +72,14 @@
 
 #[test]
 fn jobs_spread_evenly_and_stay_where_they_are() {
-    let map = CellMap::new(&fleet(3_000, "s"), CELL_WORKERS);
+    let map = CellMap::new(&fleet(3_000, "s"), MIN_CELL_WORKERS);
     let mut counts: HashMap<u32, u64> = HashMap::new();
     for job in (0..30_000).map(|no| JobKey(no * 0x9e37_79b9)) {
-        assert_eq!(map.of_job(job), map.of_job(job));
-        *counts.entry(map.of_job(job)).or_default() += 1;
+        assert_eq!(map.cell_of_job(job), map.cell_of_job(job));
+        *counts.entry(map.cell_of_job(job)).or_default() += 1;
     }
-    let share = 30_000 / u64::from(map.cells());
-    assert_eq!(counts.len() as u32, map.cells());
+    let share = 30_000 / u64::from(map.cell_count());
+    assert_eq!(counts.len() as u32, map.cell_count());
     assert!(counts.values().all(|count| count.abs_diff(share) * 10 < share), "{counts:?}");
 }
 
@@ -91,14 +91,14 @@
         let map = CellMap::new(&fleet(count, "s"), size);
         let one = worker(later, 5, "s");
         let reborn = Listed { id: "i-new".into(), addr: "10.0.0.2:1".into(), ..one.clone() };
-        prop_assert!(map.of_worker(&one) < map.cells());
-        prop_assert_eq!(map.of_worker(&one), map.of_worker(&reborn));
+        prop_assert!(map.cell_of_worker(&one) < map.cell_count());
+        prop_assert_eq!(map.cell_of_worker(&one), map.cell_of_worker(&reborn));
     }
 
     /// Every entry comes to the same result from what the store holds.
     #[test]
     fn the_map_reads_back_as_it_was_written(count in 1_usize..900) {
-        let map = CellMap::new(&fleet(count, "s"), CELL_WORKERS);
+        let map = CellMap::new(&fleet(count, "s"), MIN_CELL_WORKERS);
         let bytes = postcard::to_stdvec(&map).unwrap();
         prop_assert_eq!(postcard::from_bytes::<CellMap>(&bytes).unwrap(), map);
     }
@@ -111,18 +111,18 @@
         .map(|no| Listed { labels: vec!["a".into(), "r".into()], ..worker(no, 3, "s") })
         .collect();
     let map = CellMap::new(&few, NonZeroUsize::new(2).unwrap());
-    assert_eq!((map.cells(), sizes(&map, &few).len()), (3, 3));
+    assert_eq!((map.cell_count(), sizes(&map, &few).len()), (3, 3));
     // A service of two racks does not keep the others in two cells.
     let mixed: Vec<Listed> = [fleet(4_000, "core"), fleet(10, "desk")].concat();
-    let map = CellMap::new(&mixed, CELL_WORKERS);
-    assert_eq!((map.cells(), sizes(&map, &mixed).len()), (10, 10));
+    let map = CellMap::new(&mixed, MIN_CELL_WORKERS);
+    assert_eq!((map.cell_count(), sizes(&map, &mixed).len()), (10, 10));
 }
 
 #[test]
 fn a_small_service_is_whole_in_one_cell() {
     let workers: Vec<Listed> = [fleet(900, "core"), fleet(98, "desk")].concat();
-    let map = CellMap::new(&workers, CELL_WORKERS);
+    let map = CellMap::new(&workers, MIN_CELL_WORKERS);
     let of_desk: Vec<Listed> =
         workers.iter().filter(|worker| *worker.service == *"desk").cloned().collect();
-    assert_eq!((map.cells(), sizes(&map, &of_desk).len()), (2, 1));
+    assert_eq!((map.cell_count(), sizes(&map, &of_desk).len()), (2, 1));
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -4,8 +4,8 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use proptest::prelude::*;
 use serde_json::{Value, json};
-use sprucerudder::cell::owner::election::Record;
-use sprucerudder::cell::owner::map::CellMap;
+use sprucerudder::cell::owner::cell_map::CellMap;
+use sprucerudder::cell::owner::election::ElectionRecord;
 use sprucerudder::cell::records::journal::{self, Snapshot};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
@@ -152,7 +152,7 @@
             let _ = split_keyed(&Bytes::copy_from_slice(input));
             let _ = Policy::parse(input);
             let _ = submit::parse(input);
-            let _ = postcard::from_bytes::<Record>(input);
+            let _ = postcard::from_bytes::<ElectionRecord>(input);
             let _ = postcard::from_bytes::<CellMap>(input);
             let mut snapshot = Snapshot::default();
             for key in ["roster", "00000000000000aa", "00000000000000aa.p", &text] {
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -5,8 +5,8 @@
 use lifeworld::{LENGTH, Site, job, step};
 use sprucerudder::cell::JobState;
 use sprucerudder::cell::jobs::why::Why;
-use sprucerudder::cell::owner::access::{Access, access};
-use sprucerudder::cell::owner::map::CellMap;
+use sprucerudder::cell::owner::access::{Access, authorize};
+use sprucerudder::cell::owner::cell_map::CellMap;
 use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::clock::Millis;
 use sprucerudder::order::Listed;
@@ -129,8 +129,8 @@
     };
     let workers: Vec<Listed> = (0..800).map(worker).collect();
     let map = CellMap::new(&workers, NonZeroUsize::new(100).unwrap());
-    assert_eq!(map.cells(), 8);
-    let of = |no: u32| map.of_workspace(&format!("workspace-{no}").into());
+    assert_eq!(map.cell_count(), 8);
+    let of = |no: u32| map.cell_of_workspace(&format!("workspace-{no}").into());
     assert!((0..100).all(|no| of(no) < 8 && of(no) == of(no)));
     let used: BTreeSet<u32> = (0..100).map(of).collect();
     assert_eq!(used.len(), 8, "they are spread");
@@ -191,7 +191,7 @@
 #[test]
 fn keys_decide_who_may_call() {
     let all = workspaces(4);
-    let of = |key, age| access(&all, false, key, age);
+    let of = |key, age| authorize(&all, false, key, age);
     let name = |access| match access {
         Access::Granted(Some(workspace)) => Some(workspace.name.clone()),
         _ => None,
@@ -199,8 +199,8 @@
     assert_eq!(name(of(Some("key-2"), NOW)).as_deref(), Some("large"));
     assert_eq!(of(Some("other"), NOW), Access::Denied);
     assert_eq!(of(None, NOW), Access::Denied);
-    assert_eq!(access(&all, true, None, NOW), Access::Granted(None));
-    assert_eq!(access(&all, true, Some("other"), NOW), Access::Granted(None));
+    assert_eq!(authorize(&all, true, None, NOW), Access::Granted(None));
+    assert_eq!(authorize(&all, true, Some("other"), NOW), Access::Granted(None));
 }
 
 #[test]
@@ -208,9 +208,9 @@
     // An entry behind a cut from the store does not hear of new keys. A refusal for good is the caller's last answer;
     // told to come back it finds another entry.
     let all = workspaces(4);
-    assert_eq!(access(&all, false, Some("new"), LONG_AGO), Access::Unsure);
-    assert_eq!(access(&all, false, None, LONG_AGO), Access::Denied);
-    assert!(matches!(access(&all, false, Some("key-1"), LONG_AGO), Access::Granted(Some(_))));
+    assert_eq!(authorize(&all, false, Some("new"), LONG_AGO), Access::Unknown);
+    assert_eq!(authorize(&all, false, None, LONG_AGO), Access::Denied);
+    assert!(matches!(authorize(&all, false, Some("key-1"), LONG_AGO), Access::Granted(Some(_))));
 }
 
 #[test]
