--- a/src/cell/owner/access.rs
+++ b/src/cell/owner/access.rs
@@ -1,45 +1,47 @@
-//! Who may call.
+//! Authorization of callers by their API keys.
 //!
-//! The load that this answers: keys that are added and taken away while callers use them, some of them through
-//! entries that do not hear of it. An entry that has not heard of the policy for a while does not know a key that
-//! was added since: its caller is told to come back, and finds another entry, in place of a refusal for good.
+//! Keys are added and revoked while callers use them, and an entry may be cut off from policy
+//! updates. Such an entry does not know keys that were added since its last update. It therefore
+//! asks a caller with an unknown key to retry, which may reach another entry, instead of denying
+//! the call for good.
 
 use crate::clock::Millis;
 use crate::workspace::{Workspace, Workspaces};
 use std::sync::Arc;
 
-/// The policy is as the operators have it if it was read so short ago: the wait for its next record ends after a
-/// second, and one may be lost.
+/// The oldest policy that may be used to deny a key. A long poll for the next policy record ends
+/// after one second, so this allows for one lost poll.
 const MAX_POLICY_AGE: Millis = Millis(2_500);
 
-/// What a caller gets.
+/// The result of an authorization check.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Access {
-    /// It may call, and belongs to this workspace if to any.
+    /// The caller is allowed, on behalf of its key's workspace if it sent a known key.
     Granted(Option<Arc<Workspace>>),
-    /// Its key is not in force.
+    /// The key is missing or not valid.
     Denied,
-    /// Nobody can tell here: what is known is too old.
+    /// The key is not in the known policy, which is too old to tell whether the key is valid.
     Unknown,
 }
 
-/// Whether a caller may call with its key. `allows_anonymous`: no key is needed; `age`: since the policy was last read.
+/// Checks whether a caller with this key may call. `allows_anonymous` is set where no key is
+/// needed, and `policy_age` is the time since the policy was last read.
 pub fn authorize(
     workspaces: &Workspaces,
     allows_anonymous: bool,
     key: Option<&str>,
-    age: Millis,
+    policy_age: Millis,
 ) -> Access {
     let workspace = key.and_then(|key| workspaces.of_key(key)).cloned();
     match workspace {
         Some(workspace) => Access::Granted(Some(workspace)),
         None if allows_anonymous => Access::Granted(None),
-        None if key.is_some() && !is_policy_fresh(age) => Access::Unknown,
+        None if key.is_some() && !is_policy_fresh(policy_age) => Access::Unknown,
         None => Access::Denied,
     }
 }
 
-/// Whether what is not in a policy that was read so long ago is surely not there.
+/// Whether a policy of this age is recent enough to conclude that what it lacks does not exist.
 pub fn is_policy_fresh(age: Millis) -> bool {
     age <= MAX_POLICY_AGE
 }
--- a/src/cell/owner/retry.rs
+++ b/src/cell/owner/retry.rs
@@ -1,24 +1,25 @@
-//! When a refused caller should come back.
+//! How long the caller of a refused job is told to wait before it retries.
 //!
-//! The load that this answers: an outage of the store or of the owner, in which every job is refused
-//! for some seconds. A caller comes back a few times only. If all are told the same short time, the
-//! tries of those that came early are over before the outage is, also of jobs that had the time to
-//! wait; and all come at once when it ends.
+//! While the store or the owner is down, every job is refused for some seconds, and a caller
+//! retries only a few times. If all callers were given the same short wait, those that came early
+//! would use up their retries before the outage ends, although their jobs could have waited
+//! longer, and all of them would retry at the same moment.
 
 use crate::workload::{JobKey, Queue, Work};
 
 const MILLIS_PER_SECOND: u64 = 1_000;
-/// Callers' tries spread over about this many times the first wait.
+/// The time that a caller keeps retrying, as a multiple of its first wait.
 const RETRY_SPAN: u64 = 3;
-/// The least wait in seconds: a takeover takes about two, and a header has whole seconds.
+/// The shortest wait in seconds. A takeover takes about two seconds, and the `Retry-After` header
+/// holds whole seconds.
 pub const MIN_RETRY_SECONDS: u64 = 1;
-/// The most: tries up to 9 s apart outlast the outages of the platform's contract; beyond that a
-/// short outage makes a caller wait in vain.
+/// The longest wait in seconds. Retries that span 9 s outlast the outages that the platform's
+/// contract allows; with longer waits, a caller would wait needlessly after a short outage.
 const MAX_RETRY_SECONDS: u64 = 3;
 
-/// After how many seconds the caller of a refused job should come back: its tries cover the time in
-/// which the job can still be on time. Jobs with time to spare are told one of two times, so that
-/// they do not come back together, nor before those without.
+/// The number of seconds after which the caller of a refused job should retry, such that its
+/// retries cover the time in which the job can still meet its objective. Jobs with slack get one
+/// of two waits, so that their callers neither retry all at once nor before those without slack.
 pub fn retry_after(queue: &Queue, work: &Work, job: JobKey) -> u64 {
     let chain = work.chain();
     let slack = queue.objective(work) - chain;
