--- a/src/cell/owner/authority.rs
+++ b/src/cell/owner/authority.rs
@@ -1,53 +1,56 @@
-//! How long an owner may give orders and renew leases without hearing from the log.
+//! Whether an owner may still send orders and renew leases while it cannot write to the log.
 //!
-//! Another entry claims the cell after [`OWNER_TIMEOUT`](crate::cell::owner::election::OWNER_TIMEOUT) without a
-//! heartbeat in a log that it can read. So for that long after a heartbeat no other owner can be.
-//! Beyond it an owner goes on only while most entries say that they cannot read the log either. The
-//! entries that cannot be reached count as ones that can: behind a cut they may.
+//! Another entry claims the cell only after it has read the log for [`OWNER_TIMEOUT`] without
+//! finding a heartbeat, so within that time after a heartbeat there can be no other owner. After
+//! that, the owner continues only while a majority of the entries report that they cannot read the
+//! log either. Entries that it cannot reach are counted as able to read the log, because on the
+//! other side of a network partition they may be.
 
 use crate::cell::owner::election::OWNER_TIMEOUT;
 use crate::clock::Millis;
 use crate::id::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an entry said of the log is good for this long: three of its pings.
+/// How long a peer's report about the log is valid, which is three ping intervals.
 const PEER_REPORT_TTL: Millis = Millis(500);
-/// The other entries are asked whether they can read the log once it has failed the owner this
-/// long: a call that the store refused for being asked too often is sent again before.
+/// How long the store must have failed the owner before it asks its peers whether they can read the
+/// log. A call that the store rejected because of its rate limit is retried within this time.
 const PROBE_DELAY: Millis = Millis(150);
-/// They are asked again after this time.
+/// The time between two such probes.
 const PROBE_INTERVAL: Millis = Millis(400);
-/// An entry counts as one that could be the owner once it was heard for this long.
+/// How long a peer must have been connected to count as a possible owner.
 const MIN_CONNECTED_TIME: Millis = Millis(1_500);
-/// An entry that was not heard for this long is taken for removed.
+/// A peer that has not been heard from for this long is assumed to have been removed.
 const PEER_EXPIRY: Millis = Millis(60_000);
 
+/// What the owner knows about another entry.
 #[derive(Debug)]
 struct Peer {
     last_seen: Millis,
     log_readable: bool,
-    /// What it may use of processors, in thousandths of one.
+    /// CPU available to the peer, in millicores; 0 if unknown.
     cpu: u32,
     connected_since: Millis,
 }
 
-/// What an owner knows of its authority.
+/// The state from which an owner derives whether it may still act as the owner.
 #[derive(Debug)]
 pub struct Authority {
+    /// When the newest heartbeat that reached the log was sent.
     last_heartbeat: Millis,
     peers: BTreeMap<Name, Peer>,
-    /// Since when the store fails this owner.
+    /// Since when the store has been failing this owner's calls.
     failing_since: Option<Millis>,
-    /// When the others were last asked whether it fails them too.
+    /// When the peers were last asked whether they can read the log.
     last_probe: Option<Millis>,
-    /// Those that could read the log when asked.
+    /// The peers that answered the last probe that they can read the log.
     log_readers: BTreeSet<Name>,
-    /// How many other entries there are by the word of those that heard earlier owners, until when that counts.
+    /// The number of peers that earlier owners counted, and until when that number is used.
     expected_peers: (usize, Millis),
 }
 
 impl Authority {
-    /// The owner's claim was in the log at `now`.
+    /// Creates the state of an owner whose claim was found in the log at `now`.
     pub fn new(now: Millis) -> Self {
         let (peers, log_readers) = (BTreeMap::new(), BTreeSet::new());
         let expected_peers = (0, now);
@@ -61,66 +64,66 @@
         }
     }
 
-    /// A heartbeat that was sent at `sent` is in the log.
+    /// Records that a heartbeat sent at `sent` is in the log.
     pub fn confirm_heartbeat(&mut self, sent: Millis) {
         self.last_heartbeat = self.last_heartbeat.max(sent);
         self.record_store_success();
     }
 
-    /// The store failed this owner.
+    /// Records that a call to the store failed.
     pub fn record_store_failure(&mut self, now: Millis) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// The store serves this owner.
+    /// Records that a call to the store succeeded.
     pub fn record_store_success(&mut self) {
         (self.failing_since, self.last_probe) = (None, None);
         self.log_readers.clear();
     }
 
-    /// Whether to ask the other entries now whether they can read the log.
+    /// Whether to ask the peers now whether they can read the log. If so, a new probe begins.
     pub fn should_probe(&mut self, now: Millis) -> bool {
-        let fails = self.failing_since.is_some_and(|since| now.since(since) >= PROBE_DELAY);
-        let due = self.last_probe.is_none_or(|asked| now.since(asked) >= PROBE_INTERVAL);
-        if fails && due {
+        let is_failing = self.failing_since.is_some_and(|since| now.since(since) >= PROBE_DELAY);
+        let is_due = self.last_probe.is_none_or(|at| now.since(at) >= PROBE_INTERVAL);
+        if is_failing && is_due {
             self.last_probe = Some(now);
             self.log_readers.clear();
         }
-        fails && due
+        is_failing && is_due
     }
 
-    /// What an entry found when it was asked.
-    pub fn record_probe(&mut self, entry: &Name, able: bool) {
-        if able {
+    /// Records a peer's answer to a probe.
+    pub fn record_probe(&mut self, entry: &Name, can_read: bool) {
+        if can_read {
             self.log_readers.insert(entry.clone());
         }
     }
 
-    /// Whether most other entries read the log after it had failed this owner: one of them should
-    /// own the cell. Without this the cell waits for the owner's silence, 1.2 s.
+    /// Whether most peers can read the log while this owner cannot. One of them should own the cell
+    /// then; if the owner did not step down, the cell would be idle for [`OWNER_TIMEOUT`].
     pub fn is_isolated(&self, now: Millis) -> bool {
         self.last_probe.is_some() && 2 * self.log_readers.len() > self.known_peers(now)
     }
 
-    /// Earlier owners counted so many other entries. Those that have not connected to this one may be behind a cut, and can
-    /// read the log there.
-    pub fn expect_peers(&mut self, now: Millis, entries: u32) {
-        let (before, until) = self.expected_peers;
-        let still = if now < until { before } else { 0 };
-        self.expected_peers = (still.max(entries as usize), now + PEER_EXPIRY);
+    /// Records how many peers an earlier owner counted. Those that have not connected to this owner
+    /// may be in another network partition that can read the log.
+    pub fn expect_peers(&mut self, now: Millis, count: u32) {
+        let (previous, until) = self.expected_peers;
+        let current = if now < until { previous } else { 0 };
+        self.expected_peers = (current.max(count as usize), now + PEER_EXPIRY);
     }
 
-    /// Other entries that are not taken for removed.
+    /// The number of peers that are not assumed to have been removed.
     pub fn known_peers(&self, now: Millis) -> usize {
         self.peers.values().filter(|peer| now.since(peer.last_seen) < PEER_EXPIRY).count()
     }
 
-    /// The time since the last heartbeat that is in the log was sent.
+    /// The time since the newest heartbeat that reached the log was sent.
     pub fn heartbeat_age(&self, now: Millis) -> Millis {
         now.since(self.last_heartbeat)
     }
 
-    /// Another entry asks this owner from now on; it may use `cpu` thousandths of a processor.
+    /// Adds a peer that connected to this owner and has `cpu` millicores available.
     pub fn add_peer(&mut self, now: Millis, entry: &Name, cpu: u32) {
         self.peers.insert(
             entry.clone(),
@@ -128,30 +131,30 @@
         );
     }
 
-    /// Another entry says whether it can read the log.
+    /// Records a peer's report whether it can read the log.
     pub fn update_peer(&mut self, now: Millis, entry: &Name, log_readable: bool) {
         let peer = Peer { last_seen: now, log_readable, cpu: 0, connected_since: now };
         let known = self.peers.entry(entry.clone()).or_insert(peer);
         (known.last_seen, known.log_readable) = (now, log_readable);
     }
 
-    /// The processors of the largest other entry that can read the log and was heard all through
-    /// the last [`MIN_CONNECTED_TIME`], in thousandths; 0: there is none.
+    /// The most CPU, in millicores, that any peer has that can read the log and has been connected
+    /// for at least [`MIN_CONNECTED_TIME`]; 0 if there is no such peer.
     pub fn largest_peer_cpu(&self, now: Millis) -> u32 {
-        let sound = self.peers.values().filter(|peer| {
+        let eligible = self.peers.values().filter(|peer| {
             peer.log_readable
                 && now.since(peer.last_seen) < PEER_REPORT_TTL
                 && now.since(peer.connected_since) >= MIN_CONNECTED_TIME
         });
-        sound.map(|peer| peer.cpu).max().unwrap_or(0)
+        eligible.map(|peer| peer.cpu).max().unwrap_or(0)
     }
 
-    /// Whether orders may go out only because nobody can read the log.
+    /// Whether orders may be sent only because most entries cannot read the log.
     pub fn depends_on_peers(&self, now: Millis) -> bool {
         self.heartbeat_age(now) >= OWNER_TIMEOUT && self.is_valid(now)
     }
 
-    /// Whether orders may go out.
+    /// Whether this owner may send orders and renew leases.
     pub fn is_valid(&self, now: Millis) -> bool {
         if self.heartbeat_age(now) < OWNER_TIMEOUT {
             return true;
@@ -161,7 +164,7 @@
             .values()
             .filter(|peer| !peer.log_readable && now.since(peer.last_seen) < PEER_REPORT_TTL);
         let expected = if now < self.expected_peers.1 { self.expected_peers.0 } else { 0 };
-        // This entry is known too, and cannot reach the log.
+        // The owner itself is one of the entries that cannot read the log.
         2 * (unable.count() + 1) > self.known_peers(now).max(expected) + 1
     }
 }
