--- a/src/cell/owner/cell_map.rs
+++ b/src/cell/owner/cell_map.rs
@@ -1,11 +1,11 @@
-//! How workers and jobs are dealt to cells.
+//! The assignment of workers and jobs to cells.
 //!
-//! The load that this answers: one owner decides every start of its cell, so its processor bounds
-//! the fleet. In one cell for thousands of workers no owner keeps up, and each is replaced in turn. Each cell has an owner of
-//! its own, and nothing of a cell is shared with another one.
+//! One owner decides every start in its cell, so its processor limits the number of workers. With
+//! thousands of workers in one cell, no owner keeps up, and owners are replaced one after the
+//! other. Therefore the fleet is divided into cells that have an owner each and share no state.
 //!
-//! The map is written once and never changes: a worker or a job that changed its cell could be
-//! started by two owners.
+//! The map is written once and never changes, because two owners could start the same task if a job
+//! or worker moved to another cell.
 
 use crate::id::{Name, hash};
 use crate::order::Listed;
@@ -14,28 +14,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::NonZeroUsize;
 
-/// The fewest workers of a cell where there are several. The widest steps have 120 tasks, each on a worker
-/// of its own, and the advice service clears 35 in 100 workers for them: of 400 that is 140. In smaller
-/// cells the widest steps do not run whole.
+/// The smallest number of workers in a cell if there are several cells. The widest steps have 120
+/// tasks, each on its own worker, and the advice service clears 35 of 100 workers for them, which
+/// is 140 of 400. In smaller cells the widest steps could not run as a whole.
 pub const MIN_CELL_WORKERS: NonZeroUsize = NonZeroUsize::new(400).unwrap();
 
-/// A cell that has workers of a service has at min_workers this part of a cell's workers of it, one in four, so
-/// that a smaller service is in one cell: gangs need workers that the advice service clears. Dealt to more,
-/// a gang that could run finds too few in each.
+/// A cell with any workers of a service gets at least the cell size divided by this number of them.
+/// A small service is thus kept in one cell: a gang needs many workers that the advice service
+/// clears, and would find too few in each cell if the service was spread over several.
 const SERVICE_WORKERS_DIVISOR: usize = 4;
 
-/// Which cell has which workers and jobs.
+/// Maps workers and jobs to cells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellMap {
     cell_count: u32,
-    /// The cells of the racks that were known when the map was made, by failure domain and rack.
+    /// The cells of the racks that were known when the map was created, by failure domain and rack.
     racks: BTreeMap<(Name, Name), u32>,
 }
 
 impl CellMap {
-    /// Deals these workers to cells of `size` workers or somewhat more: whole racks, each to the cell with the
-    /// fewest processors of its service so far, so that a cell has its share of every large service and
-    /// of every failure domain.
+    /// Assigns the workers to cells of `size` workers or slightly more. Racks stay whole, and each
+    /// goes to the cell that has the least CPU of its service so far, so that every cell gets a
+    /// share of each large service and failure domain.
     pub fn new(workers: &[Listed], size: NonZeroUsize) -> Self {
         let cell_count = (workers.len() / size).min(max_racks(workers)).max(1) as u32;
         if cell_count == 1 {
@@ -48,38 +48,40 @@
         }
     }
 
-    /// How many cells there are.
+    /// The number of cells.
     pub fn cell_count(&self) -> u32 {
         self.cell_count
     }
 
-    /// The cell of a job: by its key alone, so that every entry finds it, also when it comes again.
+    /// The cell of a job. It depends on the job's key only, so that every entry finds it, also when
+    /// the job is submitted again.
     pub fn cell_of_job(&self, job: JobKey) -> u32 {
         self.hash_to_cell(&job.0.to_le_bytes())
     }
 
-    /// The cell of a workspace's jobs. They are all in one, so that one owner counts what the workspace has running: a
-    /// part of a small bound in each cell would hold no whole job.
+    /// The cell of all jobs of a workspace. They share one cell, so that one owner counts what the
+    /// workspace has running. If a small limit was divided among the cells, no part would be large
+    /// enough for a whole job.
     pub fn cell_of_workspace(&self, workspace: &Name) -> u32 {
         self.hash_to_cell(workspace.as_bytes())
     }
 
-    /// The cell of a worker. Racks that came after the map was made are spread by their names, and
-    /// workers without a rack by their own.
+    /// The cell of a worker. Racks that were added after the map was created are assigned by a hash
+    /// of their names, and workers without a rack by a hash of their ids.
     pub fn cell_of_worker(&self, worker: &Listed) -> u32 {
         let Some(rack) = worker.rack() else { return self.hash_to_cell(worker.id.as_bytes()) };
         let known = self.racks.get(&(worker.domain.clone(), rack.clone()));
         known.copied().unwrap_or_else(|| self.hash_to_cell(rack.as_bytes()))
     }
 
-    /// The cell of a rack that was known when the map was made.
+    /// The cell of a rack that was known when the map was created.
     pub fn cell_of_rack(&self, rack: &Name) -> Option<u32> {
         let mut known = self.racks.iter();
         known.find(|((_, name), _)| name == rack).map(|(_, cell)| *cell)
     }
 
-    /// The cell that an entry belongs to: it follows that cell's owner closely, is the first to
-    /// replace it, and asks the advice service for it.
+    /// The home cell of an entry, whose owner the entry follows closely and replaces first, and for
+    /// which it calls the advice service.
     pub fn cell_of_entry(&self, entry: &Name) -> u32 {
         self.hash_to_cell(entry.as_bytes())
     }
@@ -89,19 +91,20 @@
     }
 }
 
-/// Deals racks to cells, one after the other.
+/// Assigns racks to cells, one at a time.
 struct RackAssigner<'a> {
     cell_count: u32,
-    /// The most cells that a service's racks go to.
+    /// The largest number of cells over which the racks of a service may be spread.
     max_cells: BTreeMap<&'a Name, usize>,
-    /// Processors of a service that a cell has so far.
+    /// The CPU of a service that was assigned to a cell so far.
     service_cpu: BTreeMap<(&'a Name, u32), u64>,
-    /// Processors that a cell has so far.
+    /// The CPU that was assigned to a cell so far.
     total_cpu: BTreeMap<u32, u64>,
 }
 
 impl<'a> RackAssigner<'a> {
-    /// A cell that gets workers of a service should get `min_workers` of them.
+    /// Prepares an assignment in which a cell that gets any workers of a service should get at
+    /// least `min_workers` of them.
     fn new(workers: &'a [Listed], cell_count: u32, min_workers: usize) -> Self {
         let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
         for worker in workers {
@@ -135,24 +138,24 @@
         racks
     }
 
-    /// The cell with the fewest processors of a service, of those that have some or may get some.
+    /// The cell with the least CPU of a service, among those that have or may get some of it.
     fn least_loaded(&self, service: &'a Name) -> u32 {
-        let has = |cell: u32| self.service_cpu.get(&(service, cell)).copied().unwrap_or(0);
-        let used = (0..self.cell_count).filter(|cell| has(*cell) > 0).count();
-        let may_open = self.max_cells.get(service).is_some_and(|most| used < *most);
-        let open = (0..self.cell_count).filter(|cell| may_open || has(*cell) > 0);
-        let of_all = |cell: u32| self.total_cpu.get(&cell).copied().unwrap_or(0);
-        open.min_by_key(|cell| (has(*cell), of_all(*cell))).unwrap_or_else(|| {
-            // There is one cell at min_workers, and the first one may always get workers.
-            log::error!("event=no-cell service={service} cells={}", self.cell_count);
+        let service_cpu = |cell: u32| self.service_cpu.get(&(service, cell)).copied().unwrap_or(0);
+        let used = (0..self.cell_count).filter(|cell| service_cpu(*cell) > 0).count();
+        let may_grow = self.max_cells.get(service).is_some_and(|most| used < *most);
+        let allowed = (0..self.cell_count).filter(|cell| may_grow || service_cpu(*cell) > 0);
+        let total_cpu = |cell: u32| self.total_cpu.get(&cell).copied().unwrap_or(0);
+        allowed.min_by_key(|cell| (service_cpu(*cell), total_cpu(*cell))).unwrap_or_else(|| {
+            // Unreachable: there is at least one cell, and every service may use at least one.
+            log::error!("event=no-cell-for-rack service={service} cells={}", self.cell_count);
             0
         })
     }
 }
 
-/// The racks of the service that has the most: with more cells than that, one would have no worker at all.
-/// A worker without a rack counts as one. Jobs of a service that has fewer racks than there are cells run in
-/// the cells that have some.
+/// The number of racks of the service that has the most. With more cells than that, a cell could be
+/// without any workers. A worker without a rack counts as a rack of its own. Jobs of a service with
+/// fewer racks than there are cells run in the cells that have some.
 fn max_racks(workers: &[Listed]) -> usize {
     let mut racks: BTreeMap<&Name, BTreeSet<(&Name, &Name)>> = BTreeMap::new();
     for worker in workers {
