--- a/src/cell/owner/election.rs
+++ b/src/cell/owner/election.rs
@@ -1,113 +1,117 @@
-//! Who owns the cell: the last claim in the platform's log.
+//! Election of the owner of a cell: the entry with the newest claim in the platform's log.
 //!
-//! A claim is appended on the condition that nothing was appended since the claimant read the log,
-//! so a heartbeat of a living owner voids it. Its offset is the epoch.
+//! A claim is appended on the condition that nothing was appended since the claimant last read the
+//! log, so the claim fails if the owner is alive and sent a heartbeat. The offset of a claim
+//! determines its epoch.
 
 use crate::clock::Millis;
 use crate::id::{EntryId, Name};
 use serde::{Deserialize, Serialize};
 
-/// Time between two heartbeats of an owner in the log. Each is read by every entry; with seven
-/// entries that is 20 calls a second of the 2,600 that the store takes.
+/// The time between two heartbeats of an owner. Every entry reads each of them; with seven entries
+/// that makes 20 calls a second of the 2,600 that the store accepts.
 pub const HEARTBEAT_INTERVAL: Millis = Millis(400);
-/// An owner whose heartbeats are missing this long is replaced: two may be lost. A store that is
-/// 60 times slower than its usual 4 ms delays each by half a second.
+/// An owner without a heartbeat for this long is replaced, which allows for two lost heartbeats. A
+/// store that is 60 times slower than its usual 4 ms delays each heartbeat by half a second.
 pub const OWNER_TIMEOUT: Millis = Millis(1_200);
-/// If the owner's process surely is not there, this much silence is enough: a living owner has
-/// sent a heartbeat in that time.
+/// The timeout that is used instead of [`OWNER_TIMEOUT`] if the owner's process is known to be
+/// gone. An owner that is alive sends a heartbeat within this time.
 const ABSENT_OWNER_TIMEOUT: Millis = Millis(550);
-/// After a gap in which the log could not be read, an owner that is alive is heard within this time:
-/// a retry after 100 ms and an answer within 450 ms, and as long to spare as a slow reader needs.
+/// How long after a gap in reading the log the heartbeat of an owner that is alive is read at the
+/// latest: a retry after 100 ms, an answer within 450 ms, and a margin for a slow reader.
 const HEARTBEAT_GRACE: Millis = Millis(800);
-/// A log that could be read for this long was not away within the longest lease of the platform's
-/// workers.
+/// How long the log must have been readable without a gap to be considered steady, which is the
+/// longest lease of the platform's workers.
 pub const STEADY_LOG_TIME: Millis = Millis(10_000);
-/// Two claims by one entry are this far apart, so that the first can be read back.
+/// The shortest time between two claims by one entry, in which it can read back the first one.
 const CLAIM_INTERVAL: Millis = Millis(400);
-/// A cell is handed on for overload once in this time: several times what a slow VM of the platform's
-/// contract stays slow.
+/// The shortest time between two handovers of a cell because of overload, which is several times as
+/// long as a VM may be slow by the platform's contract.
 const HANDOVER_INTERVAL: Millis = Millis(30_000);
-/// The longest time that a small entry delays a claim, so that larger ones come first: longer than
-/// the time between two looks of those. A small entry keeps up with a cell on a calm day only.
+/// The longest time by which an entry with little CPU delays a claim, so that larger entries claim
+/// first. It is longer than the interval at which these check the log. A small entry keeps up with
+/// a cell only under light load.
 const MAX_CLAIM_DELAY: Millis = Millis(320);
 
-/// A record of the claims' topic.
+/// A record in the log topic of the election.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ElectionRecord {
-    /// An entry takes the cell over.
+    /// An entry claims the ownership of the cell.
     Claim {
         /// The new owner.
         owner: EntryId,
         /// Where other entries reach it.
         addr: Name,
     },
-    /// The owner lives.
+    /// The owner is alive.
     Heartbeat {
-        /// Its epoch.
+        /// The epoch of the owner.
         epoch: u64,
         /// The owner.
         owner: EntryId,
         /// Where other entries reach it.
         addr: Name,
-        /// The processors of the largest entry that it hears from, itself included, in thousandths.
+        /// The CPU, in millicores, of the largest entry among the owner and its connected peers.
         largest_cpu: u32,
     },
-    /// The owner stops by plan: anybody may claim at once.
+    /// The owner shuts down as planned, and any entry may claim the cell at once.
     Release {
-        /// Its epoch.
+        /// The epoch of the owner.
         epoch: u64,
     },
-    /// The owner does not keep up and hands the cell to another entry: anybody may claim at once.
+    /// The owner is overloaded and gives up the cell, and any entry may claim it at once.
     Overloaded {
-        /// Its epoch.
+        /// The epoch of the owner.
         epoch: u64,
     },
 }
 
-/// The owner by the last claim.
+/// The owner according to the newest claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leader {
-    /// One more than the offset of its claim.
+    /// The offset of its claim plus one.
     pub epoch: u64,
-    /// The entry.
+    /// The entry that is the owner.
     pub owner: EntryId,
     /// Where other entries reach it.
     pub addr: Name,
 }
 
-/// What an entry knows of the owner.
+/// The state of the election as known to one entry.
 #[derive(Debug)]
 pub struct Election {
     me: EntryId,
-    /// What this entry may use of processors, in thousandths of one.
+    /// CPU available to this entry, in millicores.
     cpu: u32,
-    /// The processors of the largest entry that the last owner heard from.
+    /// The CPU, in millicores, of the largest entry according to the last heartbeat; 0 if unknown.
     largest_cpu: u32,
     leader: Option<Leader>,
+    /// Whether the leader gave up the cell.
     released: bool,
-    /// The offset after the last record that was read.
+    /// The offset of the next record to read.
     next_offset: u64,
-    /// When the owner was last heard through the log, or could have been.
+    /// When the last sign of the owner was read, or the time from which its silence counts.
     owner_heard: Millis,
-    /// When the log could last be read; `None`: never.
+    /// When the log was last read successfully.
     last_read: Option<Millis>,
-    /// Since when it could be read without a gap.
+    /// Since when the log could be read without a gap.
     readable_since: Millis,
-    /// The owner's process is not there.
+    /// Whether the owner's process is known to be gone.
     owner_absent: bool,
+    /// When this entry last tried to claim the cell.
     last_claim: Option<Millis>,
-    /// Since when a claim is due.
+    /// Since when the conditions for a claim have been met.
     claim_due: Option<Millis>,
-    /// Claims are left to others until then.
+    /// Until when this entry does not claim the cell.
     back_off_until: Millis,
-    /// How much longer than its processors ask for this entry delays a claim.
+    /// The delay of a claim in addition to the one that depends on this entry's CPU.
     extra_delay: Millis,
-    /// When an owner last handed the cell on because it did not keep up.
+    /// When an owner last gave up the cell because of overload.
     last_overload: Option<Millis>,
 }
 
 impl Election {
-    /// Nothing is known yet; this entry may use `cpu` thousandths of a processor.
+    /// Creates the state of an entry that has read nothing yet and has `cpu` millicores available.
     pub fn new(me: EntryId, cpu: u32, now: Millis) -> Self {
         Self {
             me,
@@ -128,7 +132,7 @@
         }
     }
 
-    /// The owner by the last claim that was read.
+    /// The owner according to the newest claim that was read.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
@@ -138,26 +142,26 @@
         self.leader.as_ref().is_some_and(|leader| leader.owner == self.me) && !self.released
     }
 
-    /// Whether the last owner surely is none any more, and nobody has claimed the cell since.
+    /// Whether the last owner has certainly stopped and no other entry has claimed the cell since.
     pub fn is_vacant(&self) -> bool {
-        // The owner was an earlier process of this entry. After all entries lost power the first
-        // owner is back 0.5 s earlier than by its silence.
+        // The owner was an earlier process of this entry. After a power loss of all entries, this
+        // makes the first owner available 0.5 s earlier than waiting for the timeout.
         let restarted =
             |leader: &Leader| leader.owner != self.me && leader.owner.name == self.me.name;
         self.released || self.leader.as_ref().is_some_and(restarted)
     }
 
-    /// The offset after the last record that was read.
+    /// The offset of the next record to read.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Records before `first` are gone: reading goes on from there.
+    /// Continues at offset `first`, because earlier records have been removed from the log.
     pub fn skip_to(&mut self, first: u64) {
         self.next_offset = self.next_offset.max(first);
     }
 
-    /// A record was read.
+    /// Applies a record that was read from the log.
     pub fn apply(&mut self, now: Millis, offset: u64, record: ElectionRecord) {
         if offset < self.next_offset {
             return;
@@ -200,78 +204,82 @@
         self.leader.as_ref().map_or(0, |leader| leader.epoch)
     }
 
-    /// All records so far were read at this time.
+    /// Records that the end of the log was reached at `now`.
     pub fn caught_up(&mut self, now: Millis) {
-        // While the log cannot be read its silence says nothing about the owner.
+        // Silence during a gap in reading the log does not mean that the owner is gone.
         if self
             .last_read
             .is_none_or(|read| now.since(read) >= ABSENT_OWNER_TIMEOUT + ABSENT_OWNER_TIMEOUT)
         {
-            // Silence is counted as if it had begun so much earlier.
+            // The owner has `HEARTBEAT_GRACE` left until `OWNER_TIMEOUT` expires.
             self.owner_heard = self.owner_heard.max(now - (OWNER_TIMEOUT - HEARTBEAT_GRACE));
             self.readable_since = now;
         }
         self.last_read = Some(now);
     }
 
-    /// Whether the log could be read all the time lately: then no owner can have gone on without it
-    /// by the word of most entries.
+    /// Whether the log has been readable without a gap for [`STEADY_LOG_TIME`]. Then no owner can
+    /// have continued without the log because most entries could not read it.
     pub fn is_log_steady(&self, now: Millis) -> bool {
         self.is_log_fresh(now) && now.since(self.readable_since) >= STEADY_LOG_TIME
     }
 
-    /// Whether the log could be read a moment ago.
+    /// Whether the log was read within [`OWNER_TIMEOUT`].
     pub fn is_log_fresh(&self, now: Millis) -> bool {
         self.last_read.is_some_and(|read| now.since(read) < OWNER_TIMEOUT)
     }
 
-    /// The owner of `epoch` told that it gave the cell up, though it cannot write that to the log.
+    /// Records that the owner of `epoch` told its peers that it gave up the cell, which it does if
+    /// it cannot write that to the log.
     pub fn record_step_down(&mut self, epoch: u64) {
         self.released = self.released || (epoch > 0 && self.epoch() == epoch);
     }
 
-    /// Leaves claims to others until `until`: this entry does not keep up.
+    /// Stops this entry from claiming the cell until `until`, because it is overloaded.
     pub fn back_off(&mut self, until: Millis) {
         self.back_off_until = self.back_off_until.max(until);
     }
 
-    /// Whether an owner that does not keep up may hand the cell on: if the one before it did so lately,
-    /// the load is too much for any entry, and a takeover only adds to it. The cell would go
-    /// from one to the next without an end.
+    /// Whether an overloaded owner may hand over the cell. If an earlier owner did so recently, the
+    /// load is too much for any entry, a takeover would only add to it, and the cell would move
+    /// between entries without end.
     pub fn may_hand_over(&self, now: Millis) -> bool {
         self.last_overload.is_none_or(|at| now.since(at) >= HANDOVER_INTERVAL)
     }
 
-    /// Claims are left to others by so much more: this entry has other work, or others are nearer.
+    /// Sets an additional delay for claims, for an entry that has other work or for which other
+    /// entries are closer.
     pub fn set_extra_delay(&mut self, extra_delay: Millis) {
         self.extra_delay = extra_delay;
     }
 
-    /// The log is read again from now on, after a time in which it was left unread on purpose. The
-    /// owner may have been heard just before: its silence begins now.
+    /// Records that reading the log resumes after a time in which it was deliberately not read. The
+    /// owner may have sent a heartbeat just before, so its silence counts from `now`.
     pub fn resume_reading(&mut self, now: Millis) {
         (self.owner_heard, self.readable_since, self.last_read) = (now, now, Some(now));
     }
 
-    /// Connections to the owner of `epoch` are refused, or its process is another one.
+    /// Records that the process of the owner of `epoch` is gone: connections to it are refused or
+    /// reach another process.
     pub fn record_absence(&mut self, epoch: u64) {
         self.owner_absent = self.owner_absent || self.epoch() == epoch;
     }
 
-    /// Whether to claim now: the offset at which the log must end.
+    /// Decides whether to claim the cell now. Returns the offset at which the log must end for the
+    /// claim to be valid.
     pub fn try_claim(&mut self, now: Millis) -> Option<u64> {
-        let paused = self.last_claim.is_some_and(|at| now.since(at) < CLAIM_INTERVAL);
-        if paused || now < self.back_off_until || !self.is_log_fresh(now) || self.is_owner() {
+        let is_paused = self.last_claim.is_some_and(|at| now.since(at) < CLAIM_INTERVAL);
+        if is_paused || now < self.back_off_until || !self.is_log_fresh(now) || self.is_owner() {
             return None;
         }
         let silence = now.since(self.owner_heard);
-        let due = match &self.leader {
+        let is_due = match &self.leader {
             None => true,
             Some(_) if self.is_vacant() => true,
             Some(_) if self.owner_absent => silence >= ABSENT_OWNER_TIMEOUT,
             Some(_) => silence >= OWNER_TIMEOUT,
         };
-        if !due {
+        if !is_due {
             self.claim_due = None;
             return None;
         }
@@ -283,14 +291,15 @@
         Some(self.next_offset)
     }
 
-    /// How long this entry delays a claim that is due: not at all if it is the largest, as far as
-    /// that is known.
+    /// How long this entry delays a claim because other entries have more CPU; zero for the largest
+    /// known entry.
     fn claim_delay(&self) -> Millis {
-        /// Before the first owner all entries start together and know nothing of each other.
+        /// The CPU in millicores to compare with before there was any owner, as entries that start
+        /// together do not know each other.
         const DEFAULT_LARGEST_CPU: u32 = 500;
         let largest_cpu =
             if self.largest_cpu == 0 { DEFAULT_LARGEST_CPU } else { self.largest_cpu };
-        let short = largest_cpu.saturating_sub(self.cpu);
-        Millis(MAX_CLAIM_DELAY.0 * u64::from(short) / u64::from(largest_cpu.max(1)))
+        let missing = largest_cpu.saturating_sub(self.cpu);
+        Millis(MAX_CLAIM_DELAY.0 * u64::from(missing) / u64::from(largest_cpu.max(1)))
     }
 }
