--- a/src/cell/owner/lag.rs
+++ b/src/cell/owner/lag.rs
@@ -1,48 +1,53 @@
-//! Whether an owner's processor keeps up with its work.
+//! Detects whether an owner is overloaded, by how late its periodic ticks are.
 
 use crate::clock::Millis;
 
-/// The weight of one more tick: the last second counts, at ten ticks a second.
+/// The weight of a new tick in the moving average, which covers about one second at ten ticks a
+/// second.
 const TICK_WEIGHT: f64 = 0.1;
-/// Ticks that are late by so many milliseconds on average show that work waits for the processor: on a VM
-/// that keeps up they are late by less than one.
+/// The average lateness in milliseconds from which another entry should own the cell, because work
+/// waits for the processor. On a VM that keeps up, ticks are less than 1 ms late.
 const HANDOVER_LATENESS_MS: f64 = 8.0;
-/// One tick counts for this much at the most: a process that was paused for seconds keeps up again.
+/// The most that one tick counts, because a process that was paused for seconds keeps up again
+/// afterwards.
 const MAX_TICK_LATENESS: Millis = Millis(30);
-/// An owner does not give the cell up before it had it this long: a takeover costs the next owner
-/// work, and where all are too slow the cell must not go round.
+/// The shortest time for which an owner keeps the cell. A takeover costs the next owner work, and
+/// the cell must not circulate where all entries are too slow.
 const MIN_TENURE: Millis = Millis(6_000);
-/// Ticks that are late by so many milliseconds on average show that more comes than the processor can do: new jobs
-/// are turned away, so that those that were accepted go on. A single pause of any length gives 3 ms.
+/// The average lateness in milliseconds from which new jobs are refused, because more work arrives
+/// than the processor can do and accepted jobs have to progress. A single pause of any length
+/// raises the average by 3 ms.
 const SHED_LATENESS_MS: f64 = 12.0;
-/// New jobs are taken again below this: well under [`SHED_LATENESS_MS`], so that a load that is somewhat too much
-/// does not switch to and fro with each tick.
+/// The average lateness in milliseconds below which new jobs are accepted again. It is well below
+/// [`SHED_LATENESS_MS`], so that a slight overload does not toggle shedding with each tick.
 const ACCEPT_LATENESS_MS: f64 = 4.0;
-/// An entry that gave the cell up for this leaves it to others this long.
+/// How long an entry does not claim a cell that it gave up because of overload.
 pub const CLAIM_BACKOFF: Millis = Millis(8_000);
 
-/// How much longer than the time for which it waits a report may take, and how long an order may: a
-/// hundred times the way between failure domains.
+/// The timeouts of an owner that keeps up. They are a hundred times the latency between failure
+/// domains.
 const DEFAULT_TIMEOUTS: Timeouts =
     Timeouts { report: Millis(250), order: Millis(300), interval: Millis(0) };
-/// The same for an owner that does not keep up: answers lie unread there, and each that is given up for
-/// that costs another connection. Ends that come meanwhile are told together. An owner that is merely late for a moment keeps the usual ones,
-/// which show sooner that a worker is lost.
+/// The timeouts of an overloaded owner. It has answers that it has not read yet, and every call
+/// that times out costs another connection. With a longer interval, ends of runs are reported
+/// together. An owner that is late only for a moment keeps [`DEFAULT_TIMEOUTS`], which detect a
+/// lost worker sooner.
 const OVERLOADED_TIMEOUTS: Timeouts =
     Timeouts { report: Millis(1_500), order: Millis(1_000), interval: Millis(200) };
 
-/// How long an owner waits for workers.
+/// How long an owner waits in its communication with workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timeouts {
-    /// For a report, beyond the time for which the worker holds it back.
+    /// The timeout of a report, in addition to the time for which the worker may delay it.
     pub report: Millis,
-    /// For the answer to an order. The room and the task are in doubt for that long if it is lost.
+    /// The timeout of an order. If its answer is lost, the state of the task and its room on the
+    /// worker are unknown for that long.
     pub order: Millis,
-    /// Between two reports.
+    /// The pause between two reports.
     pub interval: Millis,
 }
 
-/// How late the ticks of an owner are.
+/// A moving average of how late the ticks of an owner are.
 #[derive(Debug)]
 pub struct TickLag {
     started: Millis,
@@ -52,12 +57,12 @@
 }
 
 impl TickLag {
-    /// The owner takes the cell over.
+    /// Creates the state of an owner that takes the cell over at `now`.
     pub fn new(now: Millis) -> Self {
         Self { started: now, last_tick: now, average_ms: 0.0, is_shedding: false }
     }
 
-    /// A tick that was due `every` after the last one comes now.
+    /// Records a tick that was due `interval` after the last one.
     pub fn record_tick(&mut self, now: Millis, interval: Millis) {
         let late = now.since(self.last_tick + interval).min(MAX_TICK_LATENESS);
         self.last_tick = now;
@@ -66,12 +71,12 @@
             self.average_ms >= if self.is_shedding { ACCEPT_LATENESS_MS } else { SHED_LATENESS_MS };
     }
 
-    /// Whether new jobs have to be turned away.
+    /// Whether new jobs have to be refused.
     pub fn is_shedding(&self) -> bool {
         self.is_shedding
     }
 
-    /// How long to wait for workers: longer while new jobs are turned away.
+    /// The timeouts to use for workers, which are longer while new jobs are refused.
     pub fn timeouts(&self) -> Timeouts {
         if self.is_shedding { OVERLOADED_TIMEOUTS } else { DEFAULT_TIMEOUTS }
     }
--- a/src/cell/owner/mod.rs
+++ b/src/cell/owner/mod.rs
@@ -1,9 +1,12 @@
-//! Who owns which cell, and what an owner takes on.
+//! Ownership of cells, and the decisions of an owner that are not about single tasks.
 //!
-//! `election` and `authority` say who owns a cell and may give orders, `witness` what a new owner may believe of the time
-//! before, `map` which cell a worker or a job
-//! belongs to, `balance` and `forward` where a job of a full cell runs, `lag` what an owner does that does not
-//! keep up, `admission` when refused callers come back, `access` who may call.
+//! - `election` and `authority`: which entry owns a cell, and whether it may send orders.
+//! - `log_reports`: whether an earlier owner may have started runs without a record.
+//! - `cell_map`: the cell of each worker and job.
+//! - `balance` and `forward`: forwarding of jobs from a full cell to another one.
+//! - `lag`: detection of an overloaded owner.
+//! - `retry`: when callers of refused jobs should retry.
+//! - `access`: authorization of callers.
 
 pub mod access;
 pub mod authority;
