--- a/src/cell/owner/log_reports.rs
+++ b/src/cell/owner/log_reports.rs
@@ -1,11 +1,14 @@
-//! Whether an earlier owner may have sent starts without a record, by the word of the other entries.
+//! Reports of the other entries from which a new owner concludes whether an earlier owner may have
+//! started runs that are not recorded in the store.
 //!
-//! The load that this answers: an owner is killed, and a process that has just started takes over, often the next one of the
-//! same VM. It has read no log before. On its own it would hold back every inherited task until all workers have reported
-//! or their leases are over; one worker that is gone would hold up all.
+//! When an owner is killed, the process that takes over has often just started, for example on the
+//! same VM, and has not read the log before. From its own knowledge it would have to hold back all
+//! inherited tasks until every worker has reported or its lease has expired, so a single lost
+//! worker would delay all of them.
 //!
-//! An owner sends starts without a record only while most entries tell it that they cannot read the log. So if half of the
-//! entries have told no owner so, none did.
+//! An owner starts runs without a record only while most entries tell it that they cannot read the
+//! platform's log. So if at least half of the entries have not told that to any owner, no owner has
+//! done it.
 
 use crate::cell::owner::election::STEADY_LOG_TIME;
 use crate::clock::Millis;
@@ -13,69 +16,74 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What an entry tells a new owner of the time before.
+/// What an entry reports to a new owner about the time before the takeover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogReport {
-    /// It has told no owner within [`STEADY_LOG_TIME`] that it cannot read the log.
+    /// Whether the entry has not told any owner within [`STEADY_LOG_TIME`] that it cannot read the
+    /// log.
     pub log_steady: bool,
-    /// How many other entries the last owner that it heard counted; 0: it heard none.
+    /// The number of other entries that the last owner it heard from counted; 0 if it heard from
+    /// none.
     pub peers: u32,
 }
 
-/// What one entry said of the log.
+/// Whether this entry has recently told an owner that it cannot read the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogHistory {
-    /// When it last told an owner that it cannot read the log. Its process before may have done so until it ended.
+    /// When the entry last told an owner that it cannot read the log. For a new process this is its
+    /// start, because the previous process may have done so until it ended.
     last_loss: Millis,
 }
 
 impl LogHistory {
-    /// That of a process that started now.
+    /// Creates the history of a process that starts at `now`.
     pub fn new(now: Millis) -> Self {
         Self { last_loss: now }
     }
 
-    /// An owner is told that the log cannot be read.
+    /// Records that an owner is told that the log cannot be read.
     pub fn record_loss(&mut self, now: Millis) {
         self.last_loss = self.last_loss.max(now);
     }
 
-    /// Whether no owner that a lease may still go back to was told so.
+    /// Whether no owner from which a lease may still be valid was told that the log cannot be read.
     pub fn is_log_steady(&self, now: Millis) -> bool {
         now.since(self.last_loss) >= STEADY_LOG_TIME
     }
 }
 
-/// The words of the entries that connected to a new owner.
+/// The reports of the entries that have connected to a new owner.
 #[derive(Debug, Default)]
 pub struct LogReports {
     steady: BTreeSet<Name>,
-    entry_count: u32,
+    peer_count: u32,
 }
 
 impl LogReports {
-    /// Takes in the word of an entry.
+    /// Adds the report of an entry.
     pub fn add(&mut self, entry: &Name, report: LogReport) {
-        self.entry_count = self.entry_count.max(report.peers);
+        self.peer_count = self.peer_count.max(report.peers);
         match report {
             LogReport { log_steady: true, peers: 1.. } => drop(self.steady.insert(entry.clone())),
-            // One that no owner heard was not counted among those that can read the log either.
+            // An entry that was not connected to an owner was not counted by it as able to read the
+            // log either.
             LogReport { .. } => drop(self.steady.remove(entry)),
         }
     }
 
-    /// How many entries told no owner that they cannot read the log.
+    /// The number of entries that have not told any owner that they cannot read the log.
     pub fn steady_count(&self) -> usize {
         self.steady.len()
     }
 
-    /// How many other entries earlier owners counted.
-    pub fn entry_count(&self) -> u32 {
-        self.entry_count
+    /// The number of other entries that earlier owners counted.
+    pub fn peer_count(&self) -> u32 {
+        self.peer_count
     }
 
-    /// Whether so many entries told no owner that they cannot read the log that it was not most of them.
+    /// Whether the reports prove that there was never a majority of entries that told an owner that
+    /// they cannot read the log, so that no unrecorded runs were started.
     pub fn exclude_unrecorded_starts(&self) -> bool {
-        self.entry_count > 0 && 2 * self.steady.len() > self.entry_count as usize
+        self.peer_count > 0 && 2 * self.steady.len() > self.peer_count as usize
     }
 }
--- a/src/node/owner/history.rs
+++ b/src/node/owner/history.rs
@@ -19,7 +19,7 @@
             log::info!(
                 "event=records-trusted cell={cell} epoch={epoch} steady={} entries={}",
                 witnesses.steady_count(),
-                witnesses.entry_count()
+                witnesses.peer_count()
             );
             self.wake.notify_one();
         }
