--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -1,4 +1,5 @@
-//! What an owner writes to the store: which records go together, and what waits until they are there.
+//! Batches of records that an owner writes to the store, and the actions that wait until they are
+//! stored.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -9,13 +10,13 @@
 use crate::workload::JobKey;
 use std::collections::BTreeMap;
 
-/// A batch stops growing at this size, so that an append takes no more than some tens of
-/// milliseconds at the platform's 20 MB/s a partition.
+/// The size at which no more new jobs are added to a batch, so that an append takes no more than
+/// some tens of milliseconds at the platform's 20 MB/s per partition.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
 
 impl Cell {
-    /// The next batch for the store, if there is something to write. A batch is never empty: the
-    /// store does not count an append without records.
+    /// Returns the next batch to write to the store, if there are any changes. A batch is never
+    /// empty, because the store does not count an append without records.
     pub fn take_batch(&mut self, now: Millis) -> Option<Batch> {
         if self.dirty_jobs.is_empty() && !self.workers_dirty {
             return None;
@@ -29,16 +30,17 @@
         let (new, known): (Vec<JobKey>, Vec<JobKey>) = std::mem::take(&mut self.dirty_jobs)
             .into_iter()
             .partition(|key| self.jobs.get(key).is_some_and(is_new));
-        // What workers reported goes first and whole: the ends in it are confirmed with the batch.
+        // Changes that workers reported are all written in this batch, because the ends of runs
+        // among them are confirmed to the workers once it is stored.
         for key in known {
             self.write_job(key, &mut records);
         }
         let mut size = 0;
         let mut new = new.into_iter();
         for key in new.by_ref() {
-            let from = records.len();
+            let first = records.len();
             self.write_job(key, &mut records);
-            size += records.iter().skip(from).map(|(_, value)| value.len()).sum::<usize>();
+            size += records.iter().skip(first).map(|(_, value)| value.len()).sum::<usize>();
             if size >= MAX_BATCH_BYTES {
                 break;
             }
@@ -55,7 +57,7 @@
         Some(Batch { number, records })
     }
 
-    /// A new job that did not fit into the last batch goes into the next one.
+    /// Moves a new job that did not fit into the last batch to the next one.
     fn defer_job(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get_mut(&key) {
             job.batch = self.open_batch;
@@ -65,6 +67,7 @@
         }
     }
 
+    /// Appends the records of a job that changed.
     fn write_job(&mut self, key: JobKey, records: &mut Vec<(String, Vec<u8>)>) {
         let Some(job) = self.jobs.get_mut(&key) else {
             let forwarded = self.forwarded.get(&key);
@@ -81,16 +84,17 @@
             }
             return;
         };
-        let closed = job.closed.is_some();
+        let is_closed = job.closed.is_some();
         if let Some(workspace) = job.workspace.as_ref().filter(|_| job.batch == self.open_batch) {
-            // Before the job itself: a job that is known without its workspace would run without a bound.
+            // The workspace is written before the job, because a job that is read without its
+            // workspace would run without the limits of the workspace.
             records.push(journal::put_workspace(key, workspace));
             self.stored_workspaces.insert(key);
         }
-        if closed || job.batch == self.open_batch {
+        if is_closed || job.batch == self.open_batch {
             records.push(journal::put_job(key, &job.record()));
         }
-        match closed {
+        match is_closed {
             true if job.noted => {
                 job.noted = false;
                 records.push(journal::delete_progress(key));
@@ -100,8 +104,9 @@
             }
             false if job.bound => {
                 let progress = job.progress();
-                // Also where nothing is left to note: to the next owners, a binding that stayed in the store was lost
-                // with each life of the worker that ended.
+                // Progress that has become empty is written too. If an assignment stayed in the
+                // store, the next owners would take the run for lost each time the worker
+                // restarted.
                 if !progress.steps.is_empty() || job.noted {
                     job.noted = true;
                     records.push(journal::put_progress(key, &progress));
@@ -116,60 +121,64 @@
         }
     }
 
-    /// The store surely did not take a batch: its new jobs are given back to their callers. Returns
-    /// their keys.
+    /// Removes the new jobs of a batch that was definitely not stored, so that their callers can be
+    /// told. Returns their keys.
     pub fn withdraw_batch(&mut self, batch: u64) -> Vec<JobKey> {
-        self.withdraw_where(|of| of == batch)
+        self.withdraw_where(|number| number == batch)
     }
 
-    /// New jobs of batches after `batch`, none of which was sent, are given back to their callers.
-    /// Returns their keys.
+    /// Removes the new jobs of all batches after `batch`, none of which was sent, so that their
+    /// callers can be told. Returns their keys.
     pub fn withdraw_after(&mut self, batch: u64) -> Vec<JobKey> {
-        self.withdraw_where(|of| of > batch)
+        self.withdraw_where(|number| number > batch)
     }
 
+    /// Removes the new jobs of those batches for which `is_unsent` holds.
     fn withdraw_where(&mut self, is_unsent: impl Fn(u64) -> bool) -> Vec<JobKey> {
-        let of_batch = |(of, key): &&(u64, JobKey)| {
+        let is_withdrawn = |(batch, key): &&(u64, JobKey)| {
             let is_new = self.jobs.get(key).is_some_and(Job::is_open);
-            is_unsent(*of) && (is_new || self.forwarded.contains_key(key))
+            is_unsent(*batch) && (is_new || self.forwarded.contains_key(key))
         };
-        let gone: Vec<JobKey> =
-            self.unstored_jobs.iter().filter(of_batch).map(|(_, key)| *key).collect();
-        self.unstored_jobs.retain(|(_, key)| !gone.contains(key));
-        for key in &gone {
+        let withdrawn: Vec<JobKey> =
+            self.unstored_jobs.iter().filter(is_withdrawn).map(|(_, key)| *key).collect();
+        self.unstored_jobs.retain(|(_, key)| !withdrawn.contains(key));
+        for key in &withdrawn {
             match self.job_batch(*key) {
                 Some(batch) => log::info!("event=withdrawn job={key} batch={batch}"),
-                // It was found by its batch above: without one it was forgotten meanwhile, and is gone.
+                // Unreachable unless the job was removed meanwhile, as it was found by its batch
+                // above.
                 None => log::error!("event=withdrawn-unknown job={key}"),
             }
             self.undo(*key);
             self.forwarded.remove(key);
         }
-        gone
+        withdrawn
     }
 
-    /// All batches up to `batch` are in the store.
+    /// Records that all batches up to `batch` are stored.
     pub fn mark_stored(&mut self, now: Millis, batch: u64) {
         self.stored_batch = self.stored_batch.max(batch);
         for worker in self.workers.values_mut() {
             worker.keep(batch);
         }
-        self.unstored_jobs.retain(|(of, _)| *of > batch);
+        self.unstored_jobs.retain(|(number, _)| *number > batch);
         self.send_starts(now, batch);
         self.needs_placement = true;
     }
 
+    /// The start times of the workers in use, as far as they are known.
     fn worker_starts(&self) -> BTreeMap<Name, Millis> {
         let lives = self.workers.values().map(Worker::life);
         lives.filter_map(|life| Some((life.id, life.born?))).collect()
     }
 
+    /// The records of the workers in use.
     fn worker_records(&self) -> Vec<WorkerRecord> {
-        let member = |worker: &Worker| WorkerRecord {
+        let record = |worker: &Worker| WorkerRecord {
             id: worker.listed.id.clone(),
             service: worker.listed.service.clone(),
             addr: worker.listed.addr.clone(),
         };
-        self.workers.values().map(member).collect()
+        self.workers.values().map(record).collect()
     }
 }
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -1,4 +1,4 @@
-//! What an owner keeps in the platform's store, and how it is written.
+//! The records that an owner keeps in the platform's store, and their encoding.
 
 use crate::cell::jobs::stage::Crash;
 use crate::clock::Millis;
@@ -9,203 +9,205 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The key of the record that names all workers in use.
+/// The key of the record that lists all workers in use.
 const WORKERS_KEY: &str = "roster";
-/// The key of the record that tells when the workers in use started. It stands apart from [`WORKERS_KEY`], whose
-/// form is that of versions that know workers by their ids alone.
+/// The key of the record with the start times of the workers in use. It is separate from
+/// [`WORKERS_KEY`], whose encoding is shared with versions that identify workers by their ids only.
 const WORKER_STARTS_KEY: &str = "roster.born";
-/// What follows a job's key in the key of its progress.
+/// The suffix of a job's key under which its progress is stored.
 const PROGRESS_SUFFIX: &str = ".p";
-/// What follows a job's key in the key of the crashes under its tasks. They stand apart from its progress,
-/// whose form is that of versions that count none: those pass over keys that they do not know.
+/// The suffix of a job's key under which the crashes of its tasks' workers are stored. They are
+/// separate from the progress, whose encoding is shared with versions that do not count crashes and
+/// skip unknown keys.
 const CRASHES_SUFFIX: &str = ".c";
 
-/// What became of a job.
+/// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
     /// All tasks are done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task failed as often as is allowed.
     Failed,
-    /// A caller withdrew it.
+    /// A caller cancelled the job.
     Cancelled,
 }
 
-/// What does not change while a job is open, or how it ended.
+/// The record of a job, which changes only when the job ends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum JobRecord {
-    /// It was accepted.
+    /// The job was accepted and has not ended.
     Open {
-        /// Its queue as it was then; a queue may be removed while its jobs are open.
+        /// The job's queue at that time, as a queue may be removed while its jobs are open.
         queue: Queue,
-        /// What was asked for.
+        /// The submitted work.
         work: Arc<Work>,
     },
-    /// It ended.
+    /// The job ended.
     Closed {
-        /// Its queue's name.
+        /// The name of the job's queue.
         queue: Name,
-        /// How it ended.
+        /// How the job ended.
         outcome: JobOutcome,
     },
-    /// It runs in another cell.
+    /// The job was forwarded to another cell.
     Forwarded {
-        /// The cell's number.
+        /// The number of that cell.
         cell: u32,
     },
 }
 
-/// What follows a job's key in the key of its workspace. It stands apart from the job's own record for the same
-/// reason.
+/// The suffix of a job's key under which its workspace is stored. It is separate from the job's own
+/// record because older versions do not know workspaces.
 const WORKSPACE_SUFFIX: &str = ".w";
 
-/// What is known of one task that is not done.
+/// The progress of a task that is not done.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// Its place in its step.
+    /// The index of the task in its step.
     pub index: u32,
-    /// The runs of it that failed.
+    /// The numbers of the task's failed runs.
     pub failed: Vec<u64>,
-    /// Its saved progress; empty: none.
+    /// The checkpoint that the task saved; empty if there is none.
     pub checkpoint: Name,
-    /// The run that it was given to a worker as, and the worker.
+    /// The number of the current run and the worker that it is assigned to.
     pub assignment: Option<(u64, Name)>,
 }
 
-/// What is known of one step of one repetition.
+/// The progress of one step in one repetition of the job.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepProgress {
-    /// The repetition and the step.
+    /// The indexes of the repetition and the step.
     pub step_index: (u32, u16),
-    /// One bit a task, in bytes from the lowest bit: whether it is done.
+    /// A bitmap of the tasks that are done, starting from the lowest bit of each byte.
     pub done: Vec<u8>,
-    /// Tasks that are bound to a worker, failed or saved progress.
+    /// The tasks that are assigned to a worker, have failed or have saved a checkpoint.
     pub tasks: Vec<TaskProgress>,
 }
 
-/// What changes while a job is open.
+/// The progress of an open job.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The steps of which something is known.
+    /// The steps with tasks that have been started.
     pub steps: Vec<StepProgress>,
 }
 
-/// The crashes under one task.
+/// The worker crashes during runs of one task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskCrashes {
-    /// The repetition and the step.
+    /// The indexes of the repetition and the step.
     pub step_index: (u32, u16),
-    /// The task's place in its step.
+    /// The index of the task in its step.
     pub index: u32,
-    /// The crashes, in order.
+    /// The crashes in the order in which they occurred.
     pub crashes: Vec<Crash>,
 }
 
-/// A worker that may run something.
+/// A worker that may have runs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Its id.
+    /// The worker's id.
     pub id: Name,
-    /// Its service.
+    /// The service that the worker belongs to.
     pub service: Name,
-    /// Where it is called.
+    /// The address at which the worker is called.
     pub addr: Name,
 }
 
-/// Records that are appended together.
+/// Records that are appended to the store together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
-    /// Rises by one with each batch of an epoch.
+    /// The sequence number of the batch in its epoch.
     pub number: u64,
-    /// Keys and values; an empty value drops the key.
+    /// Pairs of key and value; an empty value deletes the key.
     pub records: Vec<(String, Vec<u8>)>,
 }
 
-/// All that the store holds of a cell.
+/// All records of a cell in the store.
 #[derive(Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The jobs.
+    /// The records of all jobs.
     pub jobs: BTreeMap<JobKey, JobRecord>,
-    /// What is known of open jobs.
+    /// The progress of open jobs.
     pub progress: BTreeMap<JobKey, Progress>,
-    /// The crashes under tasks of open jobs.
+    /// The worker crashes during tasks of open jobs.
     pub crashes: BTreeMap<JobKey, Vec<TaskCrashes>>,
-    /// The workspaces of jobs that have one.
+    /// The workspaces of those jobs that have one.
     pub workspaces: BTreeMap<JobKey, Name>,
-    /// The workers that may run something.
+    /// The workers that may have runs.
     pub workers: Vec<WorkerRecord>,
-    /// When these started, as far as they told.
+    /// The start times of those workers that reported one.
     pub worker_starts: BTreeMap<Name, Millis>,
 }
 
-/// The job that a record is of, and what of it; `None`: it is of the cell, or not one of ours.
+/// Splits a key into the job that it belongs to and the suffix that tells the kind of record.
+/// Returns `None` for a record of the cell itself or an unknown key.
 pub fn parse_key(key: &str) -> Option<(JobKey, &str)> {
     if matches!(key, WORKERS_KEY | WORKER_STARTS_KEY) {
         return None;
     }
-    let (text, kind) = key.split_at(key.find('.').unwrap_or(key.len()));
+    let (text, suffix) = key.split_at(key.find('.').unwrap_or(key.len()));
     match text.parse() {
-        Ok(job) => Some((job, kind)),
+        Ok(job) => Some((job, suffix)),
         Err(err) => {
-            // A later version may keep more: it is passed over.
+            // A newer version may store other records, which are skipped.
             log::warn!("event=record-unknown key={key} error={err}");
             None
         }
     }
 }
 
-/// The record of a job.
+/// Creates the record of a job.
 pub fn put_job(key: JobKey, record: &JobRecord) -> (String, Vec<u8>) {
     (key.to_string(), encode(record))
 }
 
-/// The record of a job's progress.
+/// Creates the record of a job's progress.
 pub fn put_progress(key: JobKey, progress: &Progress) -> (String, Vec<u8>) {
     (format!("{key}{PROGRESS_SUFFIX}"), encode(progress))
 }
 
-/// The record of the crashes under a job's tasks.
-pub fn put_crashes(key: JobKey, notes: &[TaskCrashes]) -> (String, Vec<u8>) {
-    (format!("{key}{CRASHES_SUFFIX}"), encode(notes))
+/// Creates the record of the worker crashes during a job's tasks.
+pub fn put_crashes(key: JobKey, crashes: &[TaskCrashes]) -> (String, Vec<u8>) {
+    (format!("{key}{CRASHES_SUFFIX}"), encode(crashes))
 }
 
-/// The record of a job's workspace.
+/// Creates the record of a job's workspace.
 pub fn put_workspace(key: JobKey, workspace: &Name) -> (String, Vec<u8>) {
     (format!("{key}{WORKSPACE_SUFFIX}"), encode(workspace))
 }
 
-/// Drops the record of a job's workspace.
+/// Creates the record that deletes a job's workspace.
 pub fn delete_workspace(key: JobKey) -> (String, Vec<u8>) {
     (format!("{key}{WORKSPACE_SUFFIX}"), Vec::new())
 }
 
-/// Drops a job.
+/// Creates the record that deletes a job.
 pub fn delete_job(key: JobKey) -> (String, Vec<u8>) {
     (key.to_string(), Vec::new())
 }
 
-/// Drops a job's progress.
+/// Creates the record that deletes a job's progress.
 pub fn delete_progress(key: JobKey) -> (String, Vec<u8>) {
     (format!("{key}{PROGRESS_SUFFIX}"), Vec::new())
 }
 
-/// Drops the crashes under a job's tasks.
+/// Creates the record that deletes the worker crashes of a job's tasks.
 pub fn delete_crashes(key: JobKey) -> (String, Vec<u8>) {
     (format!("{key}{CRASHES_SUFFIX}"), Vec::new())
 }
 
-/// The record of the workers in use.
+/// Creates the record that lists the workers in use.
 pub fn put_workers(workers: &[WorkerRecord]) -> (String, Vec<u8>) {
     (WORKERS_KEY.to_string(), encode(&workers))
 }
 
-/// The record of when the workers in use started.
-pub fn put_worker_starts(births: &BTreeMap<Name, Millis>) -> (String, Vec<u8>) {
-    (WORKER_STARTS_KEY.to_string(), encode(births))
+/// Creates the record with the start times of the workers in use.
+pub fn put_worker_starts(starts: &BTreeMap<Name, Millis>) -> (String, Vec<u8>) {
+    (WORKER_STARTS_KEY.to_string(), encode(starts))
 }
 
 fn encode<T: Serialize + ?Sized>(value: &T) -> Vec<u8> {
-    // Encoding into memory fails only for types that these records do not have.
+    // Encoding into memory fails only for types that these records do not contain.
     postcard::to_stdvec(value).unwrap_or_else(|err| {
         log::error!("event=record-not-encoded error={err:?}");
         Vec::new()
@@ -213,10 +215,10 @@
 }
 
 impl Snapshot {
-    /// Takes in one record; later ones replace earlier ones.
+    /// Applies one record, which replaces an earlier one with the same key.
     ///
     /// # Errors
-    /// The value cannot be read.
+    /// Returns an error if the value cannot be decoded.
     pub fn apply(&mut self, key: &str, value: &[u8]) -> Result<(), postcard::Error> {
         if key == WORKERS_KEY {
             self.workers = if value.is_empty() { Vec::new() } else { postcard::from_bytes(value)? };
@@ -227,8 +229,8 @@
                 if value.is_empty() { BTreeMap::new() } else { postcard::from_bytes(value)? };
             return Ok(());
         }
-        let Some((job, kind)) = parse_key(key) else { return Ok(()) };
-        match kind {
+        let Some((job, suffix)) = parse_key(key) else { return Ok(()) };
+        match suffix {
             "" => apply_to(&mut self.jobs, job, value),
             PROGRESS_SUFFIX => apply_to(&mut self.progress, job, value),
             CRASHES_SUFFIX => apply_to(&mut self.crashes, job, value),
@@ -241,15 +243,15 @@
     }
 }
 
-/// Takes in a record of a job, or drops what is known of it.
+/// Sets the value of a job, or removes it if the record is empty.
 fn apply_to<T: DeserializeOwned>(
-    known: &mut BTreeMap<JobKey, T>,
+    values: &mut BTreeMap<JobKey, T>,
     job: JobKey,
     value: &[u8],
 ) -> Result<(), postcard::Error> {
     match value.is_empty() {
-        true => drop(known.remove(&job)),
-        false => drop(known.insert(job, postcard::from_bytes(value)?)),
+        true => drop(values.remove(&job)),
+        false => drop(values.insert(job, postcard::from_bytes(value)?)),
     }
     Ok(())
 }
--- a/src/cell/records/mod.rs
+++ b/src/cell/records/mod.rs
@@ -1,4 +1,5 @@
-//! What an owner keeps in the store (`journal`), and what is written together (`batch`).
+//! Persistence of an owner's state: the records in the store (`journal`) and how they are batched
+//! (`batch`).
 
 pub(super) mod batch;
 pub mod journal;
