--- a/src/cell/advice/mod.rs
+++ b/src/cell/advice/mod.rs
@@ -1,4 +1,6 @@
-//! What the advice service is asked (`clearance`), and by which entry (`advice`).
+//! Requests to the platform's advice service, which decides on which workers a step may run.
+//!
+//! `request` creates requests and applies their answers, and `queue` assigns them to entries.
 
 pub mod queue;
 pub(super) mod request;
--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -1,4 +1,4 @@
-//! What the advice service is asked, and what its answers mean for placing.
+//! Requests to the advice service for steps that need workers, and the handling of its answers.
 
 use crate::cell::advice::queue::AdviceRequest;
 use crate::cell::jobs::job::{Job, Ticket};
@@ -12,21 +12,22 @@
 use crate::workload::{Advice, Step, StepKey};
 use std::collections::BTreeSet;
 
-/// A ticket is used only if it holds this much longer: an order takes a few milliseconds, and a
-/// busy owner some tens.
+/// The remaining validity that a ticket needs to be used. An order takes a few milliseconds, and
+/// some tens of milliseconds if the owner is busy.
 pub(in crate::cell) const MIN_TICKET_VALIDITY: Millis = Millis(250);
-/// The most workers that one request may name, by the platform's contract.
+/// The largest number of workers in one request, by the platform's contract.
 const MAX_REQUEST_WORKERS: usize = 100;
-/// The share of workers that is assumed to be cleared when deciding how many to name: one in two.
+/// The number of workers to ask about for each one needed, as one in two is assumed to be cleared.
 const WORKERS_PER_CLEARANCE: usize = 2;
-/// The shortest wait before a step is asked about again for want of room, so that steps that wait
-/// for room do not use up the advice service.
+/// The shortest time between two requests for a step, so that steps that wait for room do not use
+/// up the capacity of the advice service.
 const REQUEST_INTERVAL: Millis = Millis(250);
-/// A request about workers known to be cleared names so many at least: some fill up meanwhile.
+/// The smallest number of cleared workers to request new tickets for, because some of them fill up
+/// before the answer arrives.
 const MIN_RENEWED_WORKERS: usize = 4;
 
 impl Cell {
-    /// Has the advice service asked about a step whose tasks found no cleared worker with room.
+    /// Queues a request for a step whose tasks found no cleared worker with room.
     pub(in crate::cell) fn request_advice(
         &mut self,
         now: Millis,
@@ -53,10 +54,11 @@
         }
     }
 
-    /// The workers that the next request about a step names: those known to be cleared that have
-    /// room but no ticket that holds; if there are none, those never asked about, ones with room
-    /// first; if none of them has room, those known to be cleared where tasks can be stopped. Asking about busy
-    /// workers at once too, and again only about known good ones, leaves the service's time to other steps.
+    /// Selects the workers for the next request of a step. These are cleared workers that have room
+    /// but no valid ticket. If there are none, they are workers that were never asked about, those
+    /// with room first. If none of these has room, they are cleared workers on which room can be
+    /// made by stopping tasks. The first request includes busy workers, and later ones prefer
+    /// cleared workers, which leaves more of the service's time to other steps.
     fn select_workers(
         &self,
         now: Millis,
@@ -70,44 +72,44 @@
         };
         let charge = spec.charge();
         let advised = &step.advised;
-        let names_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
+        let includes_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open(now, key, job, spec).into_iter();
-        let asked = |fit: &Fit| {
+        let is_answered = |fit: &Fit| {
             advised.denied.contains(&fit.name)
                 || advised.holds(&fit.name, now + MIN_TICKET_VALIDITY)
         };
         let (known, unknown): (Vec<Fit>, Vec<Fit>) = open
-            .filter(|fit| !asked(fit) && (names_busy || fit.holds(spec, &charge)))
+            .filter(|fit| !is_answered(fit) && (includes_busy || fit.holds(spec, &charge)))
             .partition(|fit| advised.cleared.contains_key(&fit.name));
         if spec.gang
-            && let Some(named) = self.select_gang_workers(now, key, spec, remaining)
+            && let Some(selected) = self.select_gang_workers(now, key, spec, remaining)
         {
-            return named;
+            return selected;
         }
         let has_room = |fit: &Fit| fit.holds(spec, &charge);
         let could_hold = |fit: &Fit| self.could_hold(fit, job.priority(), spec);
         let known: Vec<Fit> = known.into_iter().filter(could_hold).collect();
-        let again = remaining.max(MIN_RENEWED_WORKERS);
-        let anew = (remaining * WORKERS_PER_CLEARANCE).max(balanced_size(advice));
+        let renewed = remaining.max(MIN_RENEWED_WORKERS);
+        let asked = (remaining * WORKERS_PER_CLEARANCE).max(balanced_size(advice));
         let suffices = |known: &[Fit]| !spec.gang && known.iter().any(has_room);
-        let (mut named, most) = match () {
-            () if suffices(&known) => (known, again),
-            () if unknown.iter().any(has_room) || advised.is_new() => (unknown, anew),
-            // Asking again would be of no use: their room does not hold the gang.
+        let (mut selected, limit) = match () {
+            () if suffices(&known) => (known, renewed),
+            () if unknown.iter().any(has_room) || advised.is_new() => (unknown, asked),
+            // New tickets would not help, as these workers do not have room for the whole gang.
             () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
-            // Room can be made at some of them.
-            () => (known, again),
+            // Room can be made on some of them.
+            () => (known, renewed),
         };
-        named.sort_by_cached_key(|fit| {
-            let away = job.home.as_ref().is_some_and(|home| fit.domain != *home);
-            (!fit.holds(spec, &charge), away, std::cmp::Reverse(fit.free.cpu))
+        selected.sort_by_cached_key(|fit| {
+            let is_remote = job.home.as_ref().is_some_and(|home| fit.domain != *home);
+            (!fit.holds(spec, &charge), is_remote, std::cmp::Reverse(fit.free.cpu))
         });
-        named.into_iter().take(most.min(MAX_REQUEST_WORKERS)).map(|fit| fit.name).collect()
+        selected.into_iter().take(limit.min(MAX_REQUEST_WORKERS)).map(|fit| fit.name).collect()
     }
 
-    /// The workers known to be cleared for a gang, if they have room for all of it: all tasks start
-    /// together, so all tickets have to hold together. Were only those named whose tickets have
-    /// run out, the tickets of others would run out meanwhile.
+    /// Selects cleared workers for a gang if they have room for all of it. All tasks of a gang
+    /// start together, so their tickets must be valid at the same time. If only expired tickets
+    /// were renewed, others would expire in the meantime.
     fn select_gang_workers(
         &self,
         now: Millis,
@@ -119,20 +121,20 @@
         let mut fits = self.known_good(now, key, spec);
         fits.retain(|fit| fit.holds(spec, &charge));
         fits.sort_by_cached_key(|fit| std::cmp::Reverse(fit.count(spec, &charge)));
-        let mut named = Vec::new();
+        let mut selected = Vec::new();
         let mut room = 0;
         for fit in fits.into_iter().take(MAX_REQUEST_WORKERS) {
-            // Some fill up before the answer is there.
+            // The margin is for workers that fill up before the answer arrives.
             if room >= remaining + MIN_RENEWED_WORKERS {
                 break;
             }
             room += fit.count(spec, &charge);
-            named.push(fit.name);
+            selected.push(fit.name);
         }
-        (room >= remaining).then_some(named)
+        (room >= remaining).then_some(selected)
     }
 
-    /// Hands waiting questions to entries that can ask them.
+    /// Assigns queued requests to idle entries.
     pub(in crate::cell) fn assign_requests(&mut self, now: Millis) {
         while let Some((entry, request)) = self.advice_queue.assign_next(now) {
             let job = self.jobs.get(&request.step.job);
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The advice service answered an entry, or `None`: it did not.
+    /// Handles the answer that an entry got from the advice service; `None` if there was none.
     pub fn handle_advice(
         &mut self,
         now: Millis,
@@ -165,12 +167,14 @@
         self.needs_placement = true;
     }
 
+    /// Stores the tickets and denials of an answer in the step.
     fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
-        let usual = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
-        let until = now + cleared.valid.unwrap_or(usual);
+        let default = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
+        let until = now + cleared.valid.unwrap_or(default);
         let Some(step) = job.step_mut(key) else { return };
-        // The answer may be about the life before.
+        // Workers that restarted since the request was queued are left out, because the answer may
+        // be about their previous process.
         let workers = &self.workers;
         let since = step.advised.since;
         let is_same =
@@ -183,25 +187,25 @@
         let advised = &mut step.advised;
         advised.asking = false;
         advised.again = now + REQUEST_INTERVAL;
-        let good: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
-        let denied = named.iter().filter(|name| !good.contains(*name) && is_same(name));
+        let allowed: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
+        let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
         advised.denied.extend(denied.cloned());
         for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
             advised.cleared.insert(name, Ticket { text, until });
         }
-        if good.is_empty() {
-            // All were denied: others are asked about at once.
+        if allowed.is_empty() {
+            // All workers were denied, so the next request may follow at once.
             advised.again = now;
         }
     }
 
-    /// A request got no answer from an entry: it may be asked again.
-    pub(in crate::cell) fn return_request(&mut self, key: StepKey, entry: &Name, why: &str) {
-        log::info!("event=advice-request-returned step={key} entry={entry} why={why}");
+    /// Handles a request for which an entry got no answer, so that it can be repeated.
+    pub(in crate::cell) fn return_request(&mut self, key: StepKey, entry: &Name, reason: &str) {
+        log::info!("event=advice-request-returned step={key} entry={entry} why={reason}");
         self.clear_request(key);
     }
 
-    /// A step has no request under way any more.
+    /// Records that a step has no request in progress.
     pub(in crate::cell) fn clear_request(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
@@ -210,7 +214,7 @@
         }
     }
 
-    /// A worker did not take a ticket.
+    /// Invalidates a ticket that a worker rejected.
     pub(in crate::cell) fn invalidate_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(ticket) = step.and_then(|step| step.advised.cleared.get_mut(name)) {
@@ -218,9 +222,10 @@
         }
     }
 
-    /// Tickets run out and pauses end: steps that wait are looked at again.
+    /// Returns overdue requests, and has waiting steps checked again, as tickets and request
+    /// intervals may have expired.
     pub(in crate::cell) fn expire_requests(&mut self, now: Millis) {
-        // A step whose answer was lost on its way was never asked about again.
+        // Without this, a step whose answer was lost would wait forever.
         for step in self.advice_queue.take_overdue(now) {
             let job = self.jobs.get(&step.job);
             let since = job.and_then(|job| job.step(step)).map(|state| state.advised.since);
@@ -236,7 +241,7 @@
     }
 }
 
-/// How many workers a request names so that naming them takes half as long as asking at all.
+/// The number of workers for which the per-worker time of a request is half of its base time.
 fn balanced_size(advice: Advice) -> usize {
     match advice.each {
         0 => MAX_REQUEST_WORKERS,
