--- a/src/cell/mechanism.rs
+++ b/src/cell/mechanism.rs
@@ -1,35 +1,36 @@
-//! Mechanisms that can be switched off, to measure what each of them is worth.
+//! Scheduling mechanisms that can be disabled, to measure the effect of each of them.
 
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A mechanism of the owner's decisions.
+/// A mechanism of the owner's scheduling decisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Workers on which runs fail or stand still get nothing new for a while.
+    /// Workers on which runs fail or make no progress get no new runs for a while.
     SidelineWorkers,
-    /// The first question about a step names busy workers too.
+    /// The first advice request of a step includes busy workers.
     RequestBusyWorkers,
-    /// Copies of tasks start where the caller allows it.
+    /// Slow tasks are started a second time on another worker if the caller allows it.
     SpeculativeCopies,
-    /// Workers and failure domains that leave something unanswered get nothing new.
+    /// Workers and failure domains that do not answer get no new runs.
     AvoidUnresponsive,
-    /// Room is gathered for gangs that find too little.
+    /// Room is set aside for gangs that do not find enough of it at once.
     GatherForGangs,
-    /// A job's tasks keep to one failure domain.
+    /// The tasks of a job prefer one failure domain.
     PreferDomain,
-    /// Less urgent tasks are stopped for more urgent ones.
+    /// Runs of less urgent tasks are stopped to make room for more urgent ones.
     Preemption,
-    /// Tasks that find no room keep some.
+    /// Room is reserved for tasks that wait for it.
     ReserveRoom,
-    /// What a workspace sends beyond its share comes after all else.
+    /// Jobs that a workspace submits beyond its share run after all other jobs.
     WorkspaceShares,
-    /// An owner hands the cell to a larger entry, or once it does not keep up.
+    /// An owner hands over the cell to a larger entry, or to any entry if it is overloaded.
     OwnershipTransfer,
 }
 
-const ALL: [(Mechanism, &str); 10] = [
+/// The name of each mechanism on the command line.
+const NAMES: [(Mechanism, &str); 10] = [
     (Mechanism::SidelineWorkers, "aside"),
     (Mechanism::RequestBusyWorkers, "ask-busy"),
     (Mechanism::SpeculativeCopies, "copies"),
@@ -42,20 +43,20 @@
     (Mechanism::OwnershipTransfer, "transfer"),
 ];
 
-/// A text names no mechanism.
+/// The error for a name that is not the name of a mechanism.
 #[derive(Debug, Error, PartialEq)]
 #[error(
-    "{0:?} is none of: aside, ask-busy, copies, doubt, gather, home, preempt, reserve, shares, \
-     transfer"
+    "unknown mechanism {0:?}, expected one of: aside, ask-busy, copies, doubt, gather, home, \
+     preempt, reserve, shares, transfer"
 )]
 pub struct MechanismError(String);
 
-/// The mechanisms that are switched off; none by default.
+/// The set of disabled mechanisms, which is empty by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DisabledMechanisms(u16);
 
 impl DisabledMechanisms {
-    /// Whether a mechanism is switched off.
+    /// Whether a mechanism is disabled.
     pub fn contains(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u16) != 0
     }
@@ -64,22 +65,22 @@
 impl FromStr for DisabledMechanisms {
     type Err = MechanismError;
 
-    /// Reads names with commas between them.
+    /// Parses a comma-separated list of names.
     fn from_str(text: &str) -> Result<Self, MechanismError> {
-        let mut off = Self::default();
+        let mut disabled = Self::default();
         for name in text.split(',') {
-            let found = ALL.iter().find(|(_, known)| *known == name);
+            let found = NAMES.iter().find(|(_, known)| *known == name);
             let (mechanism, _) = found.ok_or_else(|| MechanismError(name.to_string()))?;
-            off.0 |= 1 << *mechanism as u16;
+            disabled.0 |= 1 << *mechanism as u16;
         }
-        Ok(off)
+        Ok(disabled)
     }
 }
 
 impl fmt::Display for DisabledMechanisms {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let off = ALL.iter().filter(|(mechanism, _)| self.contains(*mechanism));
-        let names: Vec<&str> = off.map(|(_, name)| *name).collect();
+        let disabled = NAMES.iter().filter(|(mechanism, _)| self.contains(*mechanism));
+        let names: Vec<&str> = disabled.map(|(_, name)| *name).collect();
         f.write_str(&names.join(","))
     }
 }
