--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -1,7 +1,8 @@
-//! The owner's decisions on one cell of workers, as a plain state machine: no socket, no clock.
+//! The scheduling decisions of the owner of a cell, as a state machine without I/O and clocks.
 //!
-//! Events come in by methods that take the time; what has to be done is collected as [`Action`]s.
-//! What must outlast the owner is collected as [`Batch`]es for the platform's store.
+//! Events are passed in as method calls with the current time, and the resulting work is collected
+//! as [`Action`]s. Changes that must survive the owner are collected as [`Batch`]es for the
+//! platform's store.
 
 pub mod advice;
 pub mod jobs;
@@ -29,68 +30,72 @@
 use workers::run_times::RunTimes;
 use workers::worker::Worker;
 
-/// Runs of one epoch are numbered within this many bits, below the epoch's own number: so a new
-/// owner's runs are above all earlier ones without knowing them.
-const RUN_BITS: u32 = 10;
-/// Workers that hold up inherited tasks are logged after so long.
-const DOUBT_LOG: Millis = Millis(400);
-/// Figures of the platform that decisions rest on.
+/// The number of low bits of a run number that count the runs of an epoch. The bits above hold the
+/// epoch, so that the run numbers of a new owner exceed all earlier ones without knowing them.
+const RUN_NUMBER_BITS: u32 = 10;
+/// How long inherited tasks are held back before the workers that delay them are logged.
+const HOLDBACK_LOG_DELAY: Millis = Millis(400);
+
+/// The settings of a cell.
 #[derive(Debug, Clone, Copy)]
 pub struct CellConfig {
-    /// How long a run goes on without a renewal.
+    /// How long a run continues without a renewal of its lease.
     pub lease: Millis,
-    /// How long it may go on at most, as where a worker is asked for a time of another clock.
+    /// The longest time that a run can continue, for example if the worker was given a lease end on
+    /// another clock.
     pub max_lease: Millis,
-    /// How long the state of a closed job can be asked for.
+    /// How long the state of a closed job can be queried.
     pub job_retention: Millis,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that are disabled.
     pub disabled: DisabledMechanisms,
 }
 
-/// What has to be done.
+/// An action that the owner has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start a run, with a lease up to this time on the worker's clock.
+    /// Start a run with a lease until this time on the worker's clock.
     Start { worker: Name, start: Start, until: u64 },
     /// Stop a run.
     Stop { worker: Name, task: TaskKey, run: u64 },
-    /// Change the share at which a run works, in hundredths.
+    /// Change the speed of a run, in percent of its full speed.
     Pace { worker: Name, task: TaskKey, run: u64, percent: u32 },
-    /// Keep asking this worker for reports.
+    /// Start polling this worker for reports.
     Watch(Listed),
-    /// Stop asking this worker.
+    /// Stop polling this worker.
     Unwatch(Name),
-    /// A job, of a workspace or none, is not known any more; if it came from another cell, that one may forget it too.
+    /// A job, with its workspace if any, was removed. If another cell forwarded it, that cell may
+    /// remove it too.
     JobForgotten(JobKey, Option<Name>),
-    /// Ask this worker for a report at once.
+    /// Poll this worker for a report at once.
     PollNow(Name),
-    /// Have an entry ask the advice service.
+    /// Have an entry send a request to the advice service.
     RequestAdvice { entry: Name, request: AdviceRequest },
-    /// A worker has seen a higher fence: another entry owns the cell.
+    /// Stop acting as the owner: a worker has seen a higher fencing token, so another entry owns
+    /// the cell.
     Deposed,
 }
 
-/// What callers see of a job.
+/// The state of a job as shown to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Nothing of it has run.
+    /// No task of the job has been started.
     Queued,
-    /// It runs.
+    /// Tasks of the job have been started.
     Active,
-    /// It ended.
+    /// The job ended.
     Closed(JobOutcome),
 }
 
-/// A call for the report of a worker.
+/// The parameters of a call that asks a worker for a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportCall {
-    /// The highest end that is confirmed.
+    /// The highest sequence number of an end of a run that the owner has stored.
     pub confirmed: u64,
-    /// When its lease ends on the worker's clock; `None` until that clock is known.
+    /// When the worker's lease ends on its clock; `None` until that clock is known.
     pub lease_end: Option<u64>,
 }
 
-/// A cell at its owner.
+/// The state of a cell at its owner.
 #[derive(Debug)]
 pub struct Cell {
     epoch: u64,
@@ -98,70 +103,71 @@
     queues: HashMap<Name, Arc<Queue>>,
     jobs: BTreeMap<JobKey, Job>,
     workers: BTreeMap<Name, Worker>,
-    /// How long runs take, by queue.
+    /// The durations of runs, by queue.
     run_times: HashMap<Name, RunTimes>,
     /// Steps with tasks that need a worker, the most urgent first.
     ready_steps: BTreeSet<(u32, Millis, StepKey)>,
-    /// Steps whose time has not come, by the wall clock.
+    /// Steps that are scheduled for later, by wall-clock time.
     start_timers: BTreeSet<(Millis, StepKey)>,
-    /// Jobs that run in another cell, with the batch that keeps that.
+    /// Jobs that were forwarded to another cell, with the cell and the batch with that record.
     forwarded: HashMap<JobKey, (u32, u64)>,
-    /// Jobs that are not in the store yet, by batch.
+    /// Jobs that are not stored yet, in the order of their batches.
     unstored_jobs: VecDeque<(u64, JobKey)>,
-    /// Closed jobs in the order of their ends.
+    /// Closed jobs in the order in which they ended.
     closed_jobs: VecDeque<JobKey>,
     advice_queue: AdviceQueue,
-    /// Room that is kept for steps that are about to start.
+    /// Room that is reserved for steps that are about to start.
     reservations: Reservations,
-    /// What workspaces have running, and may.
+    /// The running tasks of each workspace and its limits.
     usages: Usages,
-    /// What workspaces may still send within their shares.
+    /// How much each workspace may still submit within its share.
     shares: Shares,
-    /// Lives of workers that may have ended.
+    /// Worker processes that may have crashed.
     unconfirmed_crashes: jobs::crash::Unconfirmed,
-    /// Lives of workers that are over and may be listed still, with when they were found to be.
+    /// Worker processes that have ended but may still be listed, with when the end was noticed.
     ended_lives: BTreeMap<Life, Millis>,
-    /// Jobs with something new against their tasks.
+    /// Jobs whose counts of crashes have changed.
     recount_jobs: BTreeSet<JobKey>,
-    /// Crashes of workers and what became of them, since the takeover.
+    /// Counts of worker crashes by their outcome, since the takeover.
     crash_counts: jobs::crash::Counts,
-    /// Waits that a deadline ended, and not the event that they were for, since the takeover.
+    /// The number of waits that timed out before the awaited event occurred, since the takeover.
     expired_waits: u64,
-    /// Jobs whose workspace is in the store.
+    /// Jobs whose workspace is stored.
     stored_workspaces: BTreeSet<JobKey>,
-    /// Jobs with something to write.
+    /// Jobs with changes that have to be stored.
     dirty_jobs: BTreeSet<JobKey>,
-    /// The set of workers in use has to be written.
+    /// Whether the list of workers in use has to be stored.
     workers_dirty: bool,
-    /// The batch that is being collected.
+    /// The number of the batch that is being collected.
     open_batch: u64,
-    /// All batches up to this one are in the store.
+    /// The number of the batch up to which everything is stored.
     stored_batch: u64,
-    /// The owner's processor does not keep up: answers may lie unread here.
+    /// Whether the owner is overloaded, so that it may have answers that it has not read yet.
     is_overloaded: bool,
-    /// The list of workers was last read before a pause of the owner.
+    /// Whether the list of workers was last read before a pause of the owner.
     list_stale: bool,
-    /// When the first of the workers that steps wait for has stayed up for long enough.
+    /// When the first of the workers that steps wait for will have been up for long enough.
     next_settled: Option<Millis>,
-    /// Something changed that may let a task be placed.
+    /// Whether something changed that may allow another task to be placed.
     needs_placement: bool,
-    /// Earlier owners may have started tasks that no record tells of: inherited tasks are held back
-    /// until all their workers are known.
+    /// Set while earlier owners may have started runs that are not recorded. Inherited tasks are
+    /// held back until the state of all workers is known.
     unrecorded_starts: Option<LongWait>,
-    /// Starts that wait for the batch with their binding, in order.
+    /// Starts that wait until the batch with their assignment is stored, in order, with the worker.
     unsent_starts: VecDeque<(u64, Name, Start)>,
     actions: Vec<Action>,
 }
 
 impl Cell {
-    /// Takes over what the store holds; `epoch` is higher than that of any earlier owner. With
-    /// `doubt`, an earlier owner may have started tasks while the store was away.
+    /// Creates the cell from the records in the store. `epoch` is higher than that of any earlier
+    /// owner. `unrecorded_starts` tells whether an earlier owner may have started tasks while the
+    /// store was unavailable.
     pub fn new(
         epoch: u64,
         config: CellConfig,
         queues: HashMap<Name, Arc<Queue>>,
         snapshot: Snapshot,
-        doubt: bool,
+        unrecorded_starts: bool,
         now: Millis,
     ) -> Self {
         let mut cell = Self {
@@ -194,7 +200,7 @@
             list_stale: false,
             next_settled: None,
             needs_placement: true,
-            unrecorded_starts: doubt.then(|| LongWait::new(now, DOUBT_LOG)),
+            unrecorded_starts: unrecorded_starts.then(|| LongWait::new(now, HOLDBACK_LOG_DELAY)),
             unsent_starts: VecDeque::new(),
             actions: Vec::new(),
         };
@@ -202,48 +208,54 @@
         cell
     }
 
-    /// The owner's epoch.
+    /// The epoch of the owner.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The batch up to which all is in the store.
+    /// The number of the batch up to which everything is stored.
     pub fn stored_batch(&self) -> u64 {
         self.stored_batch
     }
 
-    /// The life of a worker that is known here.
+    /// The current process of a worker, if the worker is known.
     pub fn worker_life(&self, worker: &Name) -> Option<Life> {
         self.workers.get(worker).map(Worker::life)
     }
 
-    /// Whether a worker is known to be another life than `life` by now. One whose start was not known is not.
+    /// Whether a worker is known to have restarted since `life`. Returns false if either start time
+    /// is unknown.
     pub fn has_restarted(&self, life: &Life) -> bool {
         self.worker_life(&life.id).is_some_and(|now| now.differs(life))
     }
 
-    /// Where a worker is called.
+    /// The address at which a worker is called.
     pub fn worker_addr(&self, worker: &Name) -> Option<Name> {
         self.workers.get(worker).map(|worker| worker.listed.addr.clone())
     }
 
-    /// Whether something is not in the store yet.
+    /// Whether there are changes that are not stored yet.
     pub fn has_unstored(&self) -> bool {
         !self.dirty_jobs.is_empty() || self.workers_dirty || self.stored_batch + 1 < self.open_batch
     }
 
-    /// Whether the owner's processor does not keep up. Then an answer that did not come says nothing of
-    /// the worker. It would take workers for lost that had answered, and start tasks again that
+    /// Sets whether the owner is overloaded. A missing answer then says nothing about the worker:
+    /// otherwise the owner would consider workers lost that had answered, and restart tasks that
     /// were done there.
-    pub fn set_overloaded(&mut self, is_late: bool) {
-        self.is_overloaded = is_late;
+    pub fn set_overloaded(&mut self, is_overloaded: bool) {
+        self.is_overloaded = is_overloaded;
     }
 
-    /// The owner did not run for seconds. What it believes of workers is too old: their room may have shrunk,
-    /// their runs may have ended. Nothing starts before the list of them is read again, at those that have
-    /// reported since; starts that wait for the store are given up.
+    /// Handles a pause of seconds in which the owner's process did not run. Its state of the
+    /// workers is outdated, as their room may have shrunk and their runs may have ended. No run is
+    /// started before the list of workers is read again, and then only on workers that have
+    /// reported since. Starts that wait for the store are given up.
     pub fn resume_after_pause(&mut self, now: Millis) {
-        log::info!("event=beliefs-too-old epoch={} workers={}", self.epoch, self.workers.len());
+        log::info!(
+            "event=worker-state-outdated epoch={} workers={}",
+            self.epoch,
+            self.workers.len()
+        );
         self.list_stale = true;
         for (name, worker) in &mut self.workers {
             worker.doubt(now);
@@ -255,14 +267,15 @@
         }
     }
 
-    /// Starts that were decided and not sent are given up, for another entry may own the cell by now. A worker that has
-    /// started again since knows no higher fence: it would run what runs elsewhere.
-    pub fn give_up_starts(&mut self, why: &str) {
+    /// Gives up starts that were decided but not sent, because another entry may own the cell by
+    /// now. A worker that has restarted since does not know a higher fencing token, and would run a
+    /// task that already runs elsewhere.
+    pub fn give_up_starts(&mut self, reason: &str) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Start { worker, start, .. } => {
                     let (task, run) = (start.task, start.run);
-                    log::info!("event=start-given-up task={task} worker={worker} why={why}");
+                    log::info!("event=start-given-up task={task} worker={worker} why={reason}");
                     self.lose(&worker, task, run);
                 }
                 action => self.actions.push(action),
@@ -270,12 +283,12 @@
         }
     }
 
-    /// What has to be done since the last call.
+    /// Returns the actions that were collected since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Another version of the policy is in force.
+    /// Replaces the queues after a change of the policy.
     pub fn set_queues(&mut self, queues: HashMap<Name, Arc<Queue>>) {
         for job in self.jobs.values_mut() {
             if let Some(queue) = queues.get(&job.queue.name) {
@@ -287,8 +300,8 @@
         self.needs_placement = true;
     }
 
-    /// A caller submits a job: the batch that has to be in the store before it is accepted. The
-    /// same key again is the same job. `None`: there is no such queue here.
+    /// Submits a job. Returns the batch that has to be stored before the job is accepted, or `None`
+    /// if there is no such queue. Submitting the same key again refers to the same job.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -299,7 +312,7 @@
         self.submit_for_workspace(now, key, queue, work, None)
     }
 
-    /// As [`Self::submit`], for a workspace.
+    /// Submits a job as [`Self::submit`] does, on behalf of a workspace.
     pub fn submit_for_workspace(
         &mut self,
         now: Millis,
@@ -321,22 +334,22 @@
         let is_beyond = workspace.as_ref().is_some_and(|name| self.exceeds_share(now, name));
         let job = Job { workspace, is_beyond, ..Job::new(queue, work, now, self.open_batch) };
         self.jobs.insert(key, job);
-        // Its first steps ask and find workers while its record is written, and start once that is kept: with a slow
-        // store a short job has no time to wait for one write more.
+        // The first steps look for workers while the job's record is written, and start once that
+        // is stored. With a slow store, a short job has no time to wait for a second write.
         self.open_job(now, key);
         self.unstored_jobs.push_back((self.open_batch, key));
         self.dirty_jobs.insert(key);
         Some(self.open_batch)
     }
 
-    /// The batch that has to be in the store before a job is accepted, or sent to another cell.
+    /// The batch that has to be stored before a job is accepted, or sent to another cell.
     pub fn job_batch(&self, key: JobKey) -> Option<u64> {
         let forwarded = self.forwarded.get(&key).map(|(_, batch)| *batch);
         self.jobs.get(&key).map(|job| job.batch).or(forwarded)
     }
 
-    /// A caller withdraws a job: the batch that has to be in the store before it is told so.
-    /// `None`: there is no such job.
+    /// Cancels a job. Returns the batch that has to be stored before the caller is told, or `None`
+    /// if there is no such job.
     pub fn cancel(&mut self, now: Millis, key: JobKey) -> Option<u64> {
         let job = self.jobs.get(&key)?;
         if job.is_open() {
@@ -346,38 +359,40 @@
         Some(batch)
     }
 
-    /// What callers see of a job. An end is shown once it is in the store.
+    /// The state of a job as shown to callers. The end of a job is shown once it is stored.
     pub fn job_state(&self, key: JobKey) -> Option<JobState> {
         let job = self.jobs.get(&key)?;
         Some(match job.closed {
-            Some((fate, batch, _)) if batch <= self.stored_batch => JobState::Closed(fate),
+            Some((outcome, batch, _)) if batch <= self.stored_batch => JobState::Closed(outcome),
             None if !job.bound => JobState::Queued,
             _ => JobState::Active,
         })
     }
 
-    /// Whether a caller of a workspace may ask for a job: it is of that workspace or of none, or the caller of none, as
-    /// on a queue that is open to all.
+    /// Whether a caller may query a job. A job and a caller that both have a workspace must have
+    /// the same one; a caller without a workspace uses a queue that allows anonymous callers.
     pub fn is_visible(&self, key: JobKey, workspace: Option<&Name>) -> bool {
         let owner = self.jobs.get(&key).and_then(|job| job.workspace.as_ref());
         owner.is_none() || workspace.is_none() || owner == workspace
     }
 
-    /// Accepted jobs of a queue of which nothing is known to have run: starts may lie behind a cut.
+    /// The number of accepted jobs of a queue of which no run has been confirmed. Their starts may
+    /// have been sent to workers that are unreachable.
     pub fn pending_jobs(&self, queue: &str) -> u32 {
-        let waits = |job: &&Job| {
+        let is_pending = |job: &&Job| {
             job.is_open()
                 && !job.has_run
                 && job.batch <= self.stored_batch
                 && *job.queue.name == *queue
         };
-        self.jobs.values().filter(waits).count() as u32
+        self.jobs.values().filter(is_pending).count() as u32
     }
 
-    /// An entry can ask the advice service from now on. It may have connected anew before its
-    /// earlier connection was noticed as broken: without asking its question again, the step would
-    /// wait for good. `is_home`: it belongs to this cell; others are asked only while there is no
-    /// such entry, for the service takes one question at a time from each.
+    /// Adds an entry that can send requests to the advice service. If it reconnects before its
+    /// earlier connection was found broken, its pending request is returned, because the step would
+    /// otherwise wait forever. `is_home` tells whether the entry belongs to this cell. Other
+    /// entries are used only while there is none, because the service processes one request at a
+    /// time from each.
     pub fn add_entry(&mut self, entry: Name, is_home: bool) {
         if let Some(step) = self.advice_queue.add_client(entry.clone(), is_home) {
             self.return_request(step, &entry, "connected-again");
@@ -385,14 +400,14 @@
         self.needs_placement = true;
     }
 
-    /// An entry cannot any more.
+    /// Removes an entry that can no longer send requests to the advice service.
     pub fn remove_entry(&mut self, entry: &Name) {
         if let Some(step) = self.advice_queue.remove_client(entry) {
             self.return_request(step, entry, "disconnected");
         }
     }
 
-    /// Counts for logs and metrics.
+    /// Statistics for logs and metrics.
     pub fn stats(&self) -> CellStats {
         let runs = self.workers.values().map(|worker| worker.runs.len()).sum();
         let open = self.jobs.values().filter(|job| job.is_open()).count();
@@ -409,21 +424,21 @@
     }
 }
 
-/// Counts of a cell.
+/// Statistics of a cell.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CellStats {
-    /// Open jobs.
+    /// The number of open jobs.
     pub open_jobs: usize,
-    /// Runs whose room is taken.
+    /// The number of runs that take room on workers.
     pub runs: usize,
-    /// Steps with tasks that need a worker.
+    /// The number of steps with tasks that need a worker.
     pub ready_steps: usize,
-    /// Workers in use.
+    /// The number of workers in use.
     pub workers: usize,
-    /// Workers that answered their last call.
+    /// The number of workers that answered their last call.
     pub reachable_workers: usize,
-    /// Crashes, since the takeover.
+    /// Counts of worker crashes since the takeover.
     pub crash_counts: jobs::crash::Counts,
-    /// Waits that a deadline ended, since the takeover.
+    /// The number of waits that timed out since the takeover.
     pub expired_waits: u64,
 }
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -9,7 +9,7 @@
 use crate::cell::placing::place::{Fit, Need, count_at, is_suitable, pick, pick_gang};
 use crate::cell::placing::pressure::Pressure;
 use crate::cell::workers::worker::{Phase, Run, Worker};
-use crate::cell::{Action, Cell, RUN_BITS};
+use crate::cell::{Action, Cell, RUN_NUMBER_BITS};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::Start;
@@ -248,7 +248,7 @@
             let task = step?.tasks.get(index as usize)?;
             Some(task.runs)
         });
-        (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
+        (self.epoch << RUN_NUMBER_BITS).max(runs.max().unwrap_or(0)) + 1
     }
 
     /// Takes the room for a run and has it started as soon as the store knows of it.
