--- a/src/cell/advising/mod.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! What the advice service is asked (`clearance`), and by which entry (`advice`).
-
-pub mod advice;
-pub(super) mod clearance;
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -317,7 +317,7 @@
     /// The stored record of the job.
     pub fn record(&self) -> JobRecord {
         match self.closed {
-            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome: fate },
+            Some((outcome, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome },
             None => JobRecord::Open { queue: (*self.queue).clone(), work: self.work.clone() },
         }
     }
@@ -338,11 +338,11 @@
         let step_count = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
         let notes = steps.flat_map(|(index, step)| {
-            let place = ((index / step_count) as u32, (index % step_count) as u16);
+            let step_index = ((index / step_count) as u32, (index % step_count) as u16);
             let tasks = step.tasks.iter().enumerate();
             let with_crashes = tasks.filter(|(_, task)| !task.crashes.is_empty());
             with_crashes.map(move |(index, task)| TaskCrashes {
-                step_index: place,
+                step_index,
                 index: index as u32,
                 crashes: task.crashes.clone(),
             })
@@ -398,14 +398,14 @@
     }
 
     /// The stored record of the step's progress; `place` is the repetition and the step.
-    fn progress_note(&self, place: (u32, u16)) -> StepProgress {
+    fn progress_note(&self, step_index: (u32, u16)) -> StepProgress {
         const BITS_PER_BYTE: usize = 8;
-        let mut note = StepProgress { step_index: place, ..StepProgress::default() };
+        let mut note = StepProgress { step_index, ..StepProgress::default() };
         if self.unfinished < self.tasks.len() as u32 {
             note.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
-            let bound = match &task.status {
+            let assignment = match &task.status {
                 TaskStatus::Done => {
                     if let Some(byte) = note.done.get_mut(index / BITS_PER_BYTE) {
                         *byte |= 1 << (index % BITS_PER_BYTE);
@@ -415,13 +415,13 @@
                 TaskStatus::Placed { worker, run } => Some((*run, worker.clone())),
                 TaskStatus::Waiting => None,
             };
-            if bound.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
-                let (failed, saved) = (task.failed_runs.clone(), task.checkpoint.clone());
+            if assignment.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
+                let (failed, checkpoint) = (task.failed_runs.clone(), task.checkpoint.clone());
                 note.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
-                    checkpoint: saved,
-                    assignment: bound,
+                    checkpoint,
+                    assignment,
                 });
             }
         }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -38,8 +38,8 @@
             let workspace = snapshot.workspaces.get(&key).cloned();
             match record {
                 JobRecord::Forwarded { cell } => drop(self.forwarded.insert(key, (cell, 0))),
-                JobRecord::Closed { queue, outcome: fate } => {
-                    let job = Job::ended(self.queue_or_placeholder(queue), fate, now);
+                JobRecord::Closed { queue, outcome } => {
+                    let job = Job::ended(self.queue_or_placeholder(queue), outcome, now);
                     self.jobs.insert(key, Job { workspace, ..job });
                     self.closed_jobs.push_back(key);
                 }
@@ -324,7 +324,7 @@
         if self.reservations.expire(now) {
             self.needs_placement = true;
         }
-        self.expire_questions(now);
+        self.expire_requests(now);
     }
 
     /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its leases have expired:
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -1,6 +1,6 @@
 //! The scheduling pass: places the tasks of waiting steps on workers, and sends the start orders.
 
-use crate::cell::advising::clearance::TICKET_SPARE;
+use crate::cell::advice::request::MIN_TICKET_VALIDITY;
 use crate::cell::jobs::job::{Job, StepState};
 use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::jobs::restart_policy::{is_paused, needs_stable_worker};
@@ -11,7 +11,7 @@
 };
 use crate::cell::placing::relaxation::Relaxation;
 use crate::cell::workers::worker::{Phase, Run, Worker};
-use crate::cell::{Action, Cell, RUN_BITS};
+use crate::cell::{Action, Cell, RUN_NUMBER_BITS};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::Start;
@@ -30,7 +30,7 @@
         for key in ready {
             self.place_step(now, key);
         }
-        self.ask_next(now);
+        self.assign_requests(now);
     }
 
     /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes why
@@ -51,7 +51,7 @@
         // Most steps wait for a response of the advice service most of the time. Stop early for them.
         let awaits_advice =
             advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
-        if awaits_advice && !step.clearances.has_any_ticket(now + TICKET_SPARE) {
+        if awaits_advice && !step.clearances.has_any_ticket(now + MIN_TICKET_VALIDITY) {
             let why = self.wait_reason(now, key, &[]);
             return self.set_wait_reason(now, key, why);
         }
@@ -91,7 +91,7 @@
                     self.ready_steps.remove(&(priority, due, key));
                 }
             }
-            Some(advice) if unplaced > 0 => self.question(now, key, &spec, advice, unplaced),
+            Some(advice) if unplaced > 0 => self.request_advice(now, key, &spec, advice, unplaced),
             _ => {}
         }
         let why = self.wait_reason(now, key, &candidates).map(|why| match why {
@@ -123,7 +123,7 @@
         step: &StepState,
         spec: &Step,
     ) -> Vec<Candidate> {
-        let tickets = step.clearances.ticket_holders(now + TICKET_SPARE);
+        let tickets = step.clearances.ticket_holders(now + MIN_TICKET_VALIDITY);
         let cleared = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.filter_candidates(now, key, job, spec, cleared)
     }
@@ -281,7 +281,7 @@
             let task = step?.tasks.get(index as usize)?;
             Some(task.last_run)
         });
-        (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
+        (self.epoch << RUN_NUMBER_BITS).max(runs.max().unwrap_or(0)) + 1
     }
 
     /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding is
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -45,7 +45,7 @@
                 self.mark_unreachable(now, name);
             }
             Outcome::Refused(Refusal::Ticket) => {
-                self.drop_ticket(task.step, name);
+                self.invalidate_ticket(task.step, name);
                 self.abandon_run(name, task, run);
             }
             Outcome::Refused(
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -29,13 +29,13 @@
     pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<ReportCall> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(name)?;
-        let until =
+        let lease_end =
             if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
         // The worker may have restarted. An incarnation that is told the last end of the previous one would drop ends that
         // were never received. A lease end by the clock of the previous one does no harm: the worker shortens it to the
         // longest lease.
-        let seen = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
-        Some(ReportCall { confirmed: seen, lease_end: until })
+        let confirmed = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
+        Some(ReportCall { confirmed, lease_end })
     }
 
     /// The batch that must be in the store before all ends received from a worker can be confirmed to it.
--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -1,7 +1,7 @@
 //! The cells of the fleet, and the map that assigns workers and jobs to them: every entry reads the
 //! map from the store, and the first one writes it.
 
-use crate::cell::owner::map::CellMap;
+use crate::cell::owner::cell_map::CellMap;
 use crate::clock::Millis;
 use crate::id::{Name, hash};
 use crate::node::view::CellView;
@@ -42,8 +42,8 @@
 impl Cells {
     /// The home cell of a job: that of its workspace if it has one, otherwise that of its key.
     pub fn of_job(&self, job: JobKey, workspace: Option<&Name>) -> Option<&Arc<CellView>> {
-        let of_job = || self.map.of_job(job);
-        let cell = workspace.map_or_else(of_job, |name| self.map.of_workspace(name));
+        let of_job = || self.map.cell_of_job(job);
+        let cell = workspace.map_or_else(of_job, |name| self.map.cell_of_workspace(name));
         self.views.get(cell as usize)
     }
 
@@ -81,10 +81,10 @@
             }
             tokio::time::sleep(STORE_RETRY_DELAY.duration()).await;
         };
-        let home = map.of_entry(&self.id.name);
-        log::info!("event=cell-map-loaded count={} home={home}", map.cells());
-        let view = |cell| Arc::new(CellView::new(self.clone(), cell, map.cells(), cell == home));
-        let views: Vec<Arc<CellView>> = (0..map.cells()).map(view).collect();
+        let home = map.cell_of_entry(&self.id.name);
+        log::info!("event=cell-map-loaded count={} home={home}", map.cell_count());
+        let view = |cell| Arc::new(CellView::new(self.clone(), cell, map.cell_count(), cell == home));
+        let views: Vec<Arc<CellView>> = (0..map.cell_count()).map(view).collect();
         for view in &views {
             view.follow();
         }
@@ -115,7 +115,7 @@
         let bytes = bytes.map_err(|err| StoreError::Malformed(err.to_string()))?;
         let mut body = BytesMut::new();
         encode_keyed(&mut body, MAP_KEY, &bytes);
-        let cells = map.cells();
+        let cells = map.cell_count();
         match self
             .store
             .append(MAP_PART, Precondition::End(end), body.freeze(), WRITE_TIMEOUT)
--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -1,7 +1,7 @@
 //! The claims on a cell in the platform's log: reading them, claiming the cell, and sending
 //! heartbeats as its owner.
 
-use crate::cell::owner::election::{BEAT, Leader, Record};
+use crate::cell::owner::election::{ElectionRecord, HEARTBEAT_INTERVAL, Leader};
 use crate::clock::Millis;
 use crate::id::hash;
 use crate::node::view::CellView;
@@ -63,12 +63,12 @@
 
     /// Reads new records once, waiting up to `wait` for the first one.
     async fn read_claims(&self, wait: Millis, timeout: Millis) -> Result<(), StoreError> {
-        let from = lock(&self.election).end();
+        let from = lock(&self.election).next_offset();
         let mut topic = TOPIC.to_string();
         let part = self.partition(&mut topic);
         let read = match self.node.store.read(part, from, wait, timeout).await {
             Err(StoreError::Gone(first)) => {
-                lock(&self.election).skip(first);
+                lock(&self.election).skip_to(first);
                 return Ok(());
             }
             read => read?,
@@ -78,14 +78,14 @@
             let mut election = lock(&self.election);
             election.caught_up(now);
             for (offset, bytes) in read.records {
-                match postcard::from_bytes::<Record>(&bytes) {
-                    Ok(record) => election.add(now, offset, record),
+                match postcard::from_bytes::<ElectionRecord>(&bytes) {
+                    Ok(record) => election.apply(now, offset, record),
                     Err(err) => {
                         log::warn!(
                             "event=claim-unreadable cell={} offset={offset} error={err:?}",
                             self.cell
                         );
-                        election.skip(offset + 1);
+                        election.skip_to(offset + 1);
                     }
                 }
             }
@@ -139,7 +139,7 @@
             }
             let own_epoch = {
                 let election = lock(&self.election);
-                election.leader().filter(|_| election.is_mine()).map(|leader| leader.epoch)
+                election.leader().filter(|_| election.is_owner()).map(|leader| leader.epoch)
             };
             match own_epoch {
                 Some(epoch) if epoch > last_epoch => {
@@ -162,12 +162,12 @@
         let delay = self.extra_claim_delay();
         let end = {
             let mut election = lock(&self.election);
-            election.set_handicap(delay);
-            election.claim(self.now())
+            election.set_extra_delay(delay);
+            election.try_claim(self.now())
         };
         let Some(end) = end else { return };
         let (owner, addr) = (self.node.id.clone(), self.node.settings.advertised_addr.clone());
-        let record = Record::Claim { owner, addr };
+        let record = ElectionRecord::Claim { owner, addr };
         let cell = self.cell;
         match self.append_claim(end, &record, APPEND_TIMEOUT).await {
             Ok(()) => log::info!("event=cell-claimed cell={cell} end={end}"),
@@ -190,7 +190,7 @@
     async fn append_claim(
         &self,
         end: u64,
-        record: &Record,
+        record: &ElectionRecord,
         timeout: Millis,
     ) -> Result<(), StoreError> {
         let bytes = postcard::to_stdvec(record);
@@ -201,7 +201,7 @@
         let part = self.partition(&mut topic);
         let appended =
             self.node.store.append(part, Precondition::End(end), body.freeze(), timeout).await?;
-        lock(&self.election).add(self.now(), appended.offset, record.clone());
+        lock(&self.election).apply(self.now(), appended.offset, record.clone());
         let leader = lock(&self.election).leader().cloned();
         self.set_leader(leader);
         Ok(())
@@ -212,18 +212,18 @@
         let mut timeout = APPEND_TIMEOUT;
         while self.is_leader(epoch) && !self.has_ended_epoch(epoch) {
             let sent = self.now();
-            let end = lock(&self.election).end();
+            let end = lock(&self.election).next_offset();
             let (owner, addr) = (self.node.id.clone(), self.node.settings.advertised_addr.clone());
             let largest = self.local_owner_in(epoch).map_or(0, |owner| owner.largest_peer_cpu());
-            let most = largest.max(self.node.settings.millicores);
-            let heartbeat = Record::Beat { epoch, owner, addr, most };
+            let largest_cpu = largest.max(self.node.settings.millicores);
+            let heartbeat = ElectionRecord::Heartbeat { epoch, owner, addr, largest_cpu };
             match self.append_claim(end, &heartbeat, timeout).await {
                 Ok(()) => {
                     timeout = APPEND_TIMEOUT;
                     if let Some(owner) = self.local_owner_in(epoch) {
                         owner.confirm_heartbeat(sent);
                     }
-                    tokio::time::sleep(BEAT.duration()).await;
+                    tokio::time::sleep(HEARTBEAT_INTERVAL.duration()).await;
                 }
                 Err(StoreError::EndMismatch(_)) => {
                     tokio::time::sleep(CONFLICT_RETRY_DELAY.duration()).await
@@ -245,10 +245,10 @@
 
     /// Appends a record that gives up the cell, so that another entry claims it at once. The append
     /// is retried if it fails, for example because a heartbeat was appended first.
-    pub(super) async fn release(&self, record: Record, epoch: u64) {
+    pub(super) async fn release(&self, record: ElectionRecord, epoch: u64) {
         let deadline = self.now() + RELEASE_TIMEOUT;
         while self.is_leader(epoch) && self.now() < deadline {
-            let end = lock(&self.election).end();
+            let end = lock(&self.election).next_offset();
             match self.append_claim(end, &record, APPEND_TIMEOUT).await {
                 Ok(()) => {
                     return log::info!("event=cell-released cell={} epoch={epoch}", self.cell);
--- a/src/node/connection.rs
+++ b/src/node/connection.rs
@@ -180,7 +180,7 @@
             Ok(Err(err)) => {
                 log::debug!("event=owner-unreachable owner={} error={err:?}", leader.owner);
                 if err.kind() == io::ErrorKind::ConnectionRefused {
-                    lock(&self.election).miss(leader.epoch);
+                    lock(&self.election).record_absence(leader.epoch);
                     self.claim_wake.notify_one();
                 }
                 return;
@@ -254,7 +254,7 @@
                     self.connection.send_replace(Some(connection.clone()));
                 }
                 Frame { id: 0, body: OwnerMessage::Refused(_) } => {
-                    lock(&self.election).miss(leader.epoch);
+                    lock(&self.election).record_absence(leader.epoch);
                     self.claim_wake.notify_one();
                     tokio::time::sleep(RETRY_DELAY.duration()).await;
                     return Ok(());
@@ -272,7 +272,7 @@
                 }
                 Frame { id: 0, body: OwnerMessage::SteppedDown { epoch } } => {
                     log::info!("event=owner-stepped-down owner={} epoch={epoch}", leader.owner);
-                    lock(&self.election).step_down(epoch);
+                    lock(&self.election).record_step_down(epoch);
                     self.claim_wake.notify_one();
                 }
                 Frame { id: 0, body: OwnerMessage::AskAdvice { step, workers, cost } } => {
@@ -331,7 +331,7 @@
             }
             let log_readable = !self.node.is_log_unreadable();
             if !log_readable {
-                lock(&self.node.history).note_lost(self.now());
+                lock(&self.node.history).record_loss(self.now());
             }
             connection
                 .frames
--- a/src/node/http_server.rs
+++ b/src/node/http_server.rs
@@ -1,7 +1,7 @@
 //! The HTTP servers of an entry: jobs for callers, readiness for the balancer, and metrics.
 
-use crate::cell::owner::access::{Access, access, is_fresh};
-use crate::cell::owner::admission::LEAST;
+use crate::cell::owner::access::{Access, authorize, is_policy_fresh};
+use crate::cell::owner::retry::MIN_RETRY_SECONDS;
 use crate::clock::Millis;
 use crate::node::Node;
 use crate::node::job_call::{JobCall, pending};
@@ -126,20 +126,24 @@
 ) -> (&'static str, Reply) {
     let policy = node.policy();
     if policy.version == 0 {
-        return ("none", Reply::Busy { after: LEAST });
+        return ("none", Reply::Busy { after: MIN_RETRY_SECONDS });
     }
     let path = request.uri().path().to_string();
     let age = node.policy_age();
     let Some(route) = policy.route(host(&request), &path) else {
         // If the policy here may be outdated, the queue may have been added since.
-        let reply = if is_fresh(age) { Reply::NoQueue } else { Reply::Busy { after: LEAST } };
+        let reply = if is_policy_fresh(age) {
+            Reply::NoQueue
+        } else {
+            Reply::Busy { after: MIN_RETRY_SECONDS }
+        };
         return ("none", reply);
     };
-    let workspace = match node.access(&policy, route, api_key(&request), age) {
+    let workspace = match node.authorize(&policy, route, api_key(&request), age) {
         Access::Granted(workspace) => workspace.map(|workspace| workspace.name.clone()),
         denied => {
             let reply = match denied {
-                Access::Unsure => Reply::Busy { after: LEAST },
+                Access::Unknown => Reply::Busy { after: MIN_RETRY_SECONDS },
                 _ => Reply::InvalidKey,
             };
             log::info!(
@@ -152,7 +156,7 @@
         }
     };
     let Some(cells) = node.cells() else {
-        return ("none", Reply::Busy { after: LEAST });
+        return ("none", Reply::Busy { after: MIN_RETRY_SECONDS });
     };
     let requested = deadline(&request).unwrap_or(DEFAULT_TIMEOUT);
     let wait = if route.timeout.0 > 0 { requested.min(route.timeout) } else { requested };
@@ -176,11 +180,11 @@
 
 impl Node {
     /// Whether a caller may use a route with its key.
-    fn access(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
+    fn authorize(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
         // The settings count too: otherwise a policy that was written without workspaces would
         // admit everybody.
         match policy.requires_keys || self.settings.has_workspaces {
-            true => access(&policy.workspaces, route.is_anonymous, key, age),
+            true => authorize(&policy.workspaces, route.is_anonymous, key, age),
             false => Access::Granted(None),
         }
     }
@@ -190,7 +194,7 @@
 pub(super) async fn handle_ready(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.is_ready() {
         true => Reply::Accepted.response(),
-        false => Reply::Busy { after: LEAST }.response(),
+        false => Reply::Busy { after: MIN_RETRY_SECONDS }.response(),
     }
 }
 
@@ -200,7 +204,7 @@
         Ok(text) => Response::new(Full::from(text)),
         Err(err) => {
             log::warn!("event=metrics-failed error={err:?}");
-            Reply::Busy { after: LEAST }.response()
+            Reply::Busy { after: MIN_RETRY_SECONDS }.response()
         }
     }
 }
--- a/src/node/job_call.rs
+++ b/src/node/job_call.rs
@@ -2,7 +2,7 @@
 //! jobs that wait.
 
 use crate::cell::JobState;
-use crate::cell::owner::admission::{self, retry_after};
+use crate::cell::owner::retry::{self, retry_after};
 use crate::cell::records::journal::JobOutcome;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -136,7 +136,7 @@
             Ok(OwnerMessage::State(Some(JobState::Closed(JobOutcome::Cancelled)))) => {
                 Reply::State("cancelled")
             }
-            _ => Reply::Busy { after: admission::LEAST },
+            _ => Reply::Busy { after: retry::MIN_RETRY_SECONDS },
         }
     }
 
@@ -146,7 +146,7 @@
             Ok(OwnerMessage::Cancelled(true)) => Reply::Accepted,
             Ok(OwnerMessage::Cancelled(false)) => Reply::NoJob,
             Ok(OwnerMessage::Refused(_)) | Err(RequestError::Unsent) => {
-                Reply::Busy { after: admission::LEAST }
+                Reply::Busy { after: retry::MIN_RETRY_SECONDS }
             }
             Ok(_) | Err(RequestError::Unknown) => Reply::Unconfirmed,
         };
@@ -171,6 +171,6 @@
     });
     match counts.sum::<Option<u32>>() {
         Some(count) => Reply::Pending(count),
-        None => Reply::Busy { after: admission::LEAST },
+        None => Reply::Busy { after: retry::MIN_RETRY_SECONDS },
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -14,7 +14,7 @@
 mod stop;
 mod view;
 
-use crate::cell::owner::witness::History;
+use crate::cell::owner::log_reports::LogHistory;
 use crate::clock::{Clock, Millis};
 use crate::id::{EntryId, Name};
 use crate::order::Cleared;
@@ -71,7 +71,7 @@
     /// A planned stop has begun.
     stopping: AtomicBool,
     /// When this process last told an owner that the log cannot be read.
-    history: Mutex<History>,
+    history: Mutex<LogHistory>,
 }
 
 /// Locks a mutex, also one that is poisoned.
@@ -99,7 +99,7 @@
         let http = HttpClient::default();
         let clock = Clock::default();
         let node = Arc::new(Self {
-            history: Mutex::new(History::new(clock.now())),
+            history: Mutex::new(LogHistory::new(clock.now())),
             store: StoreClient::new(http.clone(), settings.store_addr.clone()),
             adviser: settings.advice_addr.clone().map(|addr| AdviceClient::new(http.clone(), addr)),
             metrics: Metrics::new()?,
@@ -188,7 +188,7 @@
     /// useless.
     fn is_log_unreadable(&self) -> bool {
         let home = self.cells().and_then(|cells| cells.home().cloned());
-        home.is_none_or(|home| !lock(&home.election).is_fresh(self.now()))
+        home.is_none_or(|home| !lock(&home.election).is_log_fresh(self.now()))
     }
 
     /// Asks the advice service about a step on behalf of an owner.
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -2,8 +2,8 @@
 //! encoded by `postcard`.
 
 use crate::cell::JobState;
-use crate::cell::owner::balance::Load;
-use crate::cell::owner::witness::Word;
+use crate::cell::owner::balance::ServiceLoad;
+use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::Cleared;
@@ -21,7 +21,7 @@
     /// for the owner of the cell. `cpu`: the processors that the sender may use, in thousandths of
     /// one. `is_home`: the cell is the sender's home. `history`: what the sender knows about the
     /// time before this epoch.
-    Hello { entry: Name, cell: u32, epoch: u64, cpu: u32, is_home: bool, history: Word },
+    Hello { entry: Name, cell: u32, epoch: u64, cpu: u32, is_home: bool, history: LogReport },
     /// Tells whether the sender can read the platform's log. Answered by [`OwnerMessage::Pong`].
     Ping { log_readable: bool },
     /// A caller submits a job for its workspace. `is_forwarded`: the home cell of the job has
@@ -69,7 +69,7 @@
     Ack,
     /// Answers a ping: whether the owner accepts new jobs, the load of its cell by service, and how
     /// many other entries the owner knows.
-    Pong { accepts_jobs: bool, loads: Vec<Load>, entry_count: u32 },
+    Pong { accepts_jobs: bool, loads: Vec<ServiceLoad>, entry_count: u32 },
     /// The job was forwarded to another cell, which has to be asked instead.
     Moved { cell: u32 },
     /// The job is in the store.
--- a/src/node/owner/forward.rs
+++ b/src/node/owner/forward.rs
@@ -1,6 +1,6 @@
 //! Forwards jobs from their home cell to another cell.
 
-use crate::cell::owner::balance::{self, Choice, Load};
+use crate::cell::owner::balance::{self, Candidate, ServiceLoad};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::cells::Cells;
@@ -16,13 +16,13 @@
 
 impl Owner {
     /// The load of the cell by service.
-    pub fn loads(&self) -> Vec<Load> {
+    pub fn loads(&self) -> Vec<ServiceLoad> {
         lock(&self.loads).clone()
     }
 
     /// The cell that a job was forwarded to.
     pub(super) fn forwarded_to(&self, job: JobKey) -> Option<u32> {
-        lock(&self.cell).forwarded(job)
+        lock(&self.cell).forwarded_to(job)
     }
 
     /// Forwards a job that is not known here to another cell, if that cell should run it.
@@ -37,7 +37,7 @@
         work: &Work,
         workspace: Option<&Name>,
     ) -> Result<(), RefusalReason> {
-        if self.view.cell_count == 1 || !self.is_serving() || lock(&self.cell).knows(job) {
+        if self.view.cell_count == 1 || !self.is_serving() || lock(&self.cell).knows_job(job) {
             return Ok(());
         }
         let Some(cells) = self.node.cells() else { return Ok(()) };
@@ -45,19 +45,19 @@
         let Some(service) = queue.map(|queue| queue.service.clone()) else { return Ok(()) };
         // The limits of a workspace are enforced in its home cell, so its jobs stay here as long as
         // any of them can run here.
-        if self.has_limits(workspace) && lock(&self.cell).processors(&service) > 0 {
+        if self.has_limits(workspace) && lock(&self.cell).service_cpu(&service) > 0 {
             return Ok(());
         }
         let near_data = self.cell_near_data(&cells, work);
         let target = match near_data.or_else(|| self.less_loaded_cell(&cells, &service, job)) {
             Some(target) if target != self.view.cell => target,
-            None if lock(&self.cell).processors(&service) == 0 => {
+            None if lock(&self.cell).service_cpu(&service) == 0 => {
                 log::info!("event=job-refused job={job} why=no-worker service={service}");
                 return Err(RefusalReason::NoWorker);
             }
             _ => return Ok(()),
         };
-        lock(&self.cell).forward(job, target);
+        lock(&self.cell).forward_job(job, target);
         self.add_forwarded_load(&cells, target, &service, work);
         Ok(())
     }
@@ -74,7 +74,7 @@
     fn cell_near_data(&self, cells: &Cells, work: &Work) -> Option<u32> {
         let steps = work.steps.iter().filter(|step| !step.near.is_empty());
         let rack = &steps.max_by_key(|step| step.count)?.near;
-        let target = cells.map.of_rack(rack)?;
+        let target = cells.map.cell_of_rack(rack)?;
         cells.get(target).filter(|view| view.accepts_jobs())?;
         Some(target)
     }
@@ -82,16 +82,17 @@
     /// A cell with far less load than this one, or one that has workers of the service if this one
     /// has none.
     fn less_loaded_cell(&self, cells: &Cells, service: &Name, job: JobKey) -> Option<u32> {
-        let share = lock(&self.loads).iter().find(|load| load.service == *service).map(|l| l.share);
+        let share =
+            lock(&self.loads).iter().find(|load| load.service == *service).map(|l| l.utilization);
         let own_share = match share {
             Some(share) => share,
             // The load is not known yet: none of the workers has reported.
-            None if lock(&self.cell).processors(service) > 0 => return None,
+            None if lock(&self.cell).service_cpu(service) > 0 => return None,
             None => u32::MAX,
         };
         let others = cells.views.iter().filter(|view| view.cell != self.view.cell);
-        let others: Vec<Choice> = others.filter_map(|view| view.choice(service)).collect();
-        balance::choose(own_share, &others, job)
+        let others: Vec<Candidate> = others.filter_map(|view| view.choice(service)).collect();
+        balance::choose_cell(own_share, &others, job)
     }
 
     /// Adds the first steps of a forwarded job to the load of the target cell, until its owner
@@ -103,7 +104,7 @@
             .filter(|step| step.after.is_empty())
             .map(|step| step.charge().cpu * u64::from(step.count))
             .sum();
-        let capacity = lock(&self.cell).processors(service).max(1);
+        let capacity = lock(&self.cell).service_cpu(service).max(1);
         if let Some(view) = cells.get(target) {
             view.add_load(service, (cpu * 1_000 / capacity) as u32);
         }
--- a/src/node/owner/history.rs
+++ b/src/node/owner/history.rs
@@ -1,6 +1,6 @@
 //! Exchanges with the other entries what is known about the time before a takeover.
 
-use crate::cell::owner::witness::Word;
+use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::lock;
@@ -10,17 +10,17 @@
 impl Owner {
     /// Adds what an entry knows about the time before this epoch. Once enough entries confirm that
     /// no earlier owner started tasks without a record, the stored records are trusted.
-    pub fn add_log_history(&self, entry: &Name, history: Word) {
+    pub fn add_log_history(&self, entry: &Name, history: LogReport) {
         let now = self.node.now();
-        lock(&self.authority).expect(now, history.entries);
+        lock(&self.authority).expect_peers(now, history.peers);
         let mut witnesses = lock(&self.witnesses);
         witnesses.add(entry, history);
-        if witnesses.suffice() && lock(&self.cell).trust_records() {
+        if witnesses.exclude_unrecorded_starts() && lock(&self.cell).trust_records() {
             let (cell, epoch) = (self.view.cell, self.epoch);
             log::info!(
                 "event=records-trusted cell={cell} epoch={epoch} steady={} entries={}",
-                witnesses.steady(),
-                witnesses.entries()
+                witnesses.steady_count(),
+                witnesses.peer_count()
             );
             self.schedule_wake.notify_one();
         }
@@ -29,7 +29,7 @@
     /// The number of other entries. It is also kept in the view, from where a later owner is told
     /// it.
     pub fn entry_count(&self) -> u32 {
-        let entry_count = lock(&self.authority).known(self.node.now()) as u32;
+        let entry_count = lock(&self.authority).known_peers(self.node.now()) as u32;
         self.view.entry_count.store(entry_count, Ordering::Relaxed);
         entry_count
     }
@@ -38,6 +38,6 @@
     /// not confirm to a later owner that there were no such starts: that owner would count it along
     /// with the half of the entries that can read the log.
     pub fn note_unlogged_starts(&self, now: Millis) {
-        lock(&self.node.history).note_lost(now);
+        lock(&self.node.history).record_loss(now);
     }
 }
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -7,13 +7,13 @@
 mod transfer;
 mod workers;
 
-use crate::cell::advising::advice::AdviceRequest;
+use crate::cell::advice::queue::AdviceRequest;
 use crate::cell::jobs::lifecycle::TICK_INTERVAL;
 use crate::cell::owner::authority::Authority;
-use crate::cell::owner::balance::Load;
-use crate::cell::owner::election::SILENCE;
-use crate::cell::owner::lag::Lag;
-use crate::cell::owner::witness::Witnesses;
+use crate::cell::owner::balance::ServiceLoad;
+use crate::cell::owner::election::OWNER_TIMEOUT;
+use crate::cell::owner::lag::TickLag;
+use crate::cell::owner::log_reports::LogReports;
 use crate::cell::{Action, Cell, CellConfig};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -54,8 +54,8 @@
     peers: Mutex<HashMap<Name, FrameSender>>,
     authority: Mutex<Authority>,
     /// What the other entries know about the time before this epoch.
-    witnesses: Mutex<Witnesses>,
-    lag: Mutex<Lag>,
+    witnesses: Mutex<LogReports>,
+    lag: Mutex<TickLag>,
     /// The number of process pauses that the cell was told about.
     known_pauses: AtomicU64,
     /// No heartbeat has been confirmed since the last pause.
@@ -65,7 +65,7 @@
     /// Makes the task that watches a worker ask for a report at once.
     report_wakes: Mutex<HashMap<Name, Arc<Notify>>>,
     /// The load of the cell by service, as of the last tick.
-    loads: Mutex<Vec<Load>>,
+    loads: Mutex<Vec<ServiceLoad>>,
     /// Limits how many orders are in flight to each worker.
     order_permits: Mutex<HashMap<Name, Arc<Semaphore>>>,
 }
@@ -78,7 +78,7 @@
             self.ended_epoch.fetch_max(epoch, Ordering::Relaxed);
             return;
         };
-        let doubt = !lock(&self.election).is_steady(self.now());
+        let doubt = !lock(&self.election).is_log_steady(self.now());
         log::info!(
             "event=takeover cell={} epoch={epoch} jobs={} roster={} listed={} doubt={doubt} took_ms={}",
             self.cell,
@@ -88,14 +88,10 @@
             self.now().since(started)
         );
         let node = &self.node;
-        let (lease, keep, off) =
+        let (lease, job_retention, disabled) =
             (node.lease(), node.settings.job_retention, node.settings.disabled);
-        let bounds = CellConfig {
-            lease,
-            max_lease: node.settings.max_lease,
-            job_retention: keep,
-            disabled: off,
-        };
+        let bounds =
+            CellConfig { lease, max_lease: node.settings.max_lease, job_retention, disabled };
         let policy = node.policy();
         let mut cell = Cell::new(epoch, bounds, policy.queues.clone(), snapshot, doubt, self.now());
         cell.set_workspaces(policy.workspaces.clone());
@@ -104,7 +100,7 @@
             cell.add_entry(self.entry_name().clone(), self.is_home);
         }
         let mut authority = Authority::new(self.now());
-        authority.expect(self.now(), self.entry_count.load(Ordering::Relaxed));
+        authority.expect_peers(self.now(), self.entry_count.load(Ordering::Relaxed));
         let owner = Arc::new(Owner {
             epoch,
             cell: Mutex::new(cell),
@@ -115,7 +111,7 @@
             peers: Mutex::default(),
             authority: Mutex::new(authority),
             witnesses: Mutex::default(),
-            lag: Mutex::new(Lag::new(self.now())),
+            lag: Mutex::new(TickLag::new(self.now())),
             known_pauses: AtomicU64::new(node.clock.pauses()),
             is_unconfirmed: AtomicBool::new(false),
             store_up: AtomicBool::new(true),
@@ -173,8 +169,8 @@
 
     /// Notes that the heartbeat that was sent at `sent` is in the log.
     pub fn confirm_heartbeat(&self, sent: Millis) {
-        lock(&self.authority).confirm(sent);
-        if self.node.now().since(sent) < SILENCE {
+        lock(&self.authority).confirm_heartbeat(sent);
+        if self.node.now().since(sent) < OWNER_TIMEOUT {
             self.is_unconfirmed.store(false, Ordering::Relaxed);
         }
         // Without jobs there may be no batch that shows that the store accepts records again.
@@ -188,7 +184,7 @@
     fn has_authority(&self) -> bool {
         let now = self.node.now();
         self.check_for_pause(now);
-        lock(&self.authority).holds(now)
+        lock(&self.authority).is_valid(now)
     }
 
     /// Tells the cell if the process or its VM was paused. What the cell knows about workers is
@@ -220,7 +216,7 @@
                     true => cell.schedule(now),
                     false => cell.give_up_starts("no-authority"),
                 }
-                if lock(&self.authority).rests_on_peers(now) {
+                if lock(&self.authority).depends_on_peers(now) {
                     cell.send_unstored(now);
                     self.note_unlogged_starts(now);
                 }
@@ -252,8 +248,8 @@
                     report_wake.notify_one();
                 }
             }
-            Action::RequestAdvice { entry, request: question } => {
-                self.request_advice(entry, question)
+            Action::RequestAdvice { entry, request } => {
+                self.request_advice(entry, request)
             }
             Action::JobForgotten(job, workspace) => {
                 self.forget_at_home_cell(job, workspace.as_ref())
@@ -263,14 +259,14 @@
     }
 
     /// Has an entry, possibly this one, ask the advice service.
-    fn request_advice(self: &Arc<Self>, entry: Name, question: AdviceRequest) {
-        let AdviceRequest { step, workers, cost, .. } = question;
+    fn request_advice(self: &Arc<Self>, entry: Name, request: AdviceRequest) {
+        let AdviceRequest { step, workers, cost, .. } = request;
         if entry == self.node.id.name {
             let owner = self.clone();
             tokio::spawn(async move {
                 let answer = owner.node.advise(step, &workers, cost).await;
                 let now = owner.node.now();
-                lock(&owner.cell).advised(now, &entry, step, &workers, answer);
+                lock(&owner.cell).handle_advice(now, &entry, step, &workers, answer);
                 owner.schedule_wake.notify_one();
             });
             return;
@@ -300,7 +296,7 @@
                 let mut cell = lock(&self.cell);
                 cell.set_overloaded(is_shedding);
                 cell.tick(now, Millis::now());
-                *lock(&self.loads) = cell.loads();
+                *lock(&self.loads) = cell.service_loads();
                 cell.stats()
             };
             self.node.metrics.set_load(&load);
@@ -312,16 +308,15 @@
     /// not keep up.
     fn update_lag(&self, now: Millis) -> bool {
         let mut lag = lock(&self.lag);
-        let was_shedding = lag.sheds();
-        lag.tick(now, TICK_INTERVAL);
-        if lag.sheds() != was_shedding {
+        let was_shedding = lag.is_shedding();
+        lag.record_tick(now, TICK_INTERVAL);
+        if lag.is_shedding() != was_shedding {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=overload-changed cell={cell} epoch={epoch} sheds={}", lag.sheds());
+            log::info!("event=overload-changed cell={cell} epoch={epoch} sheds={}", lag.is_shedding());
         }
-        lag.sheds()
+        lag.is_shedding()
     }
 
-    /// Passes each new version of the policy to the cell.
     async fn follow_policy(self: Arc<Self>) {
         let mut policies = self.node.policy.subscribe();
         loop {
@@ -348,7 +343,7 @@
         lock(&self.peers).insert(entry.clone(), sender);
         // The cell is transferred only to entries whose home it is.
         let cpu = if is_home { cpu } else { 0 };
-        lock(&self.authority).join(self.node.now(), &entry, cpu);
+        lock(&self.authority).add_peer(self.node.now(), &entry, cpu);
         if self.node.adviser.is_some() {
             lock(&self.cell).add_entry(entry, is_home);
         }
@@ -370,7 +365,7 @@
 
     /// Notes whether an entry can read the log.
     pub fn handle_ping(&self, entry: &Name, log_readable: bool) {
-        lock(&self.authority).hear(self.node.now(), entry, log_readable);
+        lock(&self.authority).update_peer(self.node.now(), entry, log_readable);
     }
 
     /// Answers a message of an entry.
@@ -432,7 +427,7 @@
                 }
             }
             EntryMessage::Advice { step, candidates, answer } => {
-                lock(&self.cell).advised(self.node.now(), entry, step, &candidates, answer);
+                lock(&self.cell).handle_advice(self.node.now(), entry, step, &candidates, answer);
                 self.schedule_wake.notify_one();
                 OwnerMessage::Ack
             }
@@ -456,15 +451,15 @@
                 );
                 return OwnerMessage::Refused(RefusalReason::OtherWorkspace);
             }
-            if !cell.knows(job) && !self.can_accept_jobs() {
-                let age = lock(&self.authority).age(self.node.now());
+            if !cell.knows_job(job) && !self.can_accept_jobs() {
+                let age = lock(&self.authority).heartbeat_age(self.node.now());
                 log::info!(
                     "event=job-refused job={job} why=store-unavailable epoch={} beat_ms={age}",
                     self.epoch
                 );
                 return OwnerMessage::Refused(RefusalReason::StoreUnavailable);
             }
-            if !cell.knows(job) && lock(&self.lag).sheds() {
+            if !cell.knows_job(job) && lock(&self.lag).is_shedding() {
                 log::info!("event=job-refused job={job} why=overload epoch={}", self.epoch);
                 return OwnerMessage::Refused(RefusalReason::Overload);
             }
@@ -499,7 +494,7 @@
 
     /// Whether new jobs are accepted: the store accepted the last batch and a recent heartbeat.
     fn can_accept_jobs(&self) -> bool {
-        let is_fresh = lock(&self.authority).age(self.node.now()) < HEARTBEAT_MAX_AGE;
+        let is_fresh = lock(&self.authority).heartbeat_age(self.node.now()) < HEARTBEAT_MAX_AGE;
         is_fresh && self.store_up.load(Ordering::Relaxed)
     }
 
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -159,7 +159,7 @@
                     if !self.store_up.swap(true, Ordering::Relaxed) {
                         log::info!("event=store-recovered batch={}", batch.number);
                     }
-                    lock(&self.authority).recover();
+                    lock(&self.authority).record_store_success();
                     self.node.metrics.observe_append(self.node.now().since(started));
                     return WriteOutcome::Stored;
                 }
--- a/src/node/owner/transfer.rs
+++ b/src/node/owner/transfer.rs
@@ -2,7 +2,7 @@
 //! or if only this one cannot reach the store.
 
 use crate::cell::mechanism::Mechanism;
-use crate::cell::owner::lag::BACK_OFF;
+use crate::cell::owner::lag::CLAIM_BACKOFF;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::frame::encode;
@@ -24,7 +24,7 @@
         let now = self.node.now();
         let is_due = {
             let mut authority = lock(&self.authority);
-            authority.fail(now);
+            authority.record_store_failure(now);
             authority.should_probe(now)
         };
         if is_due {
@@ -38,7 +38,7 @@
     pub fn handle_log_probe(&self, entry: &Name, readable: bool) {
         let is_isolated = {
             let mut authority = lock(&self.authority);
-            authority.probed(entry, readable);
+            authority.record_probe(entry, readable);
             authority.is_isolated(self.node.now())
         };
         if is_isolated && !self.has_ended() {
@@ -60,7 +60,7 @@
 
     /// The processors of the largest other entry that could own the cell, in thousandths of one.
     pub fn largest_peer_cpu(&self) -> u32 {
-        lock(&self.authority).largest(self.node.now())
+        lock(&self.authority).largest_peer_cpu(self.node.now())
     }
 
     /// Transfers the cell once an entry with far more processors could own it, or once this one
@@ -76,7 +76,7 @@
             let largest = self.largest_peer_cpu();
             let is_small = largest >= cpu.max(1) * MIN_SIZE_RATIO;
             let may_hand_over = lock(&self.view.election).may_hand_over(now);
-            let is_overloaded = largest > 0 && may_hand_over && lock(&self.lag).is_heavy(now);
+            let is_overloaded = largest > 0 && may_hand_over && lock(&self.lag).should_hand_over(now);
             if !(is_small || is_overloaded) || !self.is_serving() {
                 continue;
             }
@@ -86,7 +86,7 @@
                 self.epoch
             );
             if is_overloaded {
-                lock(&self.view.election).back_off(now + BACK_OFF);
+                lock(&self.view.election).back_off(now + CLAIM_BACKOFF);
             }
             let (view, owner) = (self.view.clone(), self.clone());
             tokio::spawn(async move { view.transfer(&owner, is_overloaded).await });
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -74,7 +74,7 @@
     fn contains(&self, worker: &Listed) -> bool {
         let is_named = self.node.policy.borrow().services.contains(&worker.service);
         let cells = self.node.cells();
-        is_named && cells.is_none_or(|cells| cells.map.of_worker(worker) == self.cell)
+        is_named && cells.is_none_or(|cells| cells.map.cell_of_worker(worker) == self.cell)
     }
 }
 
@@ -181,7 +181,7 @@
                 }
             };
             self.schedule_wake.notify_one();
-            let pause = if retry_later { REPORT_RETRY_DELAY } else { timeouts.pause };
+            let pause = if retry_later { REPORT_RETRY_DELAY } else { timeouts.interval };
             if pause > Millis(0) {
                 tokio::time::sleep(pause.duration()).await;
             }
--- a/src/node/stop.rs
+++ b/src/node/stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop: transfers the owned cells to other entries, waits until the balancer sends
 //! callers elsewhere, and finishes the open requests.
 
-use crate::cell::owner::election::Record;
+use crate::cell::owner::election::ElectionRecord;
 use crate::clock::Millis;
 use crate::node::Node;
 use crate::node::owner::Owner;
@@ -29,8 +29,8 @@
         owner.end();
         let epoch = owner.epoch();
         let record = match is_overloaded {
-            true => Record::Overloaded { epoch },
-            false => Record::Release { epoch },
+            true => ElectionRecord::Overloaded { epoch },
+            false => ElectionRecord::Release { epoch },
         };
         self.release(record, epoch).await;
     }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,8 +1,8 @@
 //! What an entry knows about one cell, and how it sends requests to the cell's owner.
 
-use crate::cell::owner::balance::{Choice, Load};
+use crate::cell::owner::balance::{Candidate, ServiceLoad};
 use crate::cell::owner::election::{Election, Leader};
-use crate::cell::owner::witness::Word;
+use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::connection::{ConnectionError, OwnerConnection};
@@ -58,7 +58,7 @@
     /// The last epoch in which this entry owned the cell and no longer does; 0 if there is none.
     pub ended_epoch: AtomicU64,
     /// The load of the cell by service as its owner last reported it, and when it did.
-    pub loads: Mutex<(Millis, Vec<Load>)>,
+    pub loads: Mutex<(Millis, Vec<ServiceLoad>)>,
     /// How many other entries the last owner knew; 0 if none has told.
     pub entry_count: AtomicU32,
     /// Whether the claims on the cell are read.
@@ -121,7 +121,7 @@
     /// Whether this entry is the owner by the last claim that was read, and in `epoch`.
     pub fn is_leader(&self, epoch: u64) -> bool {
         let election = lock(&self.election);
-        election.is_mine() && election.leader().is_some_and(|leader| leader.epoch == epoch)
+        election.is_owner() && election.leader().is_some_and(|leader| leader.epoch == epoch)
     }
 
     /// Whether this entry owned the cell in `epoch` or a later epoch and no longer does.
@@ -142,12 +142,12 @@
 
     /// The cell as a target for forwarding jobs of a service. `None` if it accepts no jobs, has no
     /// workers of the service, or has not reported its load recently.
-    pub fn choice(&self, service: &str) -> Option<Choice> {
+    pub fn choice(&self, service: &str) -> Option<Candidate> {
         let loads = lock(&self.loads);
         let (reported_at, loads) = &*loads;
         let is_fresh = self.now().since(*reported_at) < LOAD_MAX_AGE;
         let load = loads.iter().find(|load| *load.service == *service)?;
-        let choice = Choice { cell: self.cell, share: load.share };
+        let choice = Candidate { cell: self.cell, utilization: load.utilization };
         (is_fresh && self.accepts_jobs()).then_some(choice)
     }
 
@@ -156,7 +156,7 @@
     pub fn add_load(&self, service: &str, share: u32) {
         let mut loads = lock(&self.loads);
         if let Some(load) = loads.1.iter_mut().find(|load| *load.service == *service) {
-            load.share = load.share.saturating_add(share);
+            load.utilization = load.utilization.saturating_add(share);
         }
     }
 
@@ -170,7 +170,7 @@
             if changed && wanted {
                 // Records of the time before were not read, so the silence of the owner counts from
                 // now.
-                lock(&self.election).resume(self.now());
+                lock(&self.election).resume_reading(self.now());
             }
             *follows_claims = wanted;
             changed
@@ -247,9 +247,9 @@
     }
 
     /// What this entry tells a new owner about the time before its epoch.
-    pub fn log_history(&self) -> Word {
-        let is_steady = lock(&self.node.history).is_steady(self.now());
-        Word { is_steady, entries: self.entry_count.load(Ordering::Relaxed) }
+    pub fn log_history(&self) -> LogReport {
+        let log_steady = lock(&self.node.history).is_log_steady(self.now());
+        LogReport { log_steady, peers: self.entry_count.load(Ordering::Relaxed) }
     }
 
     /// The name of this entry.
--- a/tests/authority.rs
+++ b/tests/authority.rs
@@ -5,7 +5,7 @@
 
 fn hear_from(authority: &mut Authority, now: u64, entries: &[&str], log: bool) {
     for entry in entries {
-        authority.hear(Millis(now), &(*entry).into(), log);
+        authority.update_peer(Millis(now), &(*entry).into(), log);
     }
 }
 
@@ -13,18 +13,18 @@
 fn no_other_owner_can_exist_for_a_while_after_a_heartbeat() {
     let mut authority = Authority::new(Millis(0));
     hear_from(&mut authority, 0, &["b", "c"], true);
-    assert!(authority.holds(Millis(1_100)));
-    assert!(!authority.holds(Millis(1_300)));
-    authority.confirm(Millis(1_250));
-    assert!(authority.holds(Millis(2_400)));
+    assert!(authority.is_valid(Millis(1_100)));
+    assert!(!authority.is_valid(Millis(1_300)));
+    authority.confirm_heartbeat(Millis(1_250));
+    assert!(authority.is_valid(Millis(2_400)));
 }
 
 #[test]
 fn the_owner_continues_while_no_entry_reads_the_log() {
     let mut authority = Authority::new(Millis(0));
     hear_from(&mut authority, 5_000, &["b", "c", "d"], false);
-    assert!(authority.holds(Millis(5_100)));
-    assert!(!authority.holds(Millis(6_000)), "their answers are too old");
+    assert!(authority.is_valid(Millis(5_100)));
+    assert!(!authority.is_valid(Millis(6_000)), "their answers are too old");
 }
 
 #[test]
@@ -32,12 +32,12 @@
     let mut authority = Authority::new(Millis(0));
     hear_from(&mut authority, 1_000, &["b", "c", "d", "e", "f", "g"], true);
     hear_from(&mut authority, 3_000, &["b"], false);
-    assert!(!authority.holds(Millis(3_100)));
+    assert!(!authority.is_valid(Millis(3_100)));
 }
 
 #[test]
 fn a_single_entry_continues_alone() {
-    assert!(Authority::new(Millis(0)).holds(Millis(10_000)));
+    assert!(Authority::new(Millis(0)).is_valid(Millis(10_000)));
 }
 
 /// The authority of an owner whose calls to the store have failed since 1,000, and which is
@@ -45,9 +45,9 @@
 fn with_failing_store() -> Authority {
     let mut authority = Authority::new(Millis(0));
     for entry in ["b", "c", "d"] {
-        authority.join(Millis(0), &entry.into(), 250);
+        authority.add_peer(Millis(0), &entry.into(), 250);
     }
-    authority.fail(Millis(1_000));
+    authority.record_store_failure(Millis(1_000));
     authority
 }
 
@@ -57,23 +57,23 @@
     assert!(!authority.should_probe(Millis(1_050)), "a single failure is not enough");
     assert!(authority.should_probe(Millis(1_200)));
     assert!(!authority.should_probe(Millis(1_250)), "they were just asked");
-    authority.confirm(Millis(1_300));
+    authority.confirm_heartbeat(Millis(1_300));
     assert!(!authority.should_probe(Millis(2_000)), "the store is available again");
 }
 
 #[test]
 fn an_owner_is_isolated_when_most_peers_read_the_log_after_it_failed() {
     let mut authority = with_failing_store();
-    authority.probed(&"b".into(), true);
-    authority.probed(&"c".into(), true);
+    authority.record_probe(&"b".into(), true);
+    authority.record_probe(&"c".into(), true);
     assert!(!authority.is_isolated(Millis(1_100)), "they were not asked yet");
     assert!(authority.should_probe(Millis(1_200)));
     assert!(!authority.is_isolated(Millis(1_200)), "what they said before does not count");
-    authority.probed(&"b".into(), true);
-    authority.probed(&"c".into(), false);
+    authority.record_probe(&"b".into(), true);
+    authority.record_probe(&"c".into(), false);
     assert!(!authority.is_isolated(Millis(1_210)), "one of three");
-    authority.probed(&"d".into(), true);
+    authority.record_probe(&"d".into(), true);
     assert!(authority.is_isolated(Millis(1_220)));
-    authority.confirm(Millis(1_230));
+    authority.confirm_heartbeat(Millis(1_230));
     assert!(!authority.is_isolated(Millis(1_240)), "a heartbeat is in the log after all");
 }
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -19,7 +19,7 @@
 pub use search::*;
 
 use fastrand::Rng;
-use sprucerudder::cell::advising::advice::AdviceRequest;
+use sprucerudder::cell::advice::queue::AdviceRequest;
 use sprucerudder::cell::jobs::wait_reason::WaitReason;
 use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::{Batch, Snapshot};
@@ -861,9 +861,7 @@
                     }
                 }
                 Action::Deposed => self.depose(owner),
-                Action::RequestAdvice { entry, request: question } => {
-                    self.ask_advice(owner, entry, question)
-                }
+                Action::RequestAdvice { entry, request } => self.ask_advice(owner, entry, request),
                 Action::Pace { .. } | Action::PollNow(_) | Action::Unwatch(_) => {}
             }
         }
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -471,20 +471,20 @@
             match action {
                 Action::Watch(listed) => drop(self.polled.insert(listed.id)),
                 Action::Unwatch(id) => drop(self.polled.remove(&id)),
-                Action::RequestAdvice { entry, request: question } => {
-                    self.questions.push(question.workers.clone());
+                Action::RequestAdvice { entry, request } => {
+                    self.questions.push(request.workers.clone());
                     if self.lost_answers > 0 {
                         self.lost_answers -= 1;
                         continue;
                     }
-                    let named = question.workers.iter();
+                    let named = request.workers.iter();
                     let cleared = named.filter(|id| {
                         self.cleared_workers.is_empty() || self.cleared_workers.contains(*id)
                     });
                     let rows = cleared.map(|id| (id.clone(), "ticket".into())).collect();
                     let answer = sprucerudder::order::Cleared { rows, valid: None };
-                    let (step, named) = (question.step, &question.workers);
-                    self.cell.advised(now, &entry, step, named, Some(answer));
+                    let (step, named) = (request.step, &request.workers);
+                    self.cell.handle_advice(now, &entry, step, named, Some(answer));
                 }
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
                     let index = self.host_index(worker);
