--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -1,8 +1,9 @@
 //! Long-running jobs, the advice service that is asked about them, and workers that fail all their
 //! runs.
 //!
-//! By the platform's contract a long-running task is without a run for at most 6 s + 3 s, if the
-//! last 3 s and the 4 s before them were free of faults, however busy the service is.
+//! By the platform's contract a long-running task has a run again within 6 s + 3 s of the end of
+//! its last one, if the last 3 s and the 4 s before them were free of faults, however busy the
+//! service is.
 
 use super::*;
 use sprucerudder::id::hash;
@@ -17,6 +18,7 @@
 const CLEARED_TENTHS: u64 = 6;
 /// The time that a question takes, as on the deployment with the slowest advice service.
 const ADVICE: Advice = Advice { base: Millis(560), each: 8_000, valid: Millis(2_000) };
+/// The number of entries that are connected to an owner.
 const ENTRY_COUNT: usize = 9;
 
 /// State of the searches with long-running jobs.
@@ -75,7 +77,7 @@
     format!("e{index}").into()
 }
 
-impl World {
+impl Simulation {
     /// Makes every other job long-running. With `keeps_ids`, workers report their start time and
     /// usually keep their id when they restart.
     pub(super) fn add_lasting_jobs(&mut self, keeps_ids: bool) {
@@ -120,8 +122,8 @@
         let mut at = FAULTS_END_MS - 4_000 + self.pick(2_000);
         let names: Vec<Name> = self.workers.keys().cloned().collect();
         let worker = names[self.pick(names.len() as u64) as usize].clone();
-        let gone = at + self.pick(1_500);
-        self.schedule_at(gone, Event::ReplaceWorker { worker });
+        let lost_at = at + self.pick(1_500);
+        self.schedule_at(lost_at, Event::ReplaceWorker { worker });
         for _ in 0..2 + self.pick(2) {
             self.schedule_at(at, Event::Elect);
             at += 300 + self.pick(1_700);
@@ -139,6 +141,7 @@
         if self.lasting.enabled { 2 * MAX_IDLE_MS } else { SETTLE_MS }
     }
 
+    /// Whether a job is long-running.
     pub(super) fn is_lasting(&self, job: JobKey) -> bool {
         self.lasting.enabled && job.0 % 2 == 0
     }
@@ -152,6 +155,7 @@
         }
     }
 
+    /// Records a fault that lasts until a given time.
     pub(super) fn note_fault(&mut self, until: u64) {
         self.lasting.last_fault = self.lasting.last_fault.max(until);
     }
@@ -280,7 +284,7 @@
     fn has_candidate(&self, task: TaskKey) -> bool {
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
         let charge = spec.charge();
-        let twice = charge.plus(&charge);
+        let double = charge.plus(&charge);
         let used = |worker: &SimWorker| -> Room {
             worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge))
         };
@@ -289,7 +293,7 @@
             spec.apart == 0 || here < spec.apart as usize
         };
         self.workers.iter().any(|(name, worker)| {
-            let has_room = worker.listed.room.less(&used(worker)).holds(&twice);
+            let has_room = worker.listed.room.less(&used(worker)).holds(&double);
             worker.alive && advice_clears(task.step, name) && has_room && takes(worker)
         })
     }
