--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -107,7 +107,11 @@
             let is_remote = job.home_domain.as_ref().is_some_and(|home| candidate.domain != *home);
             (!candidate.has_room(spec, &charge), is_remote, std::cmp::Reverse(candidate.free.cpu))
         });
-        selected.into_iter().take(limit.min(MAX_REQUEST_WORKERS)).map(|candidate| candidate.name).collect()
+        selected
+            .into_iter()
+            .take(limit.min(MAX_REQUEST_WORKERS))
+            .map(|candidate| candidate.name)
+            .collect()
     }
 
     /// Selects cleared workers for a gang if they have room for all of it. All tasks of a gang
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -375,7 +375,8 @@
         // record.
         self.was_placed = true;
         let has_run = |note: &TaskProgress| !note.failed.is_empty() || !note.checkpoint.is_empty();
-        let shows_run = |note: &StepProgress| !note.done.is_empty() || note.tasks.iter().any(has_run);
+        let shows_run =
+            |note: &StepProgress| !note.done.is_empty() || note.tasks.iter().any(has_run);
         self.has_run = self.has_run || progress.steps.iter().any(shows_run);
         self.has_progress = true;
     }
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -200,7 +200,8 @@
             list_stale: false,
             next_settled: None,
             needs_placement: true,
-            unrecorded_starts: unrecorded_starts.then(|| WaitLogTimer::new(now, HOLDBACK_LOG_DELAY)),
+            unrecorded_starts: unrecorded_starts
+                .then(|| WaitLogTimer::new(now, HOLDBACK_LOG_DELAY)),
             unsent_starts: VecDeque::new(),
             actions: Vec::new(),
         };
--- a/src/cell/owner/forward.rs
+++ b/src/cell/owner/forward.rs
@@ -44,7 +44,8 @@
     /// request.
     pub fn service_loads(&self) -> Vec<ServiceLoad> {
         let mut services: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
-        for worker in self.workers.values().filter(|worker| worker.accepts_tasks(self.stored_batch)) {
+        for worker in self.workers.values().filter(|worker| worker.accepts_tasks(self.stored_batch))
+        {
             let (used, total) = services.entry(&worker.listed.service).or_default();
             *used += worker.used.cpu.min(worker.listed.room.cpu);
             *total += worker.listed.room.cpu;
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -165,8 +165,8 @@
             relaxation == Relaxation::None
                 && ((skips_aside && worker.is_excluded(now)) || is_quarantined(worker))
         };
-        let open =
-            workers.filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
+        let open = workers
+            .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -40,7 +40,10 @@
 
     /// The batch that must be in the store before all ends received from a worker can be confirmed to it.
     pub fn unstored_ends_batch(&self, name: &Name) -> Option<u64> {
-        self.workers.get(name).and_then(Worker::unstored_batch).filter(|batch| *batch > self.stored_batch)
+        self.workers
+            .get(name)
+            .and_then(Worker::unstored_batch)
+            .filter(|batch| *batch > self.stored_batch)
     }
 
     /// Handles a report call that failed. Returns whether to pause before the next call.
--- a/src/node/cells.rs
+++ b/src/node/cells.rs
@@ -83,7 +83,8 @@
         };
         let home = map.cell_of_entry(&self.id.name);
         log::info!("event=cell-map-loaded count={} home={home}", map.cell_count());
-        let view = |cell| Arc::new(CellView::new(self.clone(), cell, map.cell_count(), cell == home));
+        let view =
+            |cell| Arc::new(CellView::new(self.clone(), cell, map.cell_count(), cell == home));
         let views: Vec<Arc<CellView>> = (0..map.cell_count()).map(view).collect();
         for view in &views {
             view.follow();
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -248,9 +248,7 @@
                     report_wake.notify_one();
                 }
             }
-            Action::RequestAdvice { entry, request } => {
-                self.request_advice(entry, request)
-            }
+            Action::RequestAdvice { entry, request } => self.request_advice(entry, request),
             Action::JobForgotten(job, workspace) => {
                 self.forget_at_home_cell(job, workspace.as_ref())
             }
@@ -312,7 +310,10 @@
         lag.record_tick(now, TICK_INTERVAL);
         if lag.is_shedding() != was_shedding {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=overload-changed cell={cell} epoch={epoch} sheds={}", lag.is_shedding());
+            log::info!(
+                "event=overload-changed cell={cell} epoch={epoch} sheds={}",
+                lag.is_shedding()
+            );
         }
         lag.is_shedding()
     }
--- a/src/node/owner/transfer.rs
+++ b/src/node/owner/transfer.rs
@@ -76,7 +76,8 @@
             let largest = self.largest_peer_cpu();
             let is_small = largest >= cpu.max(1) * MIN_SIZE_RATIO;
             let may_hand_over = lock(&self.view.election).may_hand_over(now);
-            let is_overloaded = largest > 0 && may_hand_over && lock(&self.lag).should_hand_over(now);
+            let is_overloaded =
+                largest > 0 && may_hand_over && lock(&self.lag).should_hand_over(now);
             if !(is_small || is_overloaded) || !self.is_serving() {
                 continue;
             }
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -179,9 +179,15 @@
     confirm_starts(&mut cell, 12, &first);
     let one = end_report(7, first[0].1.task, first[0].1.run, End::Done);
     cell.on_report(Millis(20), Millis(15), &"w1".into(), &one);
-    assert_eq!(cell.report_call(Millis(21), &"w1".into(), true).map(|hold| hold.confirmed), Some(0));
+    assert_eq!(
+        cell.report_call(Millis(21), &"w1".into(), true).map(|hold| hold.confirmed),
+        Some(0)
+    );
     write_batches(&mut cell, 22);
-    assert_eq!(cell.report_call(Millis(23), &"w1".into(), true).map(|hold| hold.confirmed), Some(7));
+    assert_eq!(
+        cell.report_call(Millis(23), &"w1".into(), true).map(|hold| hold.confirmed),
+        Some(7)
+    );
 }
 
 #[test]
@@ -385,7 +391,10 @@
         &end_report(1, start.task, start.run, End::Stopped),
     );
     assert_eq!(cell.take_batch(Millis(21)), None);
-    assert_eq!(cell.report_call(Millis(22), &"w1".into(), true).map(|hold| hold.confirmed), Some(1));
+    assert_eq!(
+        cell.report_call(Millis(22), &"w1".into(), true).map(|hold| hold.confirmed),
+        Some(1)
+    );
 }
 
 #[test]
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -197,7 +197,9 @@
     assert_eq!(lag.timeouts(), usual, "a single pause");
     let slow = tick_late(&mut lag, steady + 1_000, 400);
     let late = lag.timeouts();
-    assert!(late.report > usual.report && late.order > usual.order && late.interval > usual.interval);
+    assert!(
+        late.report > usual.report && late.order > usual.order && late.interval > usual.interval
+    );
     tick_late(&mut lag, slow, 1);
     assert_eq!(lag.timeouts(), usual, "it keeps up again");
 }
