--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -318,6 +318,7 @@
         lag.is_shedding()
     }
 
+    /// Passes each new version of the policy to the cell.
     async fn follow_policy(self: Arc<Self>) {
         let mut policies = self.node.policy.subscribe();
         loop {
