--- a/src/node/http_server.rs
+++ b/src/node/http_server.rs
@@ -1,7 +1,7 @@
-//! What callers reach: jobs over HTTP, and what the balancer and operators ask.
+//! The HTTP servers of an entry: jobs for callers, readiness for the balancer, and metrics.
 
-use crate::cell::owner::access::{Access, access, is_fresh};
-use crate::cell::owner::admission::LEAST;
+use crate::cell::owner::access::{Access, authorize, is_policy_fresh};
+use crate::cell::owner::retry::MIN_RETRY_SECONDS;
 use crate::clock::Millis;
 use crate::node::Node;
 use crate::node::job_call::{JobCall, pending};
@@ -21,14 +21,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What is left of a caller's time for the answer's way back.
+/// The part of a caller's time that is reserved for sending the answer.
 const ANSWER_MARGIN: Millis = Millis(40);
-/// The most time that a caller waits who does not say.
+/// The time to answer a caller that names no deadline.
 const DEFAULT_TIMEOUT: Millis = Millis(3_000);
-/// Pause after a failure to accept a connection.
+/// Delay after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Millis = Millis(20);
 
-/// Takes connections until `stop` closes or says so, and serves each by `answer`.
+/// Accepts connections until `stop` is set or closes, and answers their requests with `handler`.
 pub(super) async fn serve<F, R>(
     listener: TcpListener,
     node: Arc<Node>,
@@ -55,13 +55,14 @@
     }
 }
 
-/// Ready when the channel says stop, or closes.
+/// Waits until the channel is set to `true` or closes.
 async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
-        log::debug!("event=listener-closes");
+        log::debug!("event=stop-channel-closed");
     }
 }
 
+/// Serves one connection. Once `stop` is set, answers the request in progress and closes.
 async fn serve_connection<F, R>(
     stream: TcpStream,
     node: Arc<Node>,
@@ -72,7 +73,7 @@
     R: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!("event=connection-odd error={err:?}");
+        log::debug!("event=nodelay-not-set error={err:?}");
     }
     let limits = node.policy().limits;
     let service = service_fn(move |request| {
@@ -94,11 +95,11 @@
         }
     };
     if let Err(err) = result {
-        log::debug!("event=connection-ended error={err:?}");
+        log::debug!("event=connection-failed error={err:?}");
     }
 }
 
-/// Answers a caller.
+/// Answers the request of a caller.
 pub(super) async fn handle_job_call(
     node: Arc<Node>,
     request: Request<Incoming>,
@@ -107,7 +108,8 @@
     let (call, reply) = route_call(&node, request, started).await;
     let mut response = reply.response();
     if matches!(reply, Reply::Busy { .. }) && !node.is_ready() {
-        // Behind a cut the balancer sends new connections elsewhere, but an open one stays here.
+        // During a network partition the balancer sends new connections to other entries, but open
+        // ones stay here unless they are closed.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     let status = response.status().as_u16();
@@ -115,6 +117,8 @@
     response
 }
 
+/// Authorizes a request and passes it to the cell of its job. Also returns the kind of the call for
+/// the metrics.
 async fn route_call(
     node: &Arc<Node>,
     request: Request<Incoming>,
@@ -122,24 +126,28 @@
 ) -> (&'static str, Reply) {
     let policy = node.policy();
     if policy.version == 0 {
-        return ("none", Reply::Busy { after: LEAST });
+        return ("none", Reply::Busy { after: MIN_RETRY_SECONDS });
     }
     let path = request.uri().path().to_string();
     let age = node.policy_age();
     let Some(route) = policy.route(host(&request), &path) else {
-        // It may have been added since.
-        let reply = if is_fresh(age) { Reply::NoQueue } else { Reply::Busy { after: LEAST } };
+        // If the policy here may be outdated, the queue may have been added since.
+        let reply = if is_policy_fresh(age) {
+            Reply::NoQueue
+        } else {
+            Reply::Busy { after: MIN_RETRY_SECONDS }
+        };
         return ("none", reply);
     };
-    let workspace = match node.access(&policy, route, api_key(&request), age) {
+    let workspace = match node.authorize(&policy, route, api_key(&request), age) {
         Access::Granted(workspace) => workspace.map(|workspace| workspace.name.clone()),
         denied => {
             let reply = match denied {
-                Access::Unsure => Reply::Busy { after: LEAST },
+                Access::Unknown => Reply::Busy { after: MIN_RETRY_SECONDS },
                 _ => Reply::InvalidKey,
             };
             log::info!(
-                "event=denied queue={} policy={} age_ms={age} has_key={} reply={reply:?}",
+                "event=call-denied queue={} policy={} age_ms={age} has_key={} reply={reply:?}",
                 route.queue.name,
                 policy.version,
                 api_key(&request).is_some()
@@ -148,7 +156,7 @@
         }
     };
     let Some(cells) = node.cells() else {
-        return ("none", Reply::Busy { after: LEAST });
+        return ("none", Reply::Busy { after: MIN_RETRY_SECONDS });
     };
     let requested = deadline(&request).unwrap_or(DEFAULT_TIMEOUT);
     let wait = if route.timeout.0 > 0 { requested.min(route.timeout) } else { requested };
@@ -171,31 +179,32 @@
 }
 
 impl Node {
-    /// Whether a caller may call on a route with its key.
-    fn access(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
-        // By the settings too: a policy that was written without workspaces would let anybody in.
+    /// Whether a caller may use a route with its key.
+    fn authorize(&self, policy: &Policy, route: &Route, key: Option<&str>, age: Millis) -> Access {
+        // The settings count too: otherwise a policy that was written without workspaces would
+        // admit everybody.
         match policy.requires_keys || self.settings.has_workspaces {
-            true => access(&policy.workspaces, route.is_anonymous, key, age),
+            true => authorize(&policy.workspaces, route.is_anonymous, key, age),
             false => Access::Granted(None),
         }
     }
 }
 
-/// Answers the balancer: whether new callers may come.
+/// Tells the balancer whether this entry takes new callers.
 pub(super) async fn handle_ready(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.is_ready() {
         true => Reply::Accepted.response(),
-        false => Reply::Busy { after: LEAST }.response(),
+        false => Reply::Busy { after: MIN_RETRY_SECONDS }.response(),
     }
 }
 
-/// Answers whoever collects metrics.
+/// Serves the metrics.
 pub(super) async fn handle_metrics(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
     match node.metrics.render(crate::logs::dropped()) {
         Ok(text) => Response::new(Full::from(text)),
         Err(err) => {
             log::warn!("event=metrics-failed error={err:?}");
-            Reply::Busy { after: LEAST }.response()
+            Reply::Busy { after: MIN_RETRY_SECONDS }.response()
         }
     }
 }
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The owner of the cell: the shell around [`Cell`], which decides.
+//! The owner of a cell: runs the tasks, timers and I/O around [`Cell`], which makes the scheduling
+//! decisions.
 
 mod forward;
 mod history;
@@ -6,13 +7,13 @@
 mod transfer;
 mod workers;
 
-use crate::cell::advising::advice::AdviceRequest;
+use crate::cell::advice::queue::AdviceRequest;
 use crate::cell::jobs::lifecycle::TICK_INTERVAL;
 use crate::cell::owner::authority::Authority;
-use crate::cell::owner::balance::Load;
-use crate::cell::owner::election::SILENCE;
-use crate::cell::owner::lag::Lag;
-use crate::cell::owner::witness::Witnesses;
+use crate::cell::owner::balance::ServiceLoad;
+use crate::cell::owner::election::OWNER_TIMEOUT;
+use crate::cell::owner::lag::TickLag;
+use crate::cell::owner::log_reports::LogReports;
 use crate::cell::{Action, Cell, CellConfig};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -26,55 +27,58 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{Notify, Semaphore, watch};
 
-/// Without a heartbeat in the log for this long no job is accepted: it could not be kept in time.
-/// With a store 60 times slower than usual heartbeats take up to 900 ms.
+/// New jobs are refused once the last heartbeat in the log is older than this, because their
+/// records could not be stored in time. Heartbeats take up to 900 ms with a store that is 60 times
+/// slower than usual.
 const HEARTBEAT_MAX_AGE: Millis = Millis(1_000);
 
-/// Time between two looks at whether all is written.
+/// Time between two checks of whether all records are written.
 const FLUSH_POLL_INTERVAL: Millis = Millis(20);
-/// The owner.
+
+/// The owner of a cell during one epoch.
 #[derive(Debug)]
 pub(super) struct Owner {
     node: Arc<Node>,
     view: Arc<CellView>,
     epoch: u64,
     cell: Mutex<Cell>,
-    /// The batch up to which all is in the store.
+    /// The last batch that is in the store; all earlier ones are too.
     stored_batch: watch::Sender<u64>,
-    /// There may be something to do or to write.
+    /// Wakes [`Owner::run_actions`].
     schedule_wake: Notify,
+    /// Wakes [`Owner::write_batches`].
     write_wake: Notify,
-    /// It is not the owner any more.
+    /// Set once this entry no longer owns the cell.
     ended: watch::Sender<bool>,
-    /// The other entries that ask this owner.
+    /// The other entries that are connected to this owner.
     peers: Mutex<HashMap<Name, FrameSender>>,
     authority: Mutex<Authority>,
-    /// What the other entries know of the time before.
-    witnesses: Mutex<Witnesses>,
-    lag: Mutex<Lag>,
-    /// Pauses of the process that the cell knows of.
+    /// What the other entries know about the time before this epoch.
+    witnesses: Mutex<LogReports>,
+    lag: Mutex<TickLag>,
+    /// The number of process pauses that the cell was told about.
     known_pauses: AtomicU64,
     /// No heartbeat has been confirmed since the last pause.
     is_unconfirmed: AtomicBool,
-    /// The store takes records.
+    /// The store accepted the last batch or heartbeat.
     store_up: AtomicBool,
-    /// Wakes the watch of a worker for a report at once.
+    /// Makes the task that watches a worker ask for a report at once.
     report_wakes: Mutex<HashMap<Name, Arc<Notify>>>,
-    /// What the cell has to do, as of the last tick.
-    loads: Mutex<Vec<Load>>,
-    /// Bounds how many orders each worker is given at once.
+    /// The load of the cell by service, as of the last tick.
+    loads: Mutex<Vec<ServiceLoad>>,
+    /// Limits how many orders are in flight to each worker.
     order_permits: Mutex<HashMap<Name, Arc<Semaphore>>>,
 }
 
 impl CellView {
-    /// Takes the cell over and owns it until another entry does, or this one is released.
+    /// Takes over the cell and owns it until another entry claims it or this one gives it up.
     pub(super) async fn run_owner(self: Arc<Self>, epoch: u64) {
         let started = self.now();
         let Some((snapshot, listed)) = self.recover(epoch).await else {
             self.ended_epoch.fetch_max(epoch, Ordering::Relaxed);
             return;
         };
-        let doubt = !lock(&self.election).is_steady(self.now());
+        let doubt = !lock(&self.election).is_log_steady(self.now());
         log::info!(
             "event=takeover cell={} epoch={epoch} jobs={} roster={} listed={} doubt={doubt} took_ms={}",
             self.cell,
@@ -84,14 +88,10 @@
             self.now().since(started)
         );
         let node = &self.node;
-        let (lease, keep, off) =
+        let (lease, job_retention, disabled) =
             (node.lease(), node.settings.job_retention, node.settings.disabled);
-        let bounds = CellConfig {
-            lease,
-            max_lease: node.settings.max_lease,
-            job_retention: keep,
-            disabled: off,
-        };
+        let bounds =
+            CellConfig { lease, max_lease: node.settings.max_lease, job_retention, disabled };
         let policy = node.policy();
         let mut cell = Cell::new(epoch, bounds, policy.queues.clone(), snapshot, doubt, self.now());
         cell.set_workspaces(policy.workspaces.clone());
@@ -100,7 +100,7 @@
             cell.add_entry(self.entry_name().clone(), self.is_home);
         }
         let mut authority = Authority::new(self.now());
-        authority.expect(self.now(), self.entry_count.load(Ordering::Relaxed));
+        authority.expect_peers(self.now(), self.entry_count.load(Ordering::Relaxed));
         let owner = Arc::new(Owner {
             epoch,
             cell: Mutex::new(cell),
@@ -111,7 +111,7 @@
             peers: Mutex::default(),
             authority: Mutex::new(authority),
             witnesses: Mutex::default(),
-            lag: Mutex::new(Lag::new(self.now())),
+            lag: Mutex::new(TickLag::new(self.now())),
             known_pauses: AtomicU64::new(node.clock.pauses()),
             is_unconfirmed: AtomicBool::new(false),
             store_up: AtomicBool::new(true),
@@ -131,7 +131,7 @@
             }
             is_same
         });
-        log::info!("event=owner-over cell={} epoch={epoch}", self.cell);
+        log::info!("event=ownership-ended cell={} epoch={epoch}", self.cell);
     }
 }
 
@@ -141,16 +141,17 @@
         self.epoch
     }
 
-    /// Whether another entry owns the cell by now, or this one gave it up.
+    /// Whether another entry has claimed the cell, or this one has given it up.
     pub fn has_ended(&self) -> bool {
         *self.ended.borrow()
     }
 
-    /// Gives the cell up: nothing is ordered or written any more.
+    /// Ends the ownership: no more orders are sent and no more records written.
     pub fn end(&self) {
         self.ended.send_replace(true);
     }
 
+    /// Runs all tasks of the owner until one of them returns or the ownership ends.
     async fn run(self: Arc<Self>) {
         let mut ended = self.ended.subscribe();
         self.schedule_wake.notify_one();
@@ -166,28 +167,29 @@
         self.end();
     }
 
-    /// A heartbeat that was sent at `sent` is in the log.
+    /// Notes that the heartbeat that was sent at `sent` is in the log.
     pub fn confirm_heartbeat(&self, sent: Millis) {
-        lock(&self.authority).confirm(sent);
-        if self.node.now().since(sent) < SILENCE {
+        lock(&self.authority).confirm_heartbeat(sent);
+        if self.node.now().since(sent) < OWNER_TIMEOUT {
             self.is_unconfirmed.store(false, Ordering::Relaxed);
         }
-        // Without jobs there may be no batch that shows that the store takes records again.
+        // Without jobs there may be no batch that shows that the store accepts records again.
         if !self.store_up.swap(true, Ordering::Relaxed) {
-            log::info!("event=store-back epoch={}", self.epoch);
+            log::info!("event=store-recovered epoch={}", self.epoch);
             self.write_wake.notify_one();
         }
     }
 
-    /// Whether orders may go out: no other entry can have claimed the cell.
+    /// Whether orders may be sent, because no other entry can have claimed the cell.
     fn has_authority(&self) -> bool {
         let now = self.node.now();
         self.check_for_pause(now);
-        lock(&self.authority).holds(now)
+        lock(&self.authority).is_valid(now)
     }
 
-    /// After a pause of the process or its machine, what the cell believes of workers is too old: nothing
-    /// starts before the list of them is read again, and each has reported.
+    /// Tells the cell if the process or its VM was paused. What the cell knows about workers is
+    /// outdated then, so it starts no task on a worker before the list of workers has been read
+    /// again and that worker has reported.
     fn check_for_pause(&self, now: Millis) {
         let pauses = self.node.clock.pauses();
         if self.known_pauses.swap(pauses, Ordering::Relaxed) != pauses {
@@ -196,12 +198,13 @@
         }
     }
 
-    /// Whether callers may come: this surely is the owner, and the store takes records.
+    /// Whether callers can be served: no other entry can own the cell, and the store accepts
+    /// records.
     pub fn is_serving(&self) -> bool {
         !self.has_ended() && self.can_accept_jobs() && self.has_authority()
     }
 
-    /// Does what the cell decides.
+    /// Executes the actions that the cell decides on.
     async fn run_actions(self: Arc<Self>) {
         loop {
             self.schedule_wake.notified().await;
@@ -213,8 +216,8 @@
                     true => cell.schedule(now),
                     false => cell.give_up_starts("no-authority"),
                 }
-                if lock(&self.authority).rests_on_peers(now) {
-                    cell.send_unkept(now);
+                if lock(&self.authority).depends_on_peers(now) {
+                    cell.send_unstored(now);
                     self.note_unlogged_starts(now);
                 }
                 cell.take_actions()
@@ -234,7 +237,7 @@
             }
             Action::Watch(listed) => drop(tokio::spawn(self.clone().watch_worker(listed))),
             Action::Unwatch(worker) => {
-                // The watching task ends by itself: the cell does not know the worker any more.
+                // The woken task ends by itself, because the cell no longer knows the worker.
                 if let Some(report_wake) = lock(&self.report_wakes).remove(&worker) {
                     report_wake.notify_one();
                 }
@@ -245,9 +248,7 @@
                     report_wake.notify_one();
                 }
             }
-            Action::RequestAdvice { entry, request: question } => {
-                self.request_advice(entry, question)
-            }
+            Action::RequestAdvice { entry, request } => self.request_advice(entry, request),
             Action::JobForgotten(job, workspace) => {
                 self.forget_at_home_cell(job, workspace.as_ref())
             }
@@ -255,15 +256,15 @@
         }
     }
 
-    /// Has an entry, maybe this one, ask the advice service.
-    fn request_advice(self: &Arc<Self>, entry: Name, question: AdviceRequest) {
-        let AdviceRequest { step, workers, cost, .. } = question;
+    /// Has an entry, possibly this one, ask the advice service.
+    fn request_advice(self: &Arc<Self>, entry: Name, request: AdviceRequest) {
+        let AdviceRequest { step, workers, cost, .. } = request;
         if entry == self.node.id.name {
             let owner = self.clone();
             tokio::spawn(async move {
                 let answer = owner.node.advise(step, &workers, cost).await;
                 let now = owner.node.now();
-                lock(&owner.cell).advised(now, &entry, step, &workers, answer);
+                lock(&owner.cell).handle_advice(now, &entry, step, &workers, answer);
                 owner.schedule_wake.notify_one();
             });
             return;
@@ -275,12 +276,13 @@
             _ => false,
         };
         if !sent {
-            log::info!("event=question-lost entry={entry} step={step}");
+            log::info!("event=advice-request-not-sent entry={entry} step={step}");
             lock(&self.cell).remove_entry(&entry);
             self.schedule_wake.notify_one();
         }
     }
 
+    /// Runs the periodic work of the cell and updates the metrics.
     async fn tick(self: Arc<Self>) {
         let mut timer = tokio::time::interval(TICK_INTERVAL.duration());
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -292,7 +294,7 @@
                 let mut cell = lock(&self.cell);
                 cell.set_overloaded(is_shedding);
                 cell.tick(now, Millis::now());
-                *lock(&self.loads) = cell.loads();
+                *lock(&self.loads) = cell.service_loads();
                 cell.stats()
             };
             self.node.metrics.set_load(&load);
@@ -300,18 +302,23 @@
         }
     }
 
-    /// Takes note of a tick; whether the processor does not keep up.
+    /// Records how late a tick is. Returns whether new jobs are refused because the processor does
+    /// not keep up.
     fn update_lag(&self, now: Millis) -> bool {
         let mut lag = lock(&self.lag);
-        let was_shedding = lag.sheds();
-        lag.tick(now, TICK_INTERVAL);
-        if lag.sheds() != was_shedding {
+        let was_shedding = lag.is_shedding();
+        lag.record_tick(now, TICK_INTERVAL);
+        if lag.is_shedding() != was_shedding {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=overload cell={cell} epoch={epoch} sheds={}", lag.sheds());
+            log::info!(
+                "event=overload-changed cell={cell} epoch={epoch} sheds={}",
+                lag.is_shedding()
+            );
         }
-        lag.sheds()
+        lag.is_shedding()
     }
 
+    /// Passes each new version of the policy to the cell.
     async fn follow_policy(self: Arc<Self>) {
         let mut policies = self.node.policy.subscribe();
         loop {
@@ -328,25 +335,29 @@
         }
     }
 
-    /// Another entry asks this owner from now on.
+    /// Registers the connection of another entry.
     pub fn add_peer(&self, entry: Name, cpu: u32, is_home: bool, sender: FrameSender) {
-        log::info!("event=entry-joined cell={} entry={entry} epoch={}", self.view.cell, self.epoch);
+        log::info!(
+            "event=entry-connected cell={} entry={entry} epoch={}",
+            self.view.cell,
+            self.epoch
+        );
         lock(&self.peers).insert(entry.clone(), sender);
-        // The cell is handed only to entries that belong to it.
+        // The cell is transferred only to entries whose home it is.
         let cpu = if is_home { cpu } else { 0 };
-        lock(&self.authority).join(self.node.now(), &entry, cpu);
+        lock(&self.authority).add_peer(self.node.now(), &entry, cpu);
         if self.node.adviser.is_some() {
             lock(&self.cell).add_entry(entry, is_home);
         }
         self.schedule_wake.notify_one();
     }
 
-    /// Its connection ended, unless it has a newer one.
+    /// Removes the connection of an entry, unless the entry has a newer one.
     pub fn remove_peer(&self, entry: &Name, sender: &FrameSender) {
         let mut peers = lock(&self.peers);
         if peers.get(entry).is_some_and(|known| known.same_channel(sender)) {
             let (cell, epoch) = (self.view.cell, self.epoch);
-            log::info!("event=entry-left cell={cell} entry={entry} epoch={epoch}");
+            log::info!("event=entry-disconnected cell={cell} entry={entry} epoch={epoch}");
             peers.remove(entry);
             drop(peers);
             lock(&self.cell).remove_entry(entry);
@@ -354,20 +365,21 @@
         }
     }
 
-    /// An entry says whether it can read the log.
+    /// Notes whether an entry can read the log.
     pub fn handle_ping(&self, entry: &Name, log_readable: bool) {
-        lock(&self.authority).hear(self.node.now(), entry, log_readable);
+        lock(&self.authority).update_peer(self.node.now(), entry, log_readable);
     }
 
-    /// Answers an entry.
+    /// Answers a message of an entry.
     pub async fn handle_request(
         self: &Arc<Self>,
         entry: &Name,
         message: EntryMessage,
     ) -> OwnerMessage {
         self.check_for_pause(self.node.now());
-        // Another entry may own the cell by now, and know more of its jobs. What entries tell is taken in all
-        // the same: an answer of the advice service that was turned away left its step waiting for good.
+        // After a pause another entry may own the cell and know more about its jobs. Only requests
+        // of callers are refused for that: if an answer of the advice service were refused, its
+        // step would wait forever.
         let is_stale = message.is_from_caller() && self.is_unconfirmed.load(Ordering::Relaxed);
         if self.has_ended() || is_stale {
             return OwnerMessage::Refused(RefusalReason::NotOwner);
@@ -417,13 +429,14 @@
                 }
             }
             EntryMessage::Advice { step, candidates, answer } => {
-                lock(&self.cell).advised(self.node.now(), entry, step, &candidates, answer);
+                lock(&self.cell).handle_advice(self.node.now(), entry, step, &candidates, answer);
                 self.schedule_wake.notify_one();
                 OwnerMessage::Ack
             }
         }
     }
 
+    /// Accepts a job and waits until its record is in the store.
     async fn submit(
         self: &Arc<Self>,
         job: JobKey,
@@ -434,19 +447,22 @@
         let batch = {
             let mut cell = lock(&self.cell);
             if !cell.is_visible(job, workspace.as_ref()) {
-                log::warn!("event=refused job={job} why=another-workspace epoch={}", self.epoch);
+                log::warn!(
+                    "event=job-refused job={job} why=another-workspace epoch={}",
+                    self.epoch
+                );
                 return OwnerMessage::Refused(RefusalReason::OtherWorkspace);
             }
-            if !cell.knows(job) && !self.can_accept_jobs() {
-                let age = lock(&self.authority).age(self.node.now());
+            if !cell.knows_job(job) && !self.can_accept_jobs() {
+                let age = lock(&self.authority).heartbeat_age(self.node.now());
                 log::info!(
-                    "event=refused job={job} why=no-store epoch={} beat_ms={age}",
+                    "event=job-refused job={job} why=store-unavailable epoch={} beat_ms={age}",
                     self.epoch
                 );
                 return OwnerMessage::Refused(RefusalReason::StoreUnavailable);
             }
-            if !cell.knows(job) && lock(&self.lag).sheds() {
-                log::info!("event=refused job={job} why=overload epoch={}", self.epoch);
+            if !cell.knows_job(job) && lock(&self.lag).is_shedding() {
+                log::info!("event=job-refused job={job} why=overload epoch={}", self.epoch);
                 return OwnerMessage::Refused(RefusalReason::Overload);
             }
             match cell.job_batch(job) {
@@ -478,13 +494,13 @@
         }
     }
 
-    /// Whether new jobs are taken: the store took the last batch, and a heartbeat a moment ago.
+    /// Whether new jobs are accepted: the store accepted the last batch and a recent heartbeat.
     fn can_accept_jobs(&self) -> bool {
-        let is_fresh = lock(&self.authority).age(self.node.now()) < HEARTBEAT_MAX_AGE;
+        let is_fresh = lock(&self.authority).heartbeat_age(self.node.now()) < HEARTBEAT_MAX_AGE;
         is_fresh && self.store_up.load(Ordering::Relaxed)
     }
 
-    /// Waits until a batch is in the store; `false`: this is not the owner any more.
+    /// Waits until a batch is in the store. Returns `false` if the ownership ends before.
     async fn wait_stored(&self, batch: u64) -> bool {
         let mut stored = self.stored_batch.subscribe();
         let mut ended = self.ended.subscribe();
@@ -494,7 +510,7 @@
         }
     }
 
-    /// Writes what is left, as well as the store allows within `timeout`.
+    /// Waits until all records are written, for `timeout` at the most.
     pub async fn flush(&self, timeout: Millis) {
         let deadline = self.node.now() + timeout;
         while self.node.now() < deadline && lock(&self.cell).has_unstored() {
--- a/tests/cellworld/outage.rs
+++ b/tests/cellworld/outage.rs
@@ -2,7 +2,7 @@
 //! they cannot read the log either.
 
 use super::*;
-use sprucerudder::cell::owner::witness::{Witnesses, Word};
+use sprucerudder::cell::owner::log_reports::{LogReport, LogReports};
 
 /// The number of entries other than the owner.
 const PEERS: u64 = 8;
@@ -35,7 +35,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn start_outage(&mut self, length: u64) {
         self.log_event(format!("the store is unavailable for {length} ms"));
         self.outage.count += 1;
@@ -58,18 +58,18 @@
         doubt && self.disabled != Disabled::UnrecordedStarts
     }
 
-    /// `part` tenths of the other entries connect to a new owner and tell it what they know of the
-    /// time before.
-    pub(super) fn connect_peers(&mut self, owner: usize, part: u64) {
-        let mut witnesses = Witnesses::default();
-        let is_steady = self.outage.is_steady(self.now);
-        let word = Word { is_steady, entries: PEERS as u32 };
+    /// On average, `tenths` in ten of the other entries connect to a new owner and tell it what they
+    /// know of the time before.
+    pub(super) fn connect_peers(&mut self, owner: usize, tenths: u64) {
+        let mut witnesses = LogReports::default();
+        let log_steady = self.outage.is_steady(self.now);
+        let word = LogReport { log_steady, peers: PEERS as u32 };
         for index in 0..PEERS {
-            if self.pick(10) < part {
+            if self.pick(10) < tenths {
                 witnesses.add(&format!("e{index}").into(), word);
             }
         }
-        if witnesses.suffice() {
+        if witnesses.exclude_unrecorded_starts() {
             self.owners[owner].cell.trust_records();
             self.advance_owner(owner);
         }
