--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -57,7 +57,8 @@
 }
 
 /// The suffix of a job's key under which its workspace is stored. It is separate from the job's own
-/// record because older versions do not know workspaces.
+/// record, whose encoding is shared with versions that do not know workspaces and skip unknown
+/// keys.
 const WORKSPACE_SUFFIX: &str = ".w";
 
 /// The progress of a task that is not done.
