--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -2,9 +2,9 @@
 
 use crate::cell::advice::queue::AdviceRequest;
 use crate::cell::jobs::job::{Job, Ticket};
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
-use crate::cell::placing::place::Fit;
+use crate::cell::placing::candidate::Candidate;
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -38,8 +38,8 @@
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
-        let advised = &step.advised;
-        if advised.asking || now < advised.again {
+        let clearances = &step.clearances;
+        if clearances.is_asking || now < clearances.retry_at {
             return;
         }
         let workers = self.select_workers(now, key, job, spec, remaining);
@@ -47,10 +47,10 @@
             return;
         }
         let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
-        let request = AdviceRequest { step: key, workers, cost, rank: rank(job) };
+        let request = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
         self.advice_queue.push(request);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
-            (step.advised.asking, step.advised.since) = (true, now);
+            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
         }
     }
 
@@ -71,40 +71,47 @@
             return Vec::new();
         };
         let charge = spec.charge();
-        let advised = &step.advised;
+        let clearances = &step.clearances;
         let includes_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
-        let open = self.open(now, key, job, spec).into_iter();
-        let is_answered = |fit: &Fit| {
-            advised.denied.contains(&fit.name)
-                || advised.holds(&fit.name, now + MIN_TICKET_VALIDITY)
+        let open = self.open_candidates(now, key, job, spec).into_iter();
+        let is_answered = |candidate: &Candidate| {
+            clearances.denied.contains(&candidate.name)
+                || clearances.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
         };
-        let (known, unknown): (Vec<Fit>, Vec<Fit>) = open
-            .filter(|fit| !is_answered(fit) && (includes_busy || fit.holds(spec, &charge)))
-            .partition(|fit| advised.cleared.contains_key(&fit.name));
+        let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
+            .filter(|candidate| {
+                !is_answered(candidate) && (includes_busy || candidate.has_room(spec, &charge))
+            })
+            .partition(|candidate| clearances.cleared.contains_key(&candidate.name));
         if spec.gang
             && let Some(selected) = self.select_gang_workers(now, key, spec, remaining)
         {
             return selected;
         }
-        let has_room = |fit: &Fit| fit.holds(spec, &charge);
-        let could_hold = |fit: &Fit| self.could_hold(fit, job.priority(), spec);
-        let known: Vec<Fit> = known.into_iter().filter(could_hold).collect();
+        let has_room = |candidate: &Candidate| candidate.has_room(spec, &charge);
+        let fits_after_preemption =
+            |candidate: &Candidate| self.fits_after_preemption(candidate, job.priority(), spec);
+        let known: Vec<Candidate> = known.into_iter().filter(fits_after_preemption).collect();
         let renewed = remaining.max(MIN_RENEWED_WORKERS);
         let asked = (remaining * WORKERS_PER_CLEARANCE).max(balanced_size(advice));
-        let suffices = |known: &[Fit]| !spec.gang && known.iter().any(has_room);
+        let suffices = |known: &[Candidate]| !spec.gang && known.iter().any(has_room);
         let (mut selected, limit) = match () {
             () if suffices(&known) => (known, renewed),
-            () if unknown.iter().any(has_room) || advised.is_new() => (unknown, asked),
+            () if unknown.iter().any(has_room) || clearances.has_no_answer() => (unknown, asked),
             // New tickets would not help, as these workers do not have room for the whole gang.
             () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made on some of them.
             () => (known, renewed),
         };
-        selected.sort_by_cached_key(|fit| {
-            let is_remote = job.home.as_ref().is_some_and(|home| fit.domain != *home);
-            (!fit.holds(spec, &charge), is_remote, std::cmp::Reverse(fit.free.cpu))
+        selected.sort_by_cached_key(|candidate| {
+            let is_remote = job.home_domain.as_ref().is_some_and(|home| candidate.domain != *home);
+            (!candidate.has_room(spec, &charge), is_remote, std::cmp::Reverse(candidate.free.cpu))
         });
-        selected.into_iter().take(limit.min(MAX_REQUEST_WORKERS)).map(|fit| fit.name).collect()
+        selected
+            .into_iter()
+            .take(limit.min(MAX_REQUEST_WORKERS))
+            .map(|candidate| candidate.name)
+            .collect()
     }
 
     /// Selects cleared workers for a gang if they have room for all of it. All tasks of a gang
@@ -118,18 +125,20 @@
         remaining: usize,
     ) -> Option<Vec<Name>> {
         let charge = spec.charge();
-        let mut fits = self.known_good(now, key, spec);
-        fits.retain(|fit| fit.holds(spec, &charge));
-        fits.sort_by_cached_key(|fit| std::cmp::Reverse(fit.count(spec, &charge)));
+        let mut candidates = self.cleared_candidates(now, key, spec);
+        candidates.retain(|candidate| candidate.has_room(spec, &charge));
+        candidates.sort_by_cached_key(|candidate| {
+            std::cmp::Reverse(candidate.count_fitting(spec, &charge))
+        });
         let mut selected = Vec::new();
         let mut room = 0;
-        for fit in fits.into_iter().take(MAX_REQUEST_WORKERS) {
+        for candidate in candidates.into_iter().take(MAX_REQUEST_WORKERS) {
             // The margin is for workers that fill up before the answer arrives.
             if room >= remaining + MIN_RENEWED_WORKERS {
                 break;
             }
-            room += fit.count(spec, &charge);
-            selected.push(fit.name);
+            room += candidate.count_fitting(spec, &charge);
+            selected.push(candidate.name);
         }
         (room >= remaining).then_some(selected)
     }
@@ -138,7 +147,8 @@
     pub(in crate::cell) fn assign_requests(&mut self, now: Millis) {
         while let Some((entry, request)) = self.advice_queue.assign_next(now) {
             let job = self.jobs.get(&request.step.job);
-            let since = job.and_then(|job| job.step(request.step)).map(|step| step.advised.since);
+            let since =
+                job.and_then(|job| job.step(request.step)).map(|step| step.clearances.asked_at);
             log::info!(
                 "event=advice-requested step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 request.step,
@@ -176,7 +186,7 @@
         // Workers that restarted since the request was queued are left out, because the answer may
         // be about their previous process.
         let workers = &self.workers;
-        let since = step.advised.since;
+        let since = step.clearances.asked_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted <= since);
         log::info!(
@@ -184,18 +194,18 @@
             named.len(),
             cleared.rows.len()
         );
-        let advised = &mut step.advised;
-        advised.asking = false;
-        advised.again = now + REQUEST_INTERVAL;
+        let clearances = &mut step.clearances;
+        clearances.is_asking = false;
+        clearances.retry_at = now + REQUEST_INTERVAL;
         let allowed: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
-        advised.denied.extend(denied.cloned());
+        clearances.denied.extend(denied.cloned());
         for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
-            advised.cleared.insert(name, Ticket { text, until });
+            clearances.cleared.insert(name, Ticket { text, until });
         }
         if allowed.is_empty() {
             // All workers were denied, so the next request may follow at once.
-            advised.again = now;
+            clearances.retry_at = now;
         }
     }
 
@@ -209,7 +219,7 @@
     pub(in crate::cell) fn clear_request(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
-            step.advised.asking = false;
+            step.clearances.is_asking = false;
             self.needs_placement = true;
         }
     }
@@ -217,7 +227,7 @@
     /// Invalidates a ticket that a worker rejected.
     pub(in crate::cell) fn invalidate_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
-        if let Some(ticket) = step.and_then(|step| step.advised.cleared.get_mut(name)) {
+        if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
             ticket.until = Millis(0);
         }
     }
@@ -228,7 +238,7 @@
         // Without this, a step whose answer was lost would wait forever.
         for step in self.advice_queue.take_overdue(now) {
             let job = self.jobs.get(&step.job);
-            let since = job.and_then(|job| job.step(step)).map(|state| state.advised.since);
+            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
             log::info!(
                 "event=wait-expired step={step} queue={} for=lost-answer ms={}",
                 job.map(|job| &*job.queue.name).unwrap_or_default(),
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -18,11 +18,11 @@
 use crate::workload::{JobKey, Queue, StepKey, TaskKey, Work};
 use advice::queue::{AdviceQueue, AdviceRequest};
 use jobs::job::Job;
-use jobs::wait::LongWait;
+use jobs::wait::WaitLogTimer;
 use mechanism::DisabledMechanisms;
-use placing::reserve::Reservations;
-use placing::share::Shares;
-use placing::usage::Usages;
+use placing::fair_share::ShareLimits;
+use placing::reservation::Reservations;
+use placing::usage::WorkspaceUsages;
 use records::journal::{JobOutcome, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -119,17 +119,17 @@
     /// Room that is reserved for steps that are about to start.
     reservations: Reservations,
     /// The running tasks of each workspace and its limits.
-    usages: Usages,
+    usages: WorkspaceUsages,
     /// How much each workspace may still submit within its share.
-    shares: Shares,
+    shares: ShareLimits,
     /// Worker processes that may have crashed.
-    unconfirmed_crashes: jobs::crash::Unconfirmed,
+    unconfirmed_crashes: jobs::crash::UnconfirmedCrashes,
     /// Worker processes that have ended but may still be listed, with when the end was noticed.
     ended_lives: BTreeMap<Life, Millis>,
     /// Jobs whose counts of crashes have changed.
     recount_jobs: BTreeSet<JobKey>,
     /// Counts of worker crashes by their outcome, since the takeover.
-    crash_counts: jobs::crash::Counts,
+    crash_counts: jobs::crash::CrashCounts,
     /// The number of waits that timed out before the awaited event occurred, since the takeover.
     expired_waits: u64,
     /// Jobs whose workspace is stored.
@@ -152,7 +152,7 @@
     needs_placement: bool,
     /// Set while earlier owners may have started runs that are not recorded. Inherited tasks are
     /// held back until the state of all workers is known.
-    unrecorded_starts: Option<LongWait>,
+    unrecorded_starts: Option<WaitLogTimer>,
     /// Starts that wait until the batch with their assignment is stored, in order, with the worker.
     unsent_starts: VecDeque<(u64, Name, Start)>,
     actions: Vec<Action>,
@@ -184,12 +184,12 @@
             closed_jobs: VecDeque::new(),
             advice_queue: AdviceQueue::default(),
             reservations: Reservations::default(),
-            usages: Usages::default(),
-            shares: Shares::default(),
-            unconfirmed_crashes: jobs::crash::Unconfirmed::default(),
+            usages: WorkspaceUsages::default(),
+            shares: ShareLimits::default(),
+            unconfirmed_crashes: jobs::crash::UnconfirmedCrashes::default(),
             ended_lives: BTreeMap::new(),
             recount_jobs: BTreeSet::new(),
-            crash_counts: jobs::crash::Counts::default(),
+            crash_counts: jobs::crash::CrashCounts::default(),
             expired_waits: 0,
             stored_workspaces: BTreeSet::new(),
             dirty_jobs: BTreeSet::new(),
@@ -200,11 +200,12 @@
             list_stale: false,
             next_settled: None,
             needs_placement: true,
-            unrecorded_starts: unrecorded_starts.then(|| LongWait::new(now, HOLDBACK_LOG_DELAY)),
+            unrecorded_starts: unrecorded_starts
+                .then(|| WaitLogTimer::new(now, HOLDBACK_LOG_DELAY)),
             unsent_starts: VecDeque::new(),
             actions: Vec::new(),
         };
-        cell.inherit(snapshot, now);
+        cell.restore_snapshot(snapshot, now);
         cell
     }
 
@@ -263,7 +264,7 @@
         }
         self.give_up_starts("pause");
         for (_, name, start) in std::mem::take(&mut self.unsent_starts) {
-            self.lose(&name, start.task, start.run);
+            self.abandon_run(&name, start.task, start.run);
         }
     }
 
@@ -276,7 +277,7 @@
                 Action::Start { worker, start, .. } => {
                     let (task, run) = (start.task, start.run);
                     log::info!("event=start-given-up task={task} worker={worker} why={reason}");
-                    self.lose(&worker, task, run);
+                    self.abandon_run(&worker, task, run);
                 }
                 action => self.actions.push(action),
             }
@@ -296,7 +297,7 @@
             }
         }
         self.queues = queues;
-        self.rank_again();
+        self.rebuild_ready();
         self.needs_placement = true;
     }
 
@@ -331,8 +332,8 @@
             workspace.as_deref().unwrap_or("none"),
             self.open_batch
         );
-        let is_beyond = workspace.as_ref().is_some_and(|name| self.exceeds_share(now, name));
-        let job = Job { workspace, is_beyond, ..Job::new(queue, work, now, self.open_batch) };
+        let is_over_share = workspace.as_ref().is_some_and(|name| self.exceeds_share(now, name));
+        let job = Job { workspace, is_over_share, ..Job::new(queue, work, now, self.open_batch) };
         self.jobs.insert(key, job);
         // The first steps look for workers while the job's record is written, and start once that
         // is stored. With a slow store, a short job has no time to wait for a second write.
@@ -353,7 +354,7 @@
     pub fn cancel(&mut self, now: Millis, key: JobKey) -> Option<u64> {
         let job = self.jobs.get(&key)?;
         if job.is_open() {
-            self.close(now, key, JobOutcome::Cancelled);
+            self.close_job(now, key, JobOutcome::Cancelled);
         }
         let (_, batch, _) = self.jobs.get(&key)?.closed?;
         Some(batch)
@@ -364,7 +365,7 @@
         let job = self.jobs.get(&key)?;
         Some(match job.closed {
             Some((outcome, batch, _)) if batch <= self.stored_batch => JobState::Closed(outcome),
-            None if !job.bound => JobState::Queued,
+            None if !job.was_placed => JobState::Queued,
             _ => JobState::Active,
         })
     }
@@ -438,7 +439,7 @@
     /// The number of workers that answered their last call.
     pub reachable_workers: usize,
     /// Counts of worker crashes since the takeover.
-    pub crash_counts: jobs::crash::Counts,
+    pub crash_counts: jobs::crash::CrashCounts,
     /// The number of waits that timed out since the takeover.
     pub expired_waits: u64,
 }
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -95,25 +95,25 @@
             records.push(journal::put_job(key, &job.record()));
         }
         match is_closed {
-            true if job.noted => {
-                job.noted = false;
+            true if job.has_progress => {
+                job.has_progress = false;
                 records.push(journal::delete_progress(key));
-                if std::mem::take(&mut job.noted_crashes) {
+                if std::mem::take(&mut job.has_crashes) {
                     records.push(journal::delete_crashes(key));
                 }
             }
-            false if job.bound => {
+            false if job.was_placed => {
                 let progress = job.progress();
                 // Progress that has become empty is written too. If an assignment stayed in the
                 // store, the next owners would take the run for lost each time the worker
                 // restarted.
-                if !progress.steps.is_empty() || job.noted {
-                    job.noted = true;
+                if !progress.steps.is_empty() || job.has_progress {
+                    job.has_progress = true;
                     records.push(journal::put_progress(key, &progress));
                 }
-                let crashes = job.crashes();
-                if !crashes.is_empty() || job.noted_crashes {
-                    job.noted_crashes = true;
+                let crashes = job.crash_notes();
+                if !crashes.is_empty() || job.has_crashes {
+                    job.has_crashes = true;
                     records.push(journal::put_crashes(key, &crashes));
                 }
             }
@@ -149,7 +149,7 @@
                 // above.
                 None => log::error!("event=withdrawn-unknown job={key}"),
             }
-            self.undo(*key);
+            self.discard_job(*key);
             self.forwarded.remove(key);
         }
         withdrawn
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -1,6 +1,6 @@
 //! The records that an owner keeps in the platform's store, and their encoding.
 
-use crate::cell::jobs::stage::Crash;
+use crate::cell::jobs::restart_policy::Crash;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::workload::{JobKey, Queue, Work};
