--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -38,8 +38,8 @@
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
-        let advised = &step.clearances;
-        if advised.is_asking || now < advised.retry_at {
+        let clearances = &step.clearances;
+        if clearances.is_asking || now < clearances.retry_at {
             return;
         }
         let workers = self.select_workers(now, key, job, spec, remaining);
@@ -71,18 +71,18 @@
             return Vec::new();
         };
         let charge = spec.charge();
-        let advised = &step.clearances;
+        let clearances = &step.clearances;
         let includes_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open_candidates(now, key, job, spec).into_iter();
         let is_answered = |candidate: &Candidate| {
-            advised.denied.contains(&candidate.name)
-                || advised.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
+            clearances.denied.contains(&candidate.name)
+                || clearances.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
         };
         let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
             .filter(|candidate| {
                 !is_answered(candidate) && (includes_busy || candidate.has_room(spec, &charge))
             })
-            .partition(|candidate| advised.cleared.contains_key(&candidate.name));
+            .partition(|candidate| clearances.cleared.contains_key(&candidate.name));
         if spec.gang
             && let Some(selected) = self.select_gang_workers(now, key, spec, remaining)
         {
@@ -97,7 +97,7 @@
         let suffices = |known: &[Candidate]| !spec.gang && known.iter().any(has_room);
         let (mut selected, limit) = match () {
             () if suffices(&known) => (known, renewed),
-            () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, asked),
+            () if unknown.iter().any(has_room) || clearances.has_no_answer() => (unknown, asked),
             // New tickets would not help, as these workers do not have room for the whole gang.
             () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made on some of them.
@@ -194,18 +194,18 @@
             named.len(),
             cleared.rows.len()
         );
-        let advised = &mut step.clearances;
-        advised.is_asking = false;
-        advised.retry_at = now + REQUEST_INTERVAL;
+        let clearances = &mut step.clearances;
+        clearances.is_asking = false;
+        clearances.retry_at = now + REQUEST_INTERVAL;
         let allowed: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
-        advised.denied.extend(denied.cloned());
+        clearances.denied.extend(denied.cloned());
         for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
-            advised.cleared.insert(name, Ticket { text, until });
+            clearances.cleared.insert(name, Ticket { text, until });
         }
         if allowed.is_empty() {
             // All workers were denied, so the next request may follow at once.
-            advised.retry_at = now;
+            clearances.retry_at = now;
         }
     }
 
