--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -1,13 +1,15 @@
-//! Worker crashes, counted per task, so that tasks that crash their workers are first quarantined and then given up.
+//! Worker crashes, counted per task, so that tasks that crash their workers are first quarantined
+//! and then given up.
 //!
-//! Some tasks crash every worker that starts them a few milliseconds after the start, and with the worker everything else
-//! that runs there. Without a count such a task would be started again forever, and a few of them would leave no worker
-//! usable. To spare tasks that merely shared a worker with the cause, a task runs alone where possible from its second
-//! crash on, so that a third one can be attributed to it.
+//! Some tasks crash every worker that starts them a few milliseconds after the start, and with the
+//! worker everything else that runs there. Without a count such a task would be started again
+//! forever, and a few of them would leave no worker usable. To spare tasks that merely shared a
+//! worker with the cause, a task runs alone where possible from its second crash on, so that a
+//! third one can be attributed to it.
 //!
-//! A worker that does not answer may have crashed or be behind a network partition. Its tasks start elsewhere once its
-//! leases have expired. The crash is unconfirmed until another incarnation of the worker is seen at its address, or the
-//! same incarnation answers again.
+//! A worker that does not answer may have crashed or be behind a network partition. Its tasks start
+//! elsewhere once its leases have expired. The crash is unconfirmed until another incarnation of
+//! the worker is seen at its address, or the same incarnation answers again.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -22,13 +24,15 @@
 use crate::workload::{JobKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a crash can stay unconfirmed. After that the worker is lost for good, or came back at another address. It is
-/// longer than the platform's workers are unreachable, and than a lease and a takeover together.
+/// How long a crash can stay unconfirmed. After that the worker is lost for good, or came back at
+/// another address. It is longer than the platform's workers are unreachable, and than a lease and
+/// a takeover together.
 const CONFIRM_TIMEOUT: Millis = Millis(20_000);
-/// At most one in this many workers of a service is left to quarantined tasks at once. When many workers crash together,
-/// there are more quarantined tasks than workers.
+/// At most one in this many workers of a service is dedicated to quarantined tasks at once. When
+/// many workers crash together, there are more quarantined tasks than workers.
 const WORKERS_PER_QUARANTINE: usize = 8;
-/// A task that runs until its job is cancelled is not blamed for a crash after running for this long: ten times the lease.
+/// A task that runs until its job is cancelled is not blamed for a crash after running for this
+/// long: ten times the lease.
 const CRASH_FREE_RUN: Millis = Millis(60_000);
 
 /// Counts for the metrics, since this owner took over the cell.
@@ -81,14 +85,14 @@
 
     /// The incarnations that `wanted` selects.
     fn find(&self, wanted: impl Fn(&Life, &PossibleCrash) -> bool) -> Vec<Life> {
-        let found = self.0.iter().filter(|(life, candidate)| wanted(life, candidate));
-        found.map(|(life, _)| life.clone()).collect()
+        let found = self.0.iter().filter(|(incarnation, candidate)| wanted(incarnation, candidate));
+        found.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 }
 
 impl Cell {
-    /// Counts a crash, or a possible crash if it is not confirmed, for each task that was sent to the worker. The end of a
-    /// worker that was leaving is not a crash.
+    /// Counts a crash, or a possible crash if it is not confirmed, for each task that was sent to
+    /// the worker. The end of a worker that was leaving is not a crash.
     pub(in crate::cell) fn record_worker_crash(
         &mut self,
         now: Millis,
@@ -100,14 +104,14 @@
         if worker.listed.leaving.is_some() || sent.is_empty() {
             return;
         }
-        let (life, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
         let is_next = |other: &Worker| {
             other.is_reachable && other.listed.addr == addr && other.listed.id != *name
         };
         let is_confirmed = is_confirmed || self.workers.values().any(is_next);
         self.counts.crashed += u64::from(is_confirmed);
         for SentRun { task, since, evidence, has_started } in sent {
-            let (worker, addr) = (life.clone(), addr.clone());
+            let (worker, addr) = (incarnation.clone(), addr.clone());
             let evidence = match has_started || !self.has_crashed_at(task, &addr) {
                 true => evidence,
                 // Its start may not have reached the worker, which may keep crashing by itself.
@@ -120,8 +124,9 @@
 
     /// Counts a possible crash for a task on a worker that does not answer.
     ///
-    /// Without this record the next owner could not tell the crash from a run whose end was not stored. Nor would it know
-    /// of the run if a copy of the task was started meanwhile, because only the last run of a task is stored.
+    /// Without this record the next owner could not tell the crash from a run whose end was not
+    /// stored. Nor would it know of the run if a copy of the task was started meanwhile, because
+    /// only the last run of a task is stored.
     pub(in crate::cell) fn record_possible_crash(
         &mut self,
         now: Millis,
@@ -135,8 +140,9 @@
         if worker.listed.leaving.is_some() {
             return;
         }
-        let (life, addr) = (worker.life(), worker.listed.addr.clone());
-        let crash = Crash { worker: life, addr, evidence: run.evidence, is_confirmed: false };
+        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let crash =
+            Crash { worker: incarnation, addr, evidence: run.evidence, is_confirmed: false };
         self.add_task_crash(now, task, &crash, now.since(run.since));
     }
 
@@ -145,8 +151,9 @@
         self.task_crashes(task).iter().any(|crash| crash.addr == *addr)
     }
 
-    /// Adds a crash to a task that had run for `length`, unless the crash is known already. The crashes of a task that runs
-    /// until its job is cancelled are cleared instead if it had run for [`CRASH_FREE_RUN`].
+    /// Adds a crash to a task that had run for `length`, unless the crash is known already. The
+    /// crashes of a task that runs until its job is cancelled are cleared instead if it had run for
+    /// [`CRASH_FREE_RUN`].
     fn add_task_crash(&mut self, now: Millis, task: TaskKey, crash: &Crash, length: Millis) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
@@ -173,10 +180,11 @@
         self.recounted.insert(task.step.job);
     }
 
-    /// Confirms the possible crashes of other incarnations at an address, because `life` is there now.
-    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, life: &Life, addr: &Name) {
+    /// Confirms the possible crashes of other incarnations at an address, because `incarnation` is
+    /// at it now.
+    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, incarnation: &Life, addr: &Name) {
         let is_before = |other: &Life, candidate: &PossibleCrash| {
-            candidate.addr == *addr && other.differs(life)
+            candidate.addr == *addr && other.differs(incarnation)
         };
         for ended in self.unconfirmed.find(is_before) {
             self.resolve_crash(&ended, CrashResolution::Ended);
@@ -185,34 +193,45 @@
 
     /// Resolves crashes that were neither confirmed nor ruled out in time.
     pub(in crate::cell) fn expire_unconfirmed(&mut self, now: Millis) {
-        for life in
+        for incarnation in
             self.unconfirmed.find(|_, candidate| now.since(candidate.since) >= CONFIRM_TIMEOUT)
         {
-            self.resolve_crash(&life, CrashResolution::Unknown);
+            self.resolve_crash(&incarnation, CrashResolution::Unknown);
         }
     }
 
-    /// Resolves possible crashes after a report of a worker: its incarnation did not crash, and earlier ones at its address
-    /// did.
+    /// Resolves possible crashes after a report of a worker: its incarnation did not crash, and
+    /// earlier ones at its address did.
     pub(in crate::cell) fn resolve_by_report(&mut self, name: &Name) {
         if self.unconfirmed.0.is_empty() {
             return;
         }
         let Some(worker) = self.workers.get(name) else { return };
-        let (life, addr) = (worker.life(), worker.listed.addr.clone());
-        // Records that were written before the worker told when it started name it by its id alone.
-        for same in self.unconfirmed.find(|other, _| !other.differs(&life)) {
+        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        // Includes records by the id alone, which were written before the worker told when it
+        // started.
+        for same in self.unconfirmed.find(|other, _| !other.differs(&incarnation)) {
             self.resolve_crash(&same, CrashResolution::Alive);
         }
-        self.confirm_earlier_crashes(&life, &addr);
+        self.confirm_earlier_crashes(&incarnation, &addr);
     }
 
-    /// Resolves a possible crash for all tasks that ran on the worker. If nothing was found out, it still counts for tasks
-    /// that have [`QUARANTINE_CRASHES`] confirmed crashes, and is dropped for others.
-    pub(in crate::cell) fn resolve_crash(&mut self, life: &Life, found: CrashResolution) {
-        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed.0.remove(life) else { return };
-        log::info!("event=crash-resolved worker={life} found={found:?} tasks={}", tasks.len());
-        self.counts.crashed += u64::from(found == CrashResolution::Ended);
+    /// Resolves a possible crash for all tasks that ran on the worker. If nothing was found out, it
+    /// still counts for tasks that have [`QUARANTINE_CRASHES`] confirmed crashes, and is dropped
+    /// for others.
+    pub(in crate::cell) fn resolve_crash(
+        &mut self,
+        incarnation: &Life,
+        resolution: CrashResolution,
+    ) {
+        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed.0.remove(incarnation) else {
+            return;
+        };
+        log::info!(
+            "event=crash-resolved worker={incarnation} found={resolution:?} tasks={}",
+            tasks.len()
+        );
+        self.counts.crashed += u64::from(resolution == CrashResolution::Ended);
         for task in tasks {
             let job = self.jobs.get_mut(&task.step.job);
             let step = job.and_then(|job| job.step_mut(task.step));
@@ -220,14 +239,16 @@
                 continue;
             };
             let confirmed = state.crashes.iter().filter(|crash| crash.is_confirmed).count();
-            match found {
+            match resolution {
                 CrashResolution::Unknown if confirmed < QUARANTINE_CRASHES => {
-                    state.crashes.retain(|crash| crash.worker != *life);
+                    state.crashes.retain(|crash| crash.worker != *incarnation);
+                }
+                CrashResolution::Alive => {
+                    state.crashes.retain(|crash| crash.worker != *incarnation)
                 }
-                CrashResolution::Alive => state.crashes.retain(|crash| crash.worker != *life),
                 CrashResolution::Ended | CrashResolution::Unknown => {
                     let of_incarnation =
-                        state.crashes.iter_mut().filter(|crash| crash.worker == *life);
+                        state.crashes.iter_mut().filter(|crash| crash.worker == *incarnation);
                     of_incarnation.for_each(|crash| crash.is_confirmed = true);
                 }
             }
@@ -248,9 +269,9 @@
         }
     }
 
-    /// Whether a task may be the reason why a worker does not answer: a worker crashed under it before, or a worker with
-    /// another run of it does not answer either. If such a task were copied each time, it would crash the workers one by
-    /// one.
+    /// Whether a task may be the reason why a worker does not answer: a worker crashed under it
+    /// before, or a worker with another run of it does not answer either. If such a task were
+    /// copied each time, it would crash the workers one by one.
     pub(in crate::cell) fn may_have_crashed_workers(&self, task: TaskKey, run: u64) -> bool {
         let has_other_run = |worker: &Worker| {
             let mut runs = worker.runs.range((task, 0)..=(task, u64::MAX));
@@ -260,7 +281,8 @@
         !self.task_crashes(task).is_empty() || unreachable.any(has_other_run)
     }
 
-    /// The crashes counted for a task; none if the task is not known, for example because its job was closed.
+    /// The crashes counted for a task; none if the task is not known, for example because its job
+    /// was closed.
     pub(in crate::cell) fn task_crashes(&self, task: TaskKey) -> &[Crash] {
         let step = self.jobs.get(&task.step.job).and_then(|job| job.step(task.step));
         let state = step.and_then(|step| step.tasks.get(task.index as usize));
@@ -272,8 +294,8 @@
         restart_policy(self.task_crashes(task)) != RestartPolicy::Normal
     }
 
-    /// Leaves a worker to the job of a quarantined task, unless too many workers of the service are left to such jobs
-    /// already.
+    /// Dedicates a worker to the job of a quarantined task, unless too many workers of the service
+    /// are dedicated to such jobs already.
     pub(in crate::cell) fn quarantine_worker(&mut self, name: &Name, task: TaskKey) {
         let Some(worker) = self.workers.get(name) else { return };
         let service = &worker.listed.service;
@@ -304,8 +326,9 @@
     has_started: bool,
 }
 
-/// The runs that were sent to the current incarnation of a worker. Runs that were sent to an earlier one are left out:
-/// they were counted when that one ended, and would be counted again with each restart.
+/// The runs that were sent to the current incarnation of a worker. Runs that were sent to an
+/// earlier one are left out: they were counted when that one ended, and would be counted again with
+/// each restart.
 fn sent_runs(worker: &Worker) -> Vec<SentRun> {
     let counts = |(_, run): &(&(TaskKey, u64), &Run)| run.is_sent && !run.is_stale;
     let sent = || worker.runs.iter().filter(counts);
@@ -341,7 +364,7 @@
 }
 
 impl Worker {
-    /// The job to which the worker is left, as long as runs of that job are on it.
+    /// The job to which the worker is dedicated, as long as runs of that job are on it.
     pub(in crate::cell) fn quarantined_job(&self) -> Option<JobKey> {
         self.quarantined_for.filter(|job| self.runs.keys().any(|(task, _)| task.step.job == *job))
     }
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Added to the priority value of jobs beyond their workspace's share. It is larger than the priority value of any queue,
-/// so these jobs come after all others.
+/// Added to the priority value of jobs beyond their workspace's share. It is larger than the
+/// priority value of any queue, so these jobs come after all others.
 const OVER_SHARE_PENALTY: u32 = 1 << 16;
 
 /// The status of a task.
@@ -35,7 +35,8 @@
 pub struct Task {
     /// Its status.
     pub status: TaskStatus,
-    /// The runs of it that failed. After a takeover a worker may report the same failure again, which must not count twice.
+    /// The runs of it that failed. After a takeover a worker may report the same failure again,
+    /// which must not count twice.
     pub failed_runs: Vec<u64>,
     /// The number of its last run that was started in this epoch.
     pub last_run: u64,
@@ -45,7 +46,8 @@
     pub failed_workers: Vec<Name>,
     /// Crashes of workers while it ran on them.
     pub crashes: Vec<Crash>,
-    /// Since when it has waited for a worker. Only set for tasks that run until their job is cancelled.
+    /// Since when it has waited for a worker. Only set for tasks that run until their job is
+    /// cancelled.
     pub idle_since: Option<Millis>,
 }
 
@@ -66,7 +68,8 @@
 }
 
 impl Task {
-    /// The worker and the number of the run that the task is assigned as, if that run is older than `run`.
+    /// The worker and the number of the run that the task is assigned as, if that run is older than
+    /// `run`.
     pub fn older_run(&self, run: u64) -> Option<(Name, u64)> {
         match &self.status {
             TaskStatus::Placed { worker, run: older } if *older < run => {
@@ -95,7 +98,8 @@
     pub asked_at: Millis,
     /// No further request is made before this time.
     pub retry_at: Millis,
-    /// Workers that may run the step. The clearance of a worker never changes; only its ticket expires.
+    /// Workers that may run the step. The clearance of a worker never changes; only its ticket
+    /// expires.
     pub cleared: BTreeMap<Name, Ticket>,
     /// Workers that may not run the step.
     pub denied: BTreeSet<Name>,
@@ -158,7 +162,8 @@
     pub known_since: Millis,
     /// The batch with the record of the job.
     pub batch: u64,
-    /// It was accepted by an earlier owner, so its tasks may run on workers that have not reported to this owner yet.
+    /// It was accepted by an earlier owner, so its tasks may run on workers that have not reported
+    /// to this owner yet.
     pub is_inherited: bool,
     /// One of its tasks has been assigned to a worker.
     pub was_placed: bool,
@@ -244,7 +249,8 @@
         self.steps.get_mut(at)
     }
 
-    /// The priority of the job: 0 comes first. Jobs beyond their workspace's share come after all others.
+    /// The priority of the job: 0 comes first. Jobs beyond their workspace's share come after all
+    /// others.
     pub fn priority(&self) -> u32 {
         self.queue.priority.saturating_add(if self.is_over_share { OVER_SHARE_PENALTY } else { 0 })
     }
@@ -277,8 +283,8 @@
         dependents.map(|(index, _)| StepKey { step: index as u16, ..key }).collect()
     }
 
-    /// Marks long-running tasks without a worker as idle since the start of this owner's clock, because they may have waited
-    /// for long under an earlier owner.
+    /// Marks long-running tasks without a worker as idle since the start of this owner's clock,
+    /// because they may have waited for long under an earlier owner.
     pub fn mark_idle_at_takeover(&mut self) {
         let steps = self.steps.iter_mut().zip(self.work.steps.iter().cycle());
         for (step, _) in steps.filter(|(_, spec)| spec.lasting) {
@@ -369,8 +375,8 @@
                 step.restore(note);
             }
         }
-        // Progress is recorded once a task was assigned to a worker, and the record stays even when nothing is left to
-        // record.
+        // Progress is recorded once a task was assigned to a worker, and the record stays even when
+        // nothing is left to record.
         self.was_placed = true;
         let has_run = |note: &TaskNote| !note.failed.is_empty() || !note.saved.is_empty();
         let shows_run = |note: &StepNote| !note.done.is_empty() || note.tasks.iter().any(has_run);
@@ -380,7 +386,8 @@
 }
 
 impl StepState {
-    /// Marks the waiting tasks as idle since `since`. Those that are already marked keep their earlier time.
+    /// Marks the waiting tasks as idle since `since`. Those that are already marked keep their
+    /// earlier time.
     pub fn mark_idle(&mut self, since: Millis) {
         for index in &self.waiting {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
@@ -389,7 +396,8 @@
         }
     }
 
-    /// Since when the longest waiting task has waited. Only known for tasks that run until their job is cancelled.
+    /// Since when the longest waiting task has waited. Only known for tasks that run until their
+    /// job is cancelled.
     pub fn longest_idle(&self) -> Option<Millis> {
         let waiting = self.waiting.iter().filter_map(|index| self.tasks.get(*index as usize));
         waiting.filter_map(|task| task.idle_since).min()
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -1,4 +1,5 @@
-//! State changes of jobs and of their runs: restored, opened, stopped, abandoned, closed, forgotten.
+//! State changes of jobs and of their runs: restored, opened, stopped, abandoned, closed,
+//! forgotten.
 
 use crate::cell::jobs::job::{Job, TaskStatus};
 use crate::cell::records::journal::{Fate, JobRecord, Member, Progress, Snapshot};
@@ -11,8 +12,8 @@
 use crate::workload::{JobKey, Queue, Room, StepKey, TaskKey};
 use std::sync::Arc;
 
-/// The interval between calls of [`Cell::tick`], which sends unanswered stops again and expires leases. It is a tenth of
-/// the longest time that a caller waits for an answer.
+/// The interval between calls of [`Cell::tick`], which sends unanswered stops again and expires
+/// leases. It is a tenth of the longest time that a caller waits for an answer.
 pub const TICK_INTERVAL: Millis = Millis(100);
 /// How much longer than promised a closed job can be asked for.
 const RETENTION_MARGIN: Millis = Millis(10_000);
@@ -24,9 +25,9 @@
         self.with_workspace = snapshot.workspaces.keys().copied().collect();
         for member in snapshot.roster {
             let born = start_times.get(&member.id).copied();
-            // A worker that may have restarted with the same id may have been given a lease end by the clock of its previous
-            // incarnation, which it shortens to the longest lease. Its task may then run on behind a network partition after
-            // the usual lease has expired.
+            // A worker that may have restarted with the same id may have been given a lease end by
+            // the clock of its previous incarnation, which it shortens to the longest lease. Its
+            // task may then run on behind a network partition after the usual lease has expired.
             let lease = if born.is_some() { self.bounds.lease_max } else { self.bounds.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
             let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Restores the runs that an earlier owner assigned to workers. They are kept until the worker reports them or is
-    /// removed, or its leases expire.
+    /// Restores the runs that an earlier owner assigned to workers. They are kept until the worker
+    /// reports them or is removed, or its leases expire.
     fn restore_runs(&mut self, now: Millis, key: JobKey, progress: &Progress) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
@@ -119,8 +120,9 @@
         self.queues.get(&name).cloned().unwrap_or_else(unknown)
     }
 
-    /// Opens a new or restored job: steps without dependencies are opened, or scheduled for when they are due. Their tasks
-    /// can be assigned to workers at once, and start once the job is in the store.
+    /// Opens a new or restored job: steps without dependencies are opened, or scheduled for when
+    /// they are due. Their tasks can be assigned to workers at once, and start once the job is in
+    /// the store.
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
         let scheduled = job.work.first.0 > 0;
@@ -156,7 +158,8 @@
         self.changed = true;
     }
 
-    /// Sorts the steps to be placed again, because a new policy may have changed the ranks of their jobs.
+    /// Sorts the steps to be placed again, because a new policy may have changed the ranks of their
+    /// jobs.
     pub(in crate::cell) fn rebuild_ready(&mut self) {
         let keys: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
         self.ready.clear();
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Marks a task as done, or the whole gang if it belongs to one, and finishes the step with its last task.
+    /// Marks a task as done, or the whole gang if it belongs to one, and finishes the step with its
+    /// last task.
     pub(in crate::cell) fn finish_task(&mut self, now: Millis, task: TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
@@ -225,7 +229,8 @@
         }
     }
 
-    /// Discards a job that was not accepted. None of its starts was sent, so no run has to be stopped.
+    /// Discards a job that was not accepted. None of its starts was sent, so no run has to be
+    /// stopped.
     pub(in crate::cell) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(&key) else { return };
         let (priority, due) = queue_rank(&job);
@@ -254,7 +259,8 @@
         self.actions.push(Action::Stop { worker: name.clone(), task, run });
     }
 
-    /// Removes a run that ended without success or never started, and lets its task wait for a worker again.
+    /// Removes a run that ended without success or never started, and lets its task wait for a
+    /// worker again.
     pub(in crate::cell) fn abandon_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove_run(task, run);
@@ -263,7 +269,8 @@
         self.requeue_task(task, run);
     }
 
-    /// Lets the task of an ended run wait for a worker again, unless the task is assigned as another run.
+    /// Lets the task of an ended run wait for a worker again, unless the task is assigned as
+    /// another run.
     pub(in crate::cell) fn requeue_task(&mut self, task: TaskKey, run: u64) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
@@ -280,7 +287,8 @@
         }
     }
 
-    /// Stops the remaining runs of a gang in which a task has no run, because its tasks work only together.
+    /// Stops the remaining runs of a gang in which a task has no run, because its tasks work only
+    /// together.
     pub(in crate::cell) fn stop_incomplete_gang(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
@@ -303,8 +311,8 @@
         }
     }
 
-    /// Does what depends on time: opens scheduled steps, expires leases and unconfirmed crashes, forgets old jobs. `wall` is
-    /// the time of day.
+    /// Does what depends on time: opens scheduled steps, expires leases and unconfirmed crashes,
+    /// forgets old jobs. `wall` is the time of day.
     pub fn tick(&mut self, now: Millis, wall: Millis) {
         while let Some((due, step)) = self.timers.first().copied()
             && due <= wall
@@ -327,8 +335,8 @@
         self.expire_questions(now);
     }
 
-    /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its leases have expired:
-    /// until then an earlier owner may have started them without a record.
+    /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its
+    /// leases have expired: until then an earlier owner may have started them without a record.
     fn check_unknown_runs(&mut self, now: Millis) {
         let Some(doubt) = self.doubt.as_mut() else { return };
         let is_pending = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
@@ -348,8 +356,8 @@
         self.release_inherited_tasks();
     }
 
-    /// Notes that no start was sent without a record in the store, so inherited tasks need not wait for workers to report.
-    /// Returns whether that was unknown before.
+    /// Notes that no start was sent without a record in the store, so inherited tasks need not wait
+    /// for workers to report. Returns whether that was unknown before.
     pub fn trust_records(&mut self) -> bool {
         let was_doubtful = self.doubt.is_some();
         if was_doubtful {
@@ -389,12 +397,14 @@
     }
 }
 
-/// The sort key of a job among the jobs that wait, lower ones first: its priority, and when it should be completed.
+/// The sort key of a job among the jobs that wait, lower ones first: its priority, and when it
+/// should be completed.
 pub(in crate::cell) fn queue_rank(job: &Job) -> (u32, Millis) {
     (job.priority(), job.known_since + job.queue.objective(&job.work))
 }
 
-/// A list entry for a worker that is only known from the store, without resources until it is listed.
+/// A list entry for a worker that is only known from the store, without resources until it is
+/// listed.
 fn placeholder_listing(member: Member, born: Option<Millis>) -> Listed {
     Listed {
         id: member.id,
--- a/src/cell/jobs/restart_policy.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -4,36 +4,40 @@
 use crate::order::Life;
 use serde::{Deserialize, Serialize};
 
-/// Number of crashes from which on a task is quarantined. After a single crash it is most likely one of the six to
-/// fourteen tasks that happened to share the worker, and isolating all of these would take as many workers.
+/// Number of crashes from which on a task is quarantined. After a single crash it is most likely
+/// one of the six to fourteen tasks that happened to share the worker, and isolating all of these
+/// would take as many workers.
 pub(in crate::cell) const QUARANTINE_CRASHES: usize = 2;
-/// Number of crashes after which a task is given up if it ran alone on the worker that crashed last. The platform's
-/// contract allows that after two. The third one occupies a worker for some seconds, but it spares tasks that merely
-/// shared a worker with the cause.
+/// Number of crashes after which a task is given up if it ran alone on the worker that crashed
+/// last. The platform's contract allows that after two. The third one occupies a worker for some
+/// seconds, but it spares tasks that merely shared a worker with the cause.
 const ALONE_CRASH_LIMIT: usize = 3;
-/// Number of crashes after which a task is given up even if it shared the workers, unless fewer than
-/// [`MIN_CERTAIN_CRASHES`] are certain. This is one less than the contract allows because one crash may go uncounted
-/// when another entry takes over the cell.
+/// Number of crashes after which a task is given up even if it shared the workers, unless fewer
+/// than [`MIN_CERTAIN_CRASHES`] are certain. This is one less than the contract allows because one
+/// crash may go uncounted when another entry takes over the cell.
 const CRASH_LIMIT: usize = 4;
-/// Number of crashes from which on a task is not started any more, even if all of them are doubtful. The contract allows
-/// two starts after the third crash.
+/// Number of crashes from which on a task is not started any more, even if all of them are
+/// doubtful. The contract allows two starts after the third crash.
 const RESTART_CRASH_LIMIT: usize = 5;
-/// Number of crashes that must not be [`Evidence::Doubtful`] before a task is given up with fewer than
-/// [`RESTART_CRASH_LIMIT`] crashes. Otherwise a task that met two takeovers, or two starts that reached no worker, would
-/// be given up for a single crash of a worker.
+/// Number of crashes that must not be [`Evidence::Doubtful`] before a task is given up with fewer
+/// than [`RESTART_CRASH_LIMIT`] crashes. Otherwise a task that met two takeovers, or two starts
+/// that reached no worker, would be given up for a single crash of a worker.
 const MIN_CERTAIN_CRASHES: usize = 2;
 
 /// How strongly a crash of a worker speaks against a task that was sent to it.
 ///
-/// Records of earlier versions hold a flag at this position, which decodes as one of the first two variants.
+/// Records of earlier versions hold a flag at this position, which decodes as one of the first two
+/// variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// The worker had been up for long enough when the task was sent. Tasks of other jobs ran on it as well.
+    /// The worker had been up for long enough when the task was sent. Tasks of other jobs ran on it
+    /// as well.
     Shared,
-    /// The worker had been up for long enough when the task was sent. No task of another job ran on it.
+    /// The worker had been up for long enough when the task was sent. No task of another job ran on
+    /// it.
     Alone,
-    /// The worker had just started and may crash by itself, or the task was started by an earlier owner, which may have
-    /// received its end already.
+    /// The worker had just started and may crash by itself, or the task was started by an earlier
+    /// owner, which may have received its end already.
     Doubtful,
 }
 
@@ -46,7 +50,8 @@
     pub addr: Name,
     /// How strongly the crash speaks against the task.
     pub evidence: Evidence,
-    /// Whether another incarnation was seen at the address. Until then the worker may just be unreachable.
+    /// Whether another incarnation was seen at the address. Until then the worker may just be
+    /// unreachable.
     pub is_confirmed: bool,
 }
 
@@ -55,10 +60,11 @@
 pub(in crate::cell) enum RestartPolicy {
     /// It runs on any worker with enough free resources.
     Normal,
-    /// It runs only on workers that have been up for long enough, and alone there where that is possible.
+    /// It runs only on workers that have been up for long enough, and alone there where that is
+    /// possible.
     Quarantined,
-    /// It waits until an unconfirmed crash is confirmed or ruled out. If all crashes are doubtful it waits until its job is
-    /// cancelled, because no job is given up on doubtful evidence alone.
+    /// It waits until an unconfirmed crash is confirmed or ruled out. If all crashes are doubtful
+    /// it waits until its job is cancelled, because no job is given up on doubtful evidence alone.
     Paused,
     /// It is given up, and its job fails.
     Exhausted,
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -1,4 +1,5 @@
-//! Why a step waits. A line is logged whenever the reason changes, and while a wait goes on for long.
+//! Why a step waits. A line is logged whenever the reason changes, and while a wait goes on for
+//! long.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -11,7 +12,8 @@
 /// How long a step waits for the same reason before that is first logged.
 const FIRST_LOG_DELAY: Millis = Millis(2_000);
 
-/// Decides when to log a wait that goes on: after a first delay, and then each time its length has doubled.
+/// Decides when to log a wait that goes on: after a first delay, and then each time its length has
+/// doubled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitLogTimer {
     /// When the wait began.
@@ -46,7 +48,8 @@
 }
 
 impl Cell {
-    /// Why tasks of a step still wait after placement; `fits` are the workers that could have been chosen.
+    /// Why tasks of a step still wait after placement; `fits` are the workers that could have been
+    /// chosen.
     pub(in crate::cell) fn wait_reason(
         &self,
         now: Millis,
@@ -86,7 +89,8 @@
         self.workers.values().any(|worker| is_suitable(worker, &job.queue.service, spec))
     }
 
-    /// Sets why a step waits. If the reason changed, logs how long the step waited for the previous one.
+    /// Sets why a step waits. If the reason changed, logs how long the step waited for the previous
+    /// one.
     pub(in crate::cell) fn set_wait_reason(
         &mut self,
         now: Millis,
@@ -117,8 +121,9 @@
         );
     }
 
-    /// Logs a wait that goes on for long, with the state of its clearances: whether the advice service was ever asked, is
-    /// being asked, or has answered without naming a worker that can be used.
+    /// Logs a wait that goes on for long, with the state of its clearances: whether the advice
+    /// service was ever asked, is being asked, or has answered without naming a worker that can be
+    /// used.
     fn log_long_wait(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let queue = job.queue.name.clone();
--- a/src/cell/jobs/wait_reason.rs
+++ b/src/cell/jobs/wait_reason.rs
@@ -4,11 +4,13 @@
 
 /// Why tasks of a step have no worker yet.
 ///
-/// New reasons must be added at the end: entries that run different versions identify a reason by its position.
+/// New reasons must be added at the end: entries that run different versions identify a reason by
+/// its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// An earlier owner may have started the tasks on workers that have not reported to this owner yet.
+    /// An earlier owner may have started the tasks on workers that have not reported to this owner
+    /// yet.
     Takeover,
     /// The advice service has not answered the request about the step.
     Advice,
@@ -16,16 +18,19 @@
     NoneCleared,
     /// None of the workers that may run the step accepts tasks now.
     NoWorker,
-    /// Workers may have crashed while they ran the tasks. The tasks wait until the crashes are confirmed or ruled out.
+    /// Workers may have crashed while they ran the tasks. The tasks wait until the crashes are
+    /// confirmed or ruled out.
     Crashes,
     /// No worker is large enough for a task now. The resources of some workers may have shrunk.
     TooLarge,
     /// The workspace of the job has reached its limit of running tasks.
     #[serde(rename = "bound")]
     WorkspaceLimit,
-    /// Workers that may run the step have no free resources, or only resources that are reserved for other steps.
+    /// Workers that may run the step have no free resources, or only resources that are reserved
+    /// for other steps.
     Room,
-    /// Workers crashed while they ran the tasks, and the workers with free resources have not been up for long enough yet.
+    /// Workers crashed while they ran the tasks, and the workers with free resources have not been
+    /// up for long enough yet.
     NewWorkers,
 }
 
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -36,7 +36,8 @@
             }
             Outcome::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
             Outcome::Refused(Refusal::OtherLife) => {
-                // The incarnation that ended never received this run, so it is not counted as a crash for its task.
+                // The incarnation that ended never received this run, so it is not counted as a
+                // crash for its task.
                 self.abandon_run(name, task, run);
                 self.remove_worker(now, name, RemovalReason::Replaced);
             }
@@ -100,8 +101,8 @@
             Outcome::Done(_) | Outcome::Refused(Refusal::Old) => {
                 known.phase = Phase::Stopping(Some(now));
                 if !known.has_started {
-                    // The run may never have started. Then the worker reports no end of it, and only the next report shows
-                    // that its resources are free.
+                    // The run may never have started. Then the worker reports no end of it, and
+                    // only the next report shows that its resources are free.
                     self.actions.push(Action::Look(name.clone()));
                 }
             }
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -1,4 +1,5 @@
-//! Reports of workers: runs that go on, runs that ended, and throttling of filler tasks beside tasks that serve requests.
+//! Reports of workers: runs that go on, runs that ended, and throttling of filler tasks beside
+//! tasks that serve requests.
 
 use crate::cell::jobs::job::TaskStatus;
 use crate::cell::records::journal::Fate;
@@ -11,42 +12,46 @@
 use crate::workload::{Room, Step, TaskKey};
 use std::collections::BTreeSet;
 
-/// Filler tasks are slowed down when a tail latency on their worker reaches this percentage of its limit.
+/// Filler tasks are slowed down when a tail latency on their worker reaches this percentage of its
+/// limit.
 const SLOW_DOWN_PERCENT: f64 = 80.0;
-/// Filler tasks are sped up when all tail latencies on their worker are below this percentage of their limits.
+/// Filler tasks are sped up when all tail latencies on their worker are below this percentage of
+/// their limits.
 const SPEED_UP_PERCENT: f64 = 55.0;
 /// By how many percentage points the share of a filler task is raised at a time.
 const SPEED_UP_STEP: u32 = 20;
 /// A share that would fall below this percentage is set to zero.
 const MIN_SHARE_PERCENT: u32 = 10;
-/// The least time between two changes of shares on a worker. The latencies in a report cover the last half second.
+/// The least time between two changes of shares on a worker. The latencies in a report cover the
+/// last half second.
 const THROTTLE_INTERVAL: Millis = Millis(600);
 
 impl Cell {
-    /// The parameters of the next report call to a worker, with a renewal of its lease if `renew` is set; `None` if the
-    /// worker is not known any more. The lease of an unreachable worker is not renewed, because its tasks are started
-    /// elsewhere once it has expired.
+    /// The parameters of the next report call to a worker, with a renewal of its lease if `renew`
+    /// is set; `None` if the worker is not known any more. The lease of an unreachable worker is
+    /// not renewed, because its tasks are started elsewhere once it has expired.
     pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<Hold> {
         let lease = self.bounds.lease;
         let worker = self.workers.get_mut(name)?;
         let until =
             if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
-        // The worker may have restarted. An incarnation that is told the last end of the previous one would drop ends that
-        // were never received. A lease end by the clock of the previous one does no harm: the worker shortens it to the
-        // longest lease.
+        // The worker may have restarted. An incarnation that is told the last end of the previous
+        // one would drop ends that were never received. A lease end by the clock of the previous
+        // one does no harm: the worker shortens it to the longest lease.
         let seen = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
         Some(Hold { seen, until })
     }
 
-    /// The batch that must be in the store before all ends received from a worker can be confirmed to it.
+    /// The batch that must be in the store before all ends received from a worker can be confirmed
+    /// to it.
     pub fn unstored_ends_batch(&self, name: &Name) -> Option<u64> {
         self.workers.get(name).and_then(Worker::unstored_batch).filter(|batch| *batch > self.kept)
     }
 
     /// Handles a report call that failed. Returns whether to pause before the next call.
     ///
-    /// A single report may be lost on the network, so a worker is considered unreachable only when the next one is missing
-    /// too.
+    /// A single report may be lost on the network, so a worker is considered unreachable only when
+    /// the next one is missing too.
     pub fn on_missing_report(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
         match why {
             HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
@@ -92,7 +97,8 @@
             self.changed = true;
         }
         self.changed = self.changed || worker.has_unanswered();
-        // If an earlier owner did not know when the worker started, the start time has to be stored for the next one.
+        // If an earlier owner did not know when the worker started, the start time has to be stored
+        // for the next one.
         self.roster |= worker.record_report(now, sent, report);
         self.resolve_by_report(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -108,7 +114,8 @@
                 self.record_run_time(row.task, now.since(run.started_at));
             }
             self.on_run_end(now, name, row);
-            // An end that changes no job needs no record, and can be confirmed once the earlier batches are in the store.
+            // An end that changes no job needs no record, and can be confirmed once the earlier
+            // batches are in the store.
             let batch = if self.dirty.is_empty() { self.batch - 1 } else { self.batch };
             let kept = self.kept;
             if let Some(worker) = self.workers.get_mut(name) {
@@ -124,7 +131,8 @@
         self.throttle_fillers(now, name, report);
     }
 
-    /// Finds stalled and late runs on a worker, and lets their tasks run on another worker too if copies are allowed.
+    /// Finds stalled and late runs on a worker, and lets their tasks run on another worker too if
+    /// copies are allowed.
     fn duplicate_stragglers(&mut self, now: Millis, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         for (task, run) in worker.find_stragglers(now) {
@@ -248,8 +256,8 @@
         let job = self.jobs.get_mut(&task.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(task.step.step)).cloned();
         let owner = job.as_ref().and_then(|job| job.workspace.as_ref());
-        // The resources of a run whose job was closed are not known. It may fill the worker, whose resources may have been
-        // larger when it started.
+        // The resources of a run whose job was closed are not known. It may fill the worker, whose
+        // resources may have been larger when it started.
         let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::new(row.run, &spec, Phase::Running(now));
@@ -312,8 +320,8 @@
         }
     }
 
-    /// Slows down filler tasks while a task that serves requests on the worker is close to its tail latency limit, and
-    /// speeds them up again afterwards.
+    /// Slows down filler tasks while a task that serves requests on the worker is close to its tail
+    /// latency limit, and speeds them up again afterwards.
     fn throttle_fillers(&mut self, now: Millis, name: &Name, report: &Report) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let fillers: Vec<(TaskKey, u64, u32)> = worker
@@ -347,7 +355,8 @@
         for (task, run, percent) in changed {
             let percent = next_percent(percent);
             log::info!(
-                "event=filler-share-changed task={task} run={run} worker={name} percent={percent} worst={worst:.0}"
+                "event=filler-share-changed task={task} run={run} worker={name} percent={percent} \
+                 worst={worst:.0}"
             );
             self.actions.push(Action::Pace { worker: name.clone(), task, run, percent });
         }
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -1,8 +1,9 @@
 //! Workers whose process was restarted with the same id.
 //!
-//! State that ends with a process is dropped here: its runs, the numbers of its ends, its clock and with it the leases, and
-//! tickets. Which of two incarnations is the later one is known from reports alone: report calls to a worker follow one
-//! another, while an entry in the list of workers may belong to either incarnation.
+//! State that ends with a process is dropped here: its runs, the numbers of its ends, its clock and
+//! with it the leases, and tickets. Which of two incarnations is the later one is known from
+//! reports alone: report calls to a worker follow one another, while an entry in the list of
+//! workers may belong to either incarnation.
 
 use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::workers::worker::{Phase, Run};
@@ -20,12 +21,14 @@
     Kept,
     /// It ended with the previous incarnation, or was never sent.
     Lost,
-    /// Its start was not answered and may still arrive, so the new incarnation has to be told to refuse it.
+    /// Its start was not answered and may still arrive, so the new incarnation has to be told to
+    /// refuse it.
     InFlight,
 }
 
 impl Cell {
-    /// Handles a report from another incarnation of a worker than the one known here; the report call was sent at `sent`.
+    /// Handles a report from another incarnation of a worker than the one known here; the report
+    /// call was sent at `sent`.
     pub(in crate::cell) fn on_worker_restart(
         &mut self,
         now: Millis,
@@ -46,7 +49,8 @@
                 kept.extend(worker.remove_run(*task, *run).map(|known| (*task, known)));
             }
         }
-        // The remaining runs ended with the previous incarnation, which counts as a crash for their tasks.
+        // The remaining runs ended with the previous incarnation, which counts as a crash for their
+        // tasks.
         self.record_worker_crash(now, name, true);
         self.resolve_crash(&ended, CrashResolution::Ended);
         let lease_end = now + Millis(self.bounds.lease_max.0 * 1_050 / 1_000);
@@ -82,8 +86,8 @@
         self.forget_clearances(name);
     }
 
-    /// Tells the new incarnation to refuse a run of the previous one. Until it confirms that, the task is not started again
-    /// and the resources of the run stay charged.
+    /// Tells the new incarnation to refuse a run of the previous one. Until it confirms that, the
+    /// task is not started again and the resources of the run stay charged.
     fn reject_stale_run(&mut self, name: &Name, task: TaskKey, run: Run) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let no = run.run;
@@ -94,8 +98,8 @@
         self.actions.push(Action::Stop { worker: name.clone(), task, run: no });
     }
 
-    /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the next one may be of another
-    /// kind.
+    /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the
+    /// next one may be of another kind.
     fn forget_clearances(&mut self, name: &Name) {
         for job in self.jobs.values_mut().filter(|job| job.is_open() && job.queue.advice.is_some())
         {
@@ -106,8 +110,9 @@
         }
     }
 
-    /// Handles a list entry with another incarnation of a worker than the one that last reported. It is a later one, because
-    /// incarnations that ended are known. The worker is asked for a report at once, and gets no new tasks until it reports.
+    /// Handles a list entry with another incarnation of a worker than the one that last reported.
+    /// It is a later one, because incarnations that ended are known. The worker is asked for a
+    /// report at once, and gets no new tasks until it reports.
     pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &Listed) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
         let is_new = worker.is_other_incarnation(listed.born) && worker.listed.born != listed.born;
@@ -124,7 +129,8 @@
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
 
-/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation reported the run.
+/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation
+/// reported the run.
 fn run_after_restart(run: &Run, sent: Millis, is_reported: bool) -> RunAfterRestart {
     match run.phase {
         _ if is_reported => RunAfterRestart::Kept,
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -15,7 +15,8 @@
 pub enum RemovalReason {
     /// Another incarnation answers at its address.
     Replaced,
-    /// It is not listed any more, it does not answer, and its leases have expired or nothing runs on it.
+    /// It is not listed any more, it does not answer, and its leases have expired or nothing runs
+    /// on it.
     Unlisted,
 }
 
@@ -29,17 +30,18 @@
     }
 }
 
-/// How long an incarnation that ended is not added again from the list of workers, where its entry stays for some seconds.
-/// Otherwise it would be added and removed again each time the list is read. By the end of this time all its runs have
-/// ended.
+/// How long an incarnation that ended is not added again from the list of workers, where its entry
+/// stays for some seconds. Otherwise it would be added and removed again each time the list is
+/// read. By the end of this time all its runs have ended.
 pub(in crate::cell) const ENDED_INCARNATION_RETENTION: Millis = Millis(10_000);
-/// Number of workers in a failure domain that do not answer at the same time from which on the whole domain is considered
-/// partitioned from the owner. A single worker may have failed by itself.
+/// Number of workers in a failure domain that do not answer at the same time from which on the
+/// whole domain is considered partitioned from the owner. A single worker may have failed by
+/// itself.
 const PARTITION_MIN_WORKERS: usize = 2;
 
 impl Cell {
-    /// Marks a worker as unreachable: it gets no new tasks until it reports. Its tasks may run elsewhere at once if copies
-    /// are allowed.
+    /// Marks a worker as unreachable: it gets no new tasks until it reports. Its tasks may run
+    /// elsewhere at once if copies are allowed.
     pub fn mark_unreachable(&mut self, now: Millis, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name)
             && worker.is_reachable
@@ -56,11 +58,12 @@
         }
     }
 
-    /// Handles a message that a worker did not answer: the worker gets no new tasks until it reports, for which it is asked
-    /// at once.
+    /// Handles a message that a worker did not answer: the worker gets no new tasks until it
+    /// reports, for which it is asked at once.
     ///
-    /// When [`PARTITION_MIN_WORKERS`] workers of a failure domain do not answer, the others in it are considered to be behind
-    /// the same network partition. Otherwise starts would be sent there, and their tasks delayed until it heals.
+    /// When [`PARTITION_MIN_WORKERS`] workers of a failure domain do not answer, the others in it
+    /// are considered to be behind the same network partition. Otherwise starts would be sent
+    /// there, and their tasks delayed until it heals.
     pub(in crate::cell) fn suspect_worker(&mut self, now: Millis, name: &Name) {
         if self.is_late || self.bounds.off.has(Mechanism::Doubt) {
             return;
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Lets a task be started on another worker as well, if copies of it are allowed to run at the same time. The first run
-    /// that is done counts.
+    /// Lets a task be started on another worker as well, if copies of it are allowed to run at the
+    /// same time. The first run that is done counts.
     pub(in crate::cell) fn allow_duplicate(
         &mut self,
         now: Millis,
@@ -189,7 +192,8 @@
         }
     }
 
-    /// Stops the runs on a leaving worker that would not end in time, so that their tasks start elsewhere.
+    /// Stops the runs on a leaving worker that would not end in time, so that their tasks start
+    /// elsewhere.
     fn evacuate(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else { return };
         let time_left = worker.listed.leaving.unwrap_or_default();
@@ -208,10 +212,11 @@
         }
     }
 
-    /// Abandons the runs on unreachable workers whose leases have expired, and removes those that are not listed any more.
+    /// Abandons the runs on unreachable workers whose leases have expired, and removes those that
+    /// are not listed any more.
     pub(in crate::cell) fn expire_leases(&mut self, now: Millis) {
-        // A worker that left with no runs is removed before its lease expires. If it stayed in the store, the next owner
-        // would wait for its whole lease.
+        // A worker that left with no runs is removed before its lease expires. If it stayed in the
+        // store, the next owner would wait for its whole lease.
         let has_left =
             |worker: &Worker| worker.has_reported && !worker.is_listed && worker.runs.is_empty();
         let is_expired = |worker: &&Worker| {
--- a/src/cell/workers/run_times.rs
+++ b/src/cell/workers/run_times.rs
@@ -6,8 +6,8 @@
 const SAMPLE_WEIGHT: f64 = 0.02;
 /// The least number of runs from which a limit is derived.
 const MIN_SAMPLES: u32 = 20;
-/// A run is late when its ratio exceeds the mean by this many mean absolute deviations. For normally distributed run
-/// times that is about one run in a thousand.
+/// A run is late when its ratio exceeds the mean by this many mean absolute deviations. For
+/// normally distributed run times that is about one run in a thousand.
 const LATE_DEVIATIONS: f64 = 4.0;
 /// Time that the answer to a start and the reports of a worker may take on the network.
 const REPORT_DELAY: Millis = Millis(300);
@@ -40,7 +40,8 @@
         (self.count >= MIN_SAMPLES).then_some(self.mean + LATE_DEVIATIONS * self.deviation)
     }
 
-    /// The run time after which a run with this estimate is late compared with others of its queue, if enough runs are known.
+    /// The run time after which a run with this estimate is late compared with others of its queue,
+    /// if enough runs are known.
     pub fn late_after(&self, estimate: Millis) -> Option<Millis> {
         self.late_ratio().map(|limit| Millis((estimate.0 as f64 * limit) as u64) + REPORT_DELAY)
     }
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -7,28 +7,30 @@
 use crate::workload::{JobKey, Room, Step, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The owner considers a lease expired after its length times this factor, in thousandths. A worker's clock may be 2 %
-/// slow by the platform's contract, and 1 % is a margin.
+/// The owner considers a lease expired after its length times this factor, in thousandths. A
+/// worker's clock may be 2 % slow by the platform's contract, and 1 % is a margin.
 const LEASE_FACTOR_PERMILLE: u64 = 1_030;
 /// Number of consecutive reports that may be missing before a worker is considered unreachable.
 const MAX_MISSED_REPORTS: u32 = 1;
-/// Number of consecutive failures, of different jobs, after which a worker is excluded from placement. At most one task in
-/// ten fails by its own fault, so three such failures in a row happen once in a thousand.
+/// Number of consecutive failures, of different jobs, after which a worker is excluded from
+/// placement. At most one task in ten fails by its own fault, so three such failures in a row
+/// happen once in a thousand.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// The first time that a worker is excluded from placement; each further exclusion is twice as long. The platform's
-/// workers recover within seconds or not at all.
+/// The first time that a worker is excluded from placement; each further exclusion is twice as
+/// long. The platform's workers recover within seconds or not at all.
 const MIN_EXCLUSION: Millis = Millis(2_000);
 /// The longest time that a worker is excluded from placement.
 const MAX_EXCLUSION: Millis = Millis(16_000);
 
-/// A run that should save its progress is stalled after this time without a new checkpoint. The platform's workers save
-/// one after each half second of work, so two are missing by then and the third is late.
+/// A run that should save its progress is stalled after this time without a new checkpoint. The
+/// platform's workers save one after each half second of work, so two are missing by then and the
+/// third is late.
 const STALL_TIMEOUT: Millis = Millis(1_700);
 /// Late runs of two different jobs within this time are attributed to the worker.
 const LATE_WINDOW: Millis = Millis(3_000);
 
-/// A worker is stable once this long has passed since the first report of its current incarnation. A worker that crashes
-/// by itself usually does so repeatedly, and sooner than this.
+/// A worker is stable once this long has passed since the first report of its current incarnation.
+/// A worker that crashes by itself usually does so repeatedly, and sooner than this.
 const STABLE_AFTER: Millis = Millis(2_000);
 
 /// The phase of a run on its worker.
@@ -128,7 +130,8 @@
 pub struct Worker {
     /// Its entry in the list of workers.
     pub listed: Listed,
-    /// When the current incarnation started: the one that reports, or on which an earlier owner left runs.
+    /// When the current incarnation started: the one that reports, or on which an earlier owner
+    /// left runs.
     born: Option<Millis>,
     /// When a restart of the worker was last noticed.
     pub restarted_at: Millis,
@@ -144,7 +147,8 @@
     pub has_reported: bool,
     /// When the current incarnation first reported in this epoch.
     first_report: Option<Millis>,
-    /// The runs that are or may be on it. A task can have two runs for a moment, one of which is ending.
+    /// The runs that are or may be on it. A task can have two runs for a moment, one of which is
+    /// ending.
     pub runs: BTreeMap<(TaskKey, u64), Run>,
     /// The resources charged for `runs`.
     pub used: Room,
@@ -158,15 +162,18 @@
     pub lease_end: Millis,
     /// The highest number of an end of a run that was received.
     last_end: u64,
-    /// The highest number of an end that may be confirmed to the worker because its record is in the store.
+    /// The highest number of an end that may be confirmed to the worker because its record is in
+    /// the store.
     confirmed_end: u64,
-    /// Ends that were received and are not in the store yet: the batch with the record, and the number of the end.
+    /// Ends that were received and are not in the store yet: the batch with the record, and the
+    /// number of the end.
     unstored_ends: VecDeque<(u64, u64)>,
     /// Number of consecutive failures, of different jobs.
     failures: u32,
     /// The task that failed last.
     last_failed: Option<TaskKey>,
-    /// The length of the last exclusion from placement; 0 if there was none since a task last succeeded.
+    /// The length of the last exclusion from placement; 0 if there was none since a task last
+    /// succeeded.
     exclusion: Millis,
     /// Until when it is excluded from placement.
     excluded_until: Millis,
@@ -174,7 +181,7 @@
     last_late: Option<(TaskKey, Millis)>,
     /// When the processor shares of filler tasks were last changed.
     pub throttled_at: Millis,
-    /// The job to which the worker is left because one of its tasks is quarantined.
+    /// The job to which the worker is dedicated because one of its tasks is quarantined.
     pub(in crate::cell) quarantined_for: Option<JobKey>,
 }
 
@@ -222,8 +229,9 @@
 
     /// Resets the state to that of a new incarnation and returns the state of the previous one.
     ///
-    /// The new incarnation has none of the runs, and its clock and its numbers of ends start anew. It gets no new tasks
-    /// before its own entry in the list of workers is read, because its kind may have changed.
+    /// The new incarnation has none of the runs, and its clock and its numbers of ends start anew.
+    /// It gets no new tasks before its own entry in the list of workers is read, because its kind
+    /// may have changed.
     pub fn restart(
         &mut self,
         now: Millis,
@@ -241,7 +249,8 @@
         self.maybe_restarted = true;
     }
 
-    /// Whether it may have restarted: nothing that refers to its previous incarnation may be sent to it.
+    /// Whether it may have restarted: nothing that refers to its previous incarnation may be sent
+    /// to it.
     pub fn may_have_restarted(&self) -> bool {
         self.maybe_restarted
     }
@@ -274,7 +283,8 @@
         Some(run)
     }
 
-    /// Renews the lease. Returns its end on the worker's clock, or `None` if that clock is not known.
+    /// Renews the lease. Returns its end on the worker's clock, or `None` if that clock is not
+    /// known.
     pub fn renew_lease(&mut self, now: Millis, length: Millis) -> Option<u64> {
         let (clock, read_at) = self.clock?;
         let expiry = now + Millis(length.0 * LEASE_FACTOR_PERMILLE / 1_000);
@@ -282,7 +292,8 @@
         Some(clock + now.since(read_at).0 + length.0)
     }
 
-    /// A message sent at `sent` was not answered: the worker gets no new tasks until it answers a report call.
+    /// A message sent at `sent` was not answered: the worker gets no new tasks until it answers a
+    /// report call.
     pub fn mark_unanswered(&mut self, sent: Millis) {
         self.maybe_restarted = true;
         self.unanswered_at = self.unanswered_at.max(Some(sent));
@@ -293,8 +304,8 @@
         self.unanswered_at.is_some()
     }
 
-    /// The worker answered a report call that was sent at `sent`. Returns whether the report is the first to tell when
-    /// the worker's process started.
+    /// The worker answered a report call that was sent at `sent`. Returns whether the report is the
+    /// first to tell when the worker's process started.
     pub fn record_report(&mut self, now: Millis, sent: Millis, report: &Report) -> bool {
         if self.unanswered_at.is_some_and(|unanswered| sent >= unanswered) {
             self.unanswered_at = None;
@@ -384,8 +395,8 @@
         self.failures = MAX_CONSECUTIVE_FAILURES - 1;
     }
 
-    /// Finds runs that are stalled or late, each only once. The worker is excluded from placement for a stalled run, and
-    /// for late runs of two different jobs within [`LATE_WINDOW`].
+    /// Finds runs that are stalled or late, each only once. The worker is excluded from placement
+    /// for a stalled run, and for late runs of two different jobs within [`LATE_WINDOW`].
     pub fn find_stragglers(&mut self, now: Millis) -> Vec<(TaskKey, u64)> {
         let (mut found, mut is_at_fault) = (Vec::new(), false);
         let is_candidate = |run: &Run| matches!(run.phase, Phase::Running(_)) && !run.is_straggler;
@@ -418,8 +429,8 @@
         now < self.excluded_until
     }
 
-    /// Whether it may get new tasks when all batches up to `stored_batch` are in the store. Exclusion from placement is not
-    /// considered here.
+    /// Whether it may get new tasks when all batches up to `stored_batch` are in the store.
+    /// Exclusion from placement is not considered here.
     pub fn accepts_tasks(&self, stored_batch: u64) -> bool {
         let is_responsive = self.has_reported && self.is_reachable && self.unanswered_at.is_none();
         let is_known = self.is_listed
