--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -16,7 +16,7 @@
 use crate::cell::jobs::restart_policy::{
     Crash, Evidence, QUARANTINE_CRASHES, RestartPolicy, restart_policy,
 };
-use crate::cell::records::journal::Fate;
+use crate::cell::records::journal::JobOutcome;
 use crate::cell::workers::worker::{Run, Worker};
 use crate::clock::Millis;
 use crate::id::Name;
@@ -109,7 +109,7 @@
             other.is_reachable && other.listed.addr == addr && other.listed.id != *name
         };
         let is_confirmed = is_confirmed || self.workers.values().any(is_next);
-        self.counts.crashed += u64::from(is_confirmed);
+        self.crash_counts.crashed += u64::from(is_confirmed);
         for SentRun { task, since, evidence, has_started } in sent {
             let (worker, addr) = (incarnation.clone(), addr.clone());
             let evidence = match has_started || !self.has_crashed_at(task, &addr) {
@@ -175,9 +175,9 @@
              confirmed={is_confirmed}",
             state.crashes.len()
         );
-        self.unconfirmed.add(now, task, &state.crashes);
-        self.dirty.insert(task.step.job);
-        self.recounted.insert(task.step.job);
+        self.unconfirmed_crashes.add(now, task, &state.crashes);
+        self.dirty_jobs.insert(task.step.job);
+        self.recount_jobs.insert(task.step.job);
     }
 
     /// Confirms the possible crashes of other incarnations at an address, because `incarnation` is
@@ -186,15 +186,16 @@
         let is_before = |other: &Life, candidate: &PossibleCrash| {
             candidate.addr == *addr && other.differs(incarnation)
         };
-        for ended in self.unconfirmed.find(is_before) {
+        for ended in self.unconfirmed_crashes.find(is_before) {
             self.resolve_crash(&ended, CrashResolution::Ended);
         }
     }
 
     /// Resolves crashes that were neither confirmed nor ruled out in time.
     pub(in crate::cell) fn expire_unconfirmed(&mut self, now: Millis) {
-        for incarnation in
-            self.unconfirmed.find(|_, candidate| now.since(candidate.since) >= CONFIRM_TIMEOUT)
+        for incarnation in self
+            .unconfirmed_crashes
+            .find(|_, candidate| now.since(candidate.since) >= CONFIRM_TIMEOUT)
         {
             self.resolve_crash(&incarnation, CrashResolution::Unknown);
         }
@@ -203,14 +204,14 @@
     /// Resolves possible crashes after a report of a worker: its incarnation did not crash, and
     /// earlier ones at its address did.
     pub(in crate::cell) fn resolve_by_report(&mut self, name: &Name) {
-        if self.unconfirmed.0.is_empty() {
+        if self.unconfirmed_crashes.0.is_empty() {
             return;
         }
         let Some(worker) = self.workers.get(name) else { return };
         let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
         // Includes records by the id alone, which were written before the worker told when it
         // started.
-        for same in self.unconfirmed.find(|other, _| !other.differs(&incarnation)) {
+        for same in self.unconfirmed_crashes.find(|other, _| !other.differs(&incarnation)) {
             self.resolve_crash(&same, CrashResolution::Alive);
         }
         self.confirm_earlier_crashes(&incarnation, &addr);
@@ -224,14 +225,15 @@
         incarnation: &Life,
         resolution: CrashResolution,
     ) {
-        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed.0.remove(incarnation) else {
+        let Some(PossibleCrash { tasks, .. }) = self.unconfirmed_crashes.0.remove(incarnation)
+        else {
             return;
         };
         log::info!(
             "event=crash-resolved worker={incarnation} found={resolution:?} tasks={}",
             tasks.len()
         );
-        self.counts.crashed += u64::from(resolution == CrashResolution::Ended);
+        self.crash_counts.crashed += u64::from(resolution == CrashResolution::Ended);
         for task in tasks {
             let job = self.jobs.get_mut(&task.step.job);
             let step = job.and_then(|job| job.step_mut(task.step));
@@ -252,20 +254,20 @@
                     of_incarnation.for_each(|crash| crash.is_confirmed = true);
                 }
             }
-            self.dirty.insert(task.step.job);
-            self.recounted.insert(task.step.job);
-            self.changed = true;
+            self.dirty_jobs.insert(task.step.job);
+            self.recount_jobs.insert(task.step.job);
+            self.needs_placement = true;
         }
     }
 
     /// Fails jobs with a task whose crashes have reached the limit.
     pub(in crate::cell) fn fail_exhausted_jobs(&mut self, now: Millis) {
-        for key in std::mem::take(&mut self.recounted) {
+        for key in std::mem::take(&mut self.recount_jobs) {
             let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { continue };
             let Some((task, count)) = find_exhausted_task(key, job) else { continue };
             log::warn!("event=job-given-up task={task} crashes={count}");
-            self.counts.given_up += 1;
-            self.close_job(now, key, Fate::Failed);
+            self.crash_counts.given_up += 1;
+            self.close_job(now, key, JobOutcome::Failed);
         }
     }
 
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -2,7 +2,9 @@
 
 use crate::cell::jobs::restart_policy::Crash;
 use crate::cell::jobs::wait::Wait;
-use crate::cell::records::journal::{CrashNote, Fate, JobRecord, Progress, StepNote, TaskNote};
+use crate::cell::records::journal::{
+    JobOutcome, JobRecord, Progress, StepProgress, TaskCrashes, TaskProgress,
+};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::workload::{JobKey, Queue, Step, StepKey, TaskKey, Work};
@@ -172,7 +174,7 @@
     /// The failure domain in which its tasks are placed as far as there are free resources.
     pub home_domain: Option<Name>,
     /// How it ended, the batch with the record of that, and when.
-    pub closed: Option<(Fate, u64, Millis)>,
+    pub closed: Option<(JobOutcome, u64, Millis)>,
     /// The store has a record of its progress.
     pub has_progress: bool,
     /// The store has a record of crashes of workers that ran its tasks.
@@ -210,7 +212,7 @@
     }
 
     /// Creates a job that ended under an earlier owner. Only how it ended is known.
-    pub fn ended(queue: Arc<Queue>, fate: Fate, now: Millis) -> Self {
+    pub fn ended(queue: Arc<Queue>, fate: JobOutcome, now: Millis) -> Self {
         let work = Work {
             spec: "".into(),
             steps: Vec::new(),
@@ -321,7 +323,7 @@
     /// The stored record of the job.
     pub fn record(&self) -> JobRecord {
         match self.closed {
-            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), fate },
+            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome: fate },
             None => JobRecord::Open { queue: (*self.queue).clone(), work: self.work.clone() },
         }
     }
@@ -338,15 +340,15 @@
     }
 
     /// The stored records of worker crashes, for each task that has any.
-    pub fn crash_notes(&self) -> Vec<CrashNote> {
+    pub fn crash_notes(&self) -> Vec<TaskCrashes> {
         let step_count = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
         let notes = steps.flat_map(|(index, step)| {
             let place = ((index / step_count) as u32, (index % step_count) as u16);
             let tasks = step.tasks.iter().enumerate();
             let with_crashes = tasks.filter(|(_, task)| !task.crashes.is_empty());
-            with_crashes.map(move |(index, task)| CrashNote {
-                place,
+            with_crashes.map(move |(index, task)| TaskCrashes {
+                step_index: place,
                 index: index as u32,
                 crashes: task.crashes.clone(),
             })
@@ -355,9 +357,9 @@
     }
 
     /// Restores the crashes that an earlier owner counted.
-    pub fn restore_crashes(&mut self, notes: &[CrashNote]) {
+    pub fn restore_crashes(&mut self, notes: &[TaskCrashes]) {
         for note in notes {
-            let at = self.step_index(note.place.0, note.place.1);
+            let at = self.step_index(note.step_index.0, note.step_index.1);
             let step = self.steps.get_mut(at);
             let task = step.and_then(|step| step.tasks.get_mut(note.index as usize));
             if let Some(task) = task {
@@ -370,7 +372,7 @@
     /// Restores the progress that an earlier owner recorded.
     pub fn restore_progress(&mut self, progress: &Progress) {
         for note in &progress.steps {
-            let at = self.step_index(note.place.0, note.place.1);
+            let at = self.step_index(note.step_index.0, note.step_index.1);
             if let Some(step) = self.steps.get_mut(at) {
                 step.restore(note);
             }
@@ -378,8 +380,9 @@
         // Progress is recorded once a task was assigned to a worker, and the record stays even when
         // nothing is left to record.
         self.was_placed = true;
-        let has_run = |note: &TaskNote| !note.failed.is_empty() || !note.saved.is_empty();
-        let shows_run = |note: &StepNote| !note.done.is_empty() || note.tasks.iter().any(has_run);
+        let has_run = |note: &TaskProgress| !note.failed.is_empty() || !note.checkpoint.is_empty();
+        let shows_run =
+            |note: &StepProgress| !note.done.is_empty() || note.tasks.iter().any(has_run);
         self.has_run = self.has_run || progress.steps.iter().any(shows_run);
         self.has_progress = true;
     }
@@ -404,9 +407,9 @@
     }
 
     /// The stored record of the step's progress; `place` is the repetition and the step.
-    fn progress_note(&self, place: (u32, u16)) -> StepNote {
+    fn progress_note(&self, place: (u32, u16)) -> StepProgress {
         const BITS_PER_BYTE: usize = 8;
-        let mut note = StepNote { place, ..StepNote::default() };
+        let mut note = StepProgress { step_index: place, ..StepProgress::default() };
         if self.unfinished < self.tasks.len() as u32 {
             note.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
         }
@@ -423,14 +426,19 @@
             };
             if bound.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
                 let (failed, saved) = (task.failed_runs.clone(), task.checkpoint.clone());
-                note.tasks.push(TaskNote { index: index as u32, failed, saved, bound });
+                note.tasks.push(TaskProgress {
+                    index: index as u32,
+                    failed,
+                    checkpoint: saved,
+                    assignment: bound,
+                });
             }
         }
         note
     }
 
     /// Restores the progress that an earlier owner recorded.
-    fn restore(&mut self, note: &StepNote) {
+    fn restore(&mut self, note: &StepProgress) {
         const BITS_PER_BYTE: usize = 8;
         for index in 0..self.tasks.len() {
             let byte = note.done.get(index / BITS_PER_BYTE).copied().unwrap_or(0);
@@ -441,7 +449,7 @@
         for known in &note.tasks {
             if let Some(task) = self.tasks.get_mut(known.index as usize) {
                 task.failed_runs = known.failed.clone();
-                task.checkpoint = known.saved.clone();
+                task.checkpoint = known.checkpoint.clone();
             }
         }
     }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -2,7 +2,7 @@
 //! forgotten.
 
 use crate::cell::jobs::job::{Job, TaskStatus};
-use crate::cell::records::journal::{Fate, JobRecord, Member, Progress, Snapshot};
+use crate::cell::records::journal::{JobOutcome, JobRecord, Progress, Snapshot, WorkerRecord};
 use crate::cell::workers::roster::ENDED_INCARNATION_RETENTION;
 use crate::cell::workers::worker::{Phase, Run, Worker};
 use crate::cell::{Action, Cell};
@@ -21,14 +21,14 @@
 impl Cell {
     /// Restores the state that earlier owners wrote to the store.
     pub(in crate::cell) fn restore_snapshot(&mut self, snapshot: Snapshot, now: Millis) {
-        let start_times = snapshot.births;
-        self.with_workspace = snapshot.workspaces.keys().copied().collect();
-        for member in snapshot.roster {
+        let start_times = snapshot.worker_starts;
+        self.stored_workspaces = snapshot.workspaces.keys().copied().collect();
+        for member in snapshot.workers {
             let born = start_times.get(&member.id).copied();
             // A worker that may have restarted with the same id may have been given a lease end by
             // the clock of its previous incarnation, which it shortens to the longest lease. Its
             // task may then run on behind a network partition after the usual lease has expired.
-            let lease = if born.is_some() { self.bounds.lease_max } else { self.bounds.lease };
+            let lease = if born.is_some() { self.config.max_lease } else { self.config.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
             let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
             worker.is_listed = false;
@@ -39,10 +39,10 @@
             let workspace = snapshot.workspaces.get(&key).cloned();
             match record {
                 JobRecord::Forwarded { cell } => drop(self.forwarded.insert(key, (cell, 0))),
-                JobRecord::Closed { queue, fate } => {
+                JobRecord::Closed { queue, outcome: fate } => {
                     let job = Job::ended(self.queue_or_placeholder(queue), fate, now);
                     self.jobs.insert(key, Job { workspace, ..job });
-                    self.closed.push_back(key);
+                    self.closed_jobs.push_back(key);
                 }
                 JobRecord::Open { queue, work } => {
                     let queue = self.queues.get(&queue.name).cloned().unwrap_or(Arc::new(queue));
@@ -53,12 +53,12 @@
                     }
                     if let Some(crashes) = snapshot.crashes.get(&key) {
                         job.restore_crashes(crashes);
-                        self.recounted.insert(key);
+                        self.recount_jobs.insert(key);
                         for note in crashes {
-                            let (time, step) = note.place;
+                            let (time, step) = note.step_index;
                             let step = StepKey { job: key, time, step };
                             let task = TaskKey { step, index: note.index };
-                            self.unconfirmed.add(now, task, &note.crashes);
+                            self.unconfirmed_crashes.add(now, task, &note.crashes);
                         }
                     }
                     let done = job.is_done();
@@ -70,7 +70,7 @@
                         job.mark_idle_at_takeover();
                     }
                     match done {
-                        true => self.close_job(now, key, Fate::Completed),
+                        true => self.close_job(now, key, JobOutcome::Completed),
                         false => self.open_job(now, key),
                     }
                 }
@@ -84,11 +84,11 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
         for note in &progress.steps {
-            let step_key = StepKey { job: key, time: note.place.0, step: note.place.1 };
+            let step_key = StepKey { job: key, time: note.step_index.0, step: note.step_index.1 };
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
             for task in &note.tasks {
-                let Some((no, name)) = &task.bound else { continue };
+                let Some((no, name)) = &task.assignment else { continue };
                 let Some(worker) = self.workers.get_mut(name) else { continue };
                 if !step.waiting.contains(&task.index) {
                     continue;
@@ -96,7 +96,7 @@
                 step.place(task.index, name.clone(), *no);
                 // The run is considered over unless the first report of the worker names it.
                 let mut run = Run::new(*no, &spec, Phase::Running(Millis(0)));
-                run.usage_guard = owner.as_ref().map(|owner| self.usages.hold(owner, spec.room));
+                run.usage_guard = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
                 // The earlier owner may have sent the start.
                 (run.is_sent, run.known_since) = (true, now);
                 worker.add_run(TaskKey { step: step_key, index: task.index }, run);
@@ -132,7 +132,7 @@
         let due: Vec<Millis> = free.iter().map(|step| job.work.due(step.time)).collect();
         for (step, due) in free.into_iter().zip(due) {
             match scheduled {
-                true => drop(self.timers.insert((due, step))),
+                true => drop(self.start_timers.insert((due, step))),
                 false => self.open_step(now, step),
             }
         }
@@ -154,15 +154,15 @@
             return;
         }
         let (priority, due) = queue_rank(job);
-        self.ready.insert((priority, due, key));
-        self.changed = true;
+        self.ready_steps.insert((priority, due, key));
+        self.needs_placement = true;
     }
 
     /// Sorts the steps to be placed again, because a new policy may have changed the ranks of their
     /// jobs.
     pub(in crate::cell) fn rebuild_ready(&mut self) {
-        let keys: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
-        self.ready.clear();
+        let keys: Vec<StepKey> = self.ready_steps.iter().map(|(_, _, key)| *key).collect();
+        self.ready_steps.clear();
         for key in keys {
             self.make_ready(key);
         }
@@ -184,7 +184,7 @@
             return;
         }
         let is_finished = step.unfinished == 0;
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         if is_finished {
             self.finish_step(now, task.step);
         }
@@ -194,7 +194,7 @@
     fn finish_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_done() {
-            return self.close_job(now, key.job, Fate::Completed);
+            return self.close_job(now, key.job, JobOutcome::Completed);
         }
         let next: Vec<StepKey> =
             job.dependents(key).into_iter().filter(|f| job.dependencies_done(*f)).collect();
@@ -204,8 +204,8 @@
     }
 
     /// Closes a job: none of its tasks is started any more, and its runs are stopped.
-    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, fate: Fate) {
-        let batch = self.batch;
+    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, fate: JobOutcome) {
+        let batch = self.open_batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
         log::info!(
             "event=closed job={key} fate={fate:?} queue={} age_ms={} batch={batch}",
@@ -218,12 +218,12 @@
         let placed = job.placed_runs(key);
         job.steps = Vec::new();
         for step in steps {
-            self.ready.remove(&(priority, due, step));
-            self.advisers.cancel(step);
-            self.reserved.release(step);
+            self.ready_steps.remove(&(priority, due, step));
+            self.advice_queue.cancel(step);
+            self.reservations.release(step);
         }
-        self.dirty.insert(key);
-        self.closed.push_back(key);
+        self.dirty_jobs.insert(key);
+        self.closed_jobs.push_back(key);
         for (worker, task, run) in placed {
             self.stop_run(&worker, task, run);
         }
@@ -235,16 +235,16 @@
         let Some(job) = self.jobs.remove(&key) else { return };
         let (priority, due) = queue_rank(&job);
         for step in job.step_keys(key) {
-            self.ready.remove(&(priority, due, step));
-            self.advisers.cancel(step);
-            self.reserved.release(step);
+            self.ready_steps.remove(&(priority, due, step));
+            self.advice_queue.cancel(step);
+            self.reservations.release(step);
         }
         for (worker, task, run) in job.placed_runs(key) {
             if let Some(worker) = self.workers.get_mut(&worker) {
                 worker.remove_run(task, run);
             }
         }
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     /// Stops a run. Its resources stay charged until the worker reports that it has ended.
@@ -264,7 +264,7 @@
     pub(in crate::cell) fn abandon_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove_run(task, run);
-            self.changed = true;
+            self.needs_placement = true;
         }
         self.requeue_task(task, run);
     }
@@ -281,7 +281,7 @@
             matches!(status, Some(TaskStatus::Placed { run: placed, .. }) if placed == run);
         if is_assigned {
             step.requeue(task.index);
-            self.dirty.insert(task.step.job);
+            self.dirty_jobs.insert(task.step.job);
             self.make_ready(task.step);
             self.stop_incomplete_gang(task.step);
         }
@@ -314,23 +314,23 @@
     /// Does what depends on time: opens scheduled steps, expires leases and unconfirmed crashes,
     /// forgets old jobs. `wall` is the time of day.
     pub fn tick(&mut self, now: Millis, wall: Millis) {
-        while let Some((due, step)) = self.timers.first().copied()
+        while let Some((due, step)) = self.start_timers.first().copied()
             && due <= wall
         {
-            self.timers.pop_first();
+            self.start_timers.pop_first();
             self.open_step(now, step);
         }
         self.resend_stops();
-        if !self.is_late {
+        if !self.is_overloaded {
             self.expire_leases(now);
         }
         self.check_unknown_runs(now);
         self.expire_unconfirmed(now);
-        self.note_settled(now);
+        self.check_stability(now);
         self.ended_lives.retain(|_, since| now.since(*since) < ENDED_INCARNATION_RETENTION);
         self.forget_closed_jobs(now);
-        if self.reserved.expire(now) {
-            self.changed = true;
+        if self.reservations.expire(now) {
+            self.needs_placement = true;
         }
         self.expire_questions(now);
     }
@@ -338,7 +338,7 @@
     /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its
     /// leases have expired: until then an earlier owner may have started them without a record.
     fn check_unknown_runs(&mut self, now: Millis) {
-        let Some(doubt) = self.doubt.as_mut() else { return };
+        let Some(doubt) = self.unrecorded_starts.as_mut() else { return };
         let is_pending = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_pending);
         if let Some(first) = unknown.next() {
@@ -359,7 +359,7 @@
     /// Notes that no start was sent without a record in the store, so inherited tasks need not wait
     /// for workers to report. Returns whether that was unknown before.
     pub fn trust_records(&mut self) -> bool {
-        let was_doubtful = self.doubt.is_some();
+        let was_doubtful = self.unrecorded_starts.is_some();
         if was_doubtful {
             self.release_inherited_tasks();
         }
@@ -368,8 +368,8 @@
 
     /// Lets inherited tasks start, and stops gangs of which not all tasks run.
     fn release_inherited_tasks(&mut self) {
-        self.doubt = None;
-        self.changed = true;
+        self.unrecorded_starts = None;
+        self.needs_placement = true;
         let gangs: Vec<StepKey> = self
             .jobs
             .iter()
@@ -383,16 +383,16 @@
 
     /// Forgets closed jobs that were kept for long enough.
     fn forget_closed_jobs(&mut self, now: Millis) {
-        let retention = self.bounds.keep + RETENTION_MARGIN;
-        while let Some(key) = self.closed.front().copied() {
+        let retention = self.config.job_retention + RETENTION_MARGIN;
+        while let Some(key) = self.closed_jobs.front().copied() {
             let at = self.jobs.get(&key).and_then(|job| job.closed).map(|(_, _, at)| at);
             if at.is_some_and(|at| now.since(at) < retention) {
                 break;
             }
-            self.closed.pop_front();
+            self.closed_jobs.pop_front();
             let workspace = self.jobs.remove(&key).and_then(|job| job.workspace);
-            self.dirty.insert(key);
-            self.actions.push(Action::Forgotten(key, workspace));
+            self.dirty_jobs.insert(key);
+            self.actions.push(Action::JobForgotten(key, workspace));
         }
     }
 }
@@ -405,7 +405,7 @@
 
 /// A list entry for a worker that is only known from the store, without resources until it is
 /// listed.
-fn placeholder_listing(member: Member, born: Option<Millis>) -> Listed {
+fn placeholder_listing(member: WorkerRecord, born: Option<Millis>) -> Listed {
     Listed {
         id: member.id,
         born,
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -5,7 +5,7 @@
 use crate::cell::jobs::job::Job;
 use crate::cell::jobs::restart_policy::is_paused;
 use crate::cell::jobs::wait_reason::WaitReason;
-use crate::cell::placing::place::{Fit, is_suitable};
+use crate::cell::placing::candidate::{Candidate, is_suitable};
 use crate::clock::Millis;
 use crate::workload::StepKey;
 
@@ -54,7 +54,7 @@
         &self,
         now: Millis,
         key: StepKey,
-        fits: &[Fit],
+        candidates: &[Candidate],
     ) -> Option<WaitReason> {
         let job = self.jobs.get(&key.job)?;
         let step = job.step(key)?;
@@ -65,7 +65,7 @@
         Some(match () {
             () if step.waiting.is_empty() => return None,
             () if step.waiting.iter().all(is_held_back) => WaitReason::Crashes,
-            () if !fits.is_empty() => WaitReason::Room,
+            () if !candidates.is_empty() => WaitReason::Room,
             () if clearances.is_asking => WaitReason::Advice,
             () if !self.has_large_worker(job, key) => WaitReason::TooLarge,
             () if job.queue.advice.is_none() => WaitReason::NoWorker,
@@ -77,7 +77,7 @@
 
     /// The steps that wait for a worker, and why.
     pub fn waiting_steps(&self) -> impl Iterator<Item = (StepKey, WaitReason)> {
-        self.ready.iter().filter_map(|(_, _, key)| {
+        self.ready_steps.iter().filter_map(|(_, _, key)| {
             let wait = self.jobs.get(&key.job)?.step(*key)?.wait?;
             Some((*key, wait.reason))
         })
@@ -136,7 +136,7 @@
         let clearances = &step.clearances;
         let tickets = clearances.ticket_holders(now).count();
         let request = match clearances.is_asking {
-            true => self.advisers.asked(key).map_or("queued".to_string(), ToString::to_string),
+            true => self.advice_queue.asked(key).map_or("queued".to_string(), ToString::to_string),
             false => "none".to_string(),
         };
         log::info!(
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -103,7 +103,7 @@
                 if !known.has_started {
                     // The run may never have started. Then the worker reports no end of it, and
                     // only the next report shows that its resources are free.
-                    self.actions.push(Action::Look(name.clone()));
+                    self.actions.push(Action::PollNow(name.clone()));
                 }
             }
             other => log::debug!(
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -2,10 +2,10 @@
 //! tasks that serve requests.
 
 use crate::cell::jobs::job::TaskStatus;
-use crate::cell::records::journal::Fate;
+use crate::cell::records::journal::JobOutcome;
 use crate::cell::workers::roster::RemovalReason;
 use crate::cell::workers::worker::{Phase, Run, Worker};
-use crate::cell::{Action, Cell, Hold};
+use crate::cell::{Action, Cell, ReportCall};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::{End, EndedRow, HoldError, Refusal, Report, RunningRow};
@@ -30,8 +30,8 @@
     /// The parameters of the next report call to a worker, with a renewal of its lease if `renew`
     /// is set; `None` if the worker is not known any more. The lease of an unreachable worker is
     /// not renewed, because its tasks are started elsewhere once it has expired.
-    pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<Hold> {
-        let lease = self.bounds.lease;
+    pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<ReportCall> {
+        let lease = self.config.lease;
         let worker = self.workers.get_mut(name)?;
         let until =
             if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
@@ -39,13 +39,16 @@
         // one would drop ends that were never received. A lease end by the clock of the previous
         // one does no harm: the worker shortens it to the longest lease.
         let seen = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
-        Some(Hold { seen, until })
+        Some(ReportCall { confirmed: seen, lease_end: until })
     }
 
     /// The batch that must be in the store before all ends received from a worker can be confirmed
     /// to it.
     pub fn unstored_ends_batch(&self, name: &Name) -> Option<u64> {
-        self.workers.get(name).and_then(Worker::unstored_batch).filter(|batch| *batch > self.kept)
+        self.workers
+            .get(name)
+            .and_then(Worker::unstored_batch)
+            .filter(|batch| *batch > self.stored_batch)
     }
 
     /// Handles a report call that failed. Returns whether to pause before the next call.
@@ -64,7 +67,7 @@
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.suspect_restart();
                 }
-                if self.is_late {
+                if self.is_overloaded {
                     return true;
                 }
                 let Some(worker) = self.workers.get_mut(name) else { return false };
@@ -94,12 +97,12 @@
                 report.clock,
                 worker.confirmed_end()
             );
-            self.changed = true;
+            self.needs_placement = true;
         }
-        self.changed = self.changed || worker.has_unanswered();
+        self.needs_placement = self.needs_placement || worker.has_unanswered();
         // If an earlier owner did not know when the worker started, the start time has to be stored
         // for the next one.
-        self.roster |= worker.record_report(now, sent, report);
+        self.workers_dirty |= worker.record_report(now, sent, report);
         self.resolve_by_report(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.has_reported = true;
@@ -109,15 +112,16 @@
                 continue;
             }
             let run = worker.remove_run(row.task, row.run);
-            self.changed = true;
+            self.needs_placement = true;
             if let Some(run) = run.filter(|run| row.end == End::Done && run.started_at.0 > 0) {
                 self.record_run_time(row.task, now.since(run.started_at));
             }
             self.on_run_end(now, name, row);
             // An end that changes no job needs no record, and can be confirmed once the earlier
             // batches are in the store.
-            let batch = if self.dirty.is_empty() { self.batch - 1 } else { self.batch };
-            let kept = self.kept;
+            let batch =
+                if self.dirty_jobs.is_empty() { self.open_batch - 1 } else { self.open_batch };
+            let kept = self.stored_batch;
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.record_end(row.no, batch);
                 worker.mark_stored(kept);
@@ -167,7 +171,7 @@
         if !row.saved.is_empty() {
             state.checkpoint = row.saved.clone();
         }
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         match row.end {
             End::Done if !lasting => {
                 let other = other_run(&state.status, row.run);
@@ -196,7 +200,7 @@
                 );
                 self.record_worker_failure(now, name, task);
                 match !lasting && failed >= attempts as usize {
-                    true => self.close_job(now, task.step.job, Fate::Failed),
+                    true => self.close_job(now, task.step.job, JobOutcome::Failed),
                     false => self.requeue_task(task, row.run),
                 }
             }
@@ -261,7 +265,7 @@
         let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::new(row.run, &spec, Phase::Running(now));
-        run.usage_guard = owner.map(|owner| self.usages.hold(owner, spec.room));
+        run.usage_guard = owner.map(|owner| self.usages.acquire(owner, spec.room));
         (run.has_started, run.is_sent, run.percent, run.known_since) =
             (true, true, row.percent, now);
         if let Some(worker) = self.workers.get_mut(name) {
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -53,8 +53,8 @@
         // tasks.
         self.record_worker_crash(now, name, true);
         self.resolve_crash(&ended, CrashResolution::Ended);
-        let lease_end = now + Millis(self.bounds.lease_max.0 * 1_050 / 1_000);
-        let batch = self.batch;
+        let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
+        let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut before = worker.restart(now, report.born, batch, lease_end);
         log::info!(
@@ -66,9 +66,9 @@
         for (task, run) in kept {
             worker.add_run(task, run);
         }
-        self.counts.restarted += 1;
+        self.crash_counts.restarted += 1;
         self.ended_lives.insert(ended, now);
-        (self.roster, self.changed) = (true, true);
+        (self.workers_dirty, self.needs_placement) = (true, true);
         for ((task, run), left) in all {
             match left {
                 RunAfterRestart::Kept => {}
@@ -118,7 +118,7 @@
         let is_new = worker.is_other_incarnation(listed.born) && worker.listed.born != listed.born;
         if is_new {
             worker.mark_unanswered(now);
-            self.actions.push(Action::Look(listed.id.clone()));
+            self.actions.push(Action::PollNow(listed.id.clone()));
         }
     }
 }
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -65,12 +65,12 @@
     /// are considered to be behind the same network partition. Otherwise starts would be sent
     /// there, and their tasks delayed until it heals.
     pub(in crate::cell) fn suspect_worker(&mut self, now: Millis, name: &Name) {
-        if self.is_late || self.bounds.off.has(Mechanism::Doubt) {
+        if self.is_overloaded || self.config.disabled.contains(Mechanism::AvoidUnresponsive) {
             return;
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.mark_unanswered(now);
-        self.actions.push(Action::Look(name.clone()));
+        self.actions.push(Action::PollNow(name.clone()));
         let domain = worker.listed.domain.clone();
         let of_domain = |worker: &&mut Worker| worker.listed.domain == domain && worker.is_listed;
         let is_silent = |worker: &&mut Worker| worker.has_unanswered() || !worker.is_reachable;
@@ -82,7 +82,7 @@
         for worker in self.workers.values_mut().filter(of_domain) {
             if !worker.has_unanswered() {
                 worker.mark_unanswered(now);
-                self.actions.push(Action::Look(worker.listed.id.clone()));
+                self.actions.push(Action::PollNow(worker.listed.id.clone()));
             }
         }
     }
@@ -96,7 +96,7 @@
         task: TaskKey,
         run: u64,
     ) {
-        if self.bounds.off.has(Mechanism::Copies) {
+        if self.config.disabled.contains(Mechanism::SpeculativeCopies) {
             return;
         }
         let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
@@ -141,8 +141,8 @@
             log::info!("event=run-lost task={task} run={run} worker={name} why={why}");
             self.requeue_task(task, run);
         }
-        self.roster = true;
-        self.changed = true;
+        self.workers_dirty = true;
+        self.needs_placement = true;
         self.actions.push(Action::Unwatch(name.clone()));
     }
 
@@ -157,8 +157,8 @@
         for one in listed {
             self.update_listing(now, one);
         }
-        self.is_stale = false;
-        self.changed = true;
+        self.list_stale = false;
+        self.needs_placement = true;
     }
 
     /// Adds or updates a worker from its entry in the list.
@@ -186,8 +186,8 @@
                     listed.labels.join(",")
                 );
                 self.actions.push(Action::Watch(listed.clone()));
-                self.workers.insert(name, Worker::new(listed, self.batch, Millis(0)));
-                self.roster = true;
+                self.workers.insert(name, Worker::new(listed, self.open_batch, Millis(0)));
+                self.workers_dirty = true;
             }
         }
     }
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -1,6 +1,6 @@
 //! The owner's view of one worker: its resources, the runs on it, and its health.
 
-use crate::cell::placing::usage::Held;
+use crate::cell::placing::usage::UsageGuard;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::{Life, Listed, Report, differ};
@@ -52,7 +52,7 @@
     /// The resources that it is charged.
     pub charge: Room,
     /// Counts the run towards the usage of its workspace until it is dropped.
-    pub usage_guard: Option<Held>,
+    pub usage_guard: Option<UsageGuard>,
     /// The phase of the run.
     pub phase: Phase,
     /// A stop was sent, and its outcome is not known yet.
