--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -212,7 +212,7 @@
     }
 
     /// Creates a job that ended under an earlier owner. Only how it ended is known.
-    pub fn ended(queue: Arc<Queue>, fate: JobOutcome, now: Millis) -> Self {
+    pub fn ended(queue: Arc<Queue>, outcome: JobOutcome, now: Millis) -> Self {
         let work = Work {
             spec: "".into(),
             steps: Vec::new(),
@@ -222,7 +222,7 @@
         };
         let job = Self::new(queue, Arc::new(work), now, 0);
         Self {
-            closed: Some((fate, 0, now)),
+            closed: Some((outcome, 0, now)),
             was_placed: true,
             has_run: true,
             is_inherited: true,
@@ -231,7 +231,7 @@
     }
 
     /// The position in `steps` of a step in a repetition.
-    fn step_index(&self, time: u32, step: u16) -> usize {
+    fn step_position(&self, time: u32, step: u16) -> usize {
         time as usize * self.work.steps.len() + usize::from(step)
     }
 
@@ -242,12 +242,12 @@
 
     /// Returns the state of a step.
     pub fn step(&self, key: StepKey) -> Option<&StepState> {
-        self.steps.get(self.step_index(key.time, key.step))
+        self.steps.get(self.step_position(key.time, key.step))
     }
 
     /// Returns the mutable state of a step.
     pub fn step_mut(&mut self, key: StepKey) -> Option<&mut StepState> {
-        let at = self.step_index(key.time, key.step);
+        let at = self.step_position(key.time, key.step);
         self.steps.get_mut(at)
     }
 
@@ -273,7 +273,7 @@
         let Some(spec) = self.spec(key.step) else { return false };
         spec.after.iter().all(|after| {
             self.steps
-                .get(self.step_index(key.time, *after))
+                .get(self.step_position(key.time, *after))
                 .is_some_and(|step| step.unfinished == 0)
         })
     }
@@ -323,7 +323,7 @@
     /// The stored record of the job.
     pub fn record(&self) -> JobRecord {
         match self.closed {
-            Some((fate, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome: fate },
+            Some((outcome, ..)) => JobRecord::Closed { queue: self.queue.name.clone(), outcome },
             None => JobRecord::Open { queue: (*self.queue).clone(), work: self.work.clone() },
         }
     }
@@ -344,11 +344,11 @@
         let step_count = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
         let notes = steps.flat_map(|(index, step)| {
-            let place = ((index / step_count) as u32, (index % step_count) as u16);
+            let step_index = ((index / step_count) as u32, (index % step_count) as u16);
             let tasks = step.tasks.iter().enumerate();
             let with_crashes = tasks.filter(|(_, task)| !task.crashes.is_empty());
             with_crashes.map(move |(index, task)| TaskCrashes {
-                step_index: place,
+                step_index,
                 index: index as u32,
                 crashes: task.crashes.clone(),
             })
@@ -359,7 +359,7 @@
     /// Restores the crashes that an earlier owner counted.
     pub fn restore_crashes(&mut self, notes: &[TaskCrashes]) {
         for note in notes {
-            let at = self.step_index(note.step_index.0, note.step_index.1);
+            let at = self.step_position(note.step_index.0, note.step_index.1);
             let step = self.steps.get_mut(at);
             let task = step.and_then(|step| step.tasks.get_mut(note.index as usize));
             if let Some(task) = task {
@@ -372,7 +372,7 @@
     /// Restores the progress that an earlier owner recorded.
     pub fn restore_progress(&mut self, progress: &Progress) {
         for note in &progress.steps {
-            let at = self.step_index(note.step_index.0, note.step_index.1);
+            let at = self.step_position(note.step_index.0, note.step_index.1);
             if let Some(step) = self.steps.get_mut(at) {
                 step.restore(note);
             }
@@ -406,15 +406,15 @@
         waiting.filter_map(|task| task.idle_since).min()
     }
 
-    /// The stored record of the step's progress; `place` is the repetition and the step.
-    fn progress_note(&self, place: (u32, u16)) -> StepProgress {
+    /// The stored record of the step's progress; `step_index` is the repetition and the step.
+    fn progress_note(&self, step_index: (u32, u16)) -> StepProgress {
         const BITS_PER_BYTE: usize = 8;
-        let mut note = StepProgress { step_index: place, ..StepProgress::default() };
+        let mut note = StepProgress { step_index, ..StepProgress::default() };
         if self.unfinished < self.tasks.len() as u32 {
             note.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
-            let bound = match &task.status {
+            let assignment = match &task.status {
                 TaskStatus::Done => {
                     if let Some(byte) = note.done.get_mut(index / BITS_PER_BYTE) {
                         *byte |= 1 << (index % BITS_PER_BYTE);
@@ -424,13 +424,13 @@
                 TaskStatus::Placed { worker, run } => Some((*run, worker.clone())),
                 TaskStatus::Waiting => None,
             };
-            if bound.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
-                let (failed, saved) = (task.failed_runs.clone(), task.checkpoint.clone());
+            if assignment.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
+                let (failed, checkpoint) = (task.failed_runs.clone(), task.checkpoint.clone());
                 note.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
-                    checkpoint: saved,
-                    assignment: bound,
+                    checkpoint,
+                    assignment,
                 });
             }
         }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -23,14 +23,14 @@
     pub(in crate::cell) fn restore_snapshot(&mut self, snapshot: Snapshot, now: Millis) {
         let start_times = snapshot.worker_starts;
         self.stored_workspaces = snapshot.workspaces.keys().copied().collect();
-        for member in snapshot.workers {
-            let born = start_times.get(&member.id).copied();
+        for record in snapshot.workers {
+            let born = start_times.get(&record.id).copied();
             // A worker that may have restarted with the same id may have been given a lease end by
             // the clock of its previous incarnation, which it shortens to the longest lease. Its
             // task may then run on behind a network partition after the usual lease has expired.
             let lease = if born.is_some() { self.config.max_lease } else { self.config.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
-            let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
+            let mut worker = Worker::new(placeholder_listing(record, born), 0, lease_end);
             worker.is_listed = false;
             self.actions.push(Action::Watch(worker.listed.clone()));
             self.workers.insert(worker.listed.id.clone(), worker);
@@ -39,8 +39,8 @@
             let workspace = snapshot.workspaces.get(&key).cloned();
             match record {
                 JobRecord::Forwarded { cell } => drop(self.forwarded.insert(key, (cell, 0))),
-                JobRecord::Closed { queue, outcome: fate } => {
-                    let job = Job::ended(self.queue_or_placeholder(queue), fate, now);
+                JobRecord::Closed { queue, outcome } => {
+                    let job = Job::ended(self.queue_or_placeholder(queue), outcome, now);
                     self.jobs.insert(key, Job { workspace, ..job });
                     self.closed_jobs.push_back(key);
                 }
@@ -88,14 +88,14 @@
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
             for task in &note.tasks {
-                let Some((no, name)) = &task.assignment else { continue };
+                let Some((number, name)) = &task.assignment else { continue };
                 let Some(worker) = self.workers.get_mut(name) else { continue };
                 if !step.waiting.contains(&task.index) {
                     continue;
                 }
-                step.place(task.index, name.clone(), *no);
+                step.place(task.index, name.clone(), *number);
                 // The run is considered over unless the first report of the worker names it.
-                let mut run = Run::new(*no, &spec, Phase::Running(Millis(0)));
+                let mut run = Run::new(*number, &spec, Phase::Running(Millis(0)));
                 run.usage_guard = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
                 // The earlier owner may have sent the start.
                 (run.is_sent, run.known_since) = (true, now);
@@ -204,15 +204,15 @@
     }
 
     /// Closes a job: none of its tasks is started any more, and its runs are stopped.
-    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, fate: JobOutcome) {
+    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, outcome: JobOutcome) {
         let batch = self.open_batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
         log::info!(
-            "event=closed job={key} fate={fate:?} queue={} age_ms={} batch={batch}",
+            "event=closed job={key} fate={outcome:?} queue={} age_ms={} batch={batch}",
             job.queue.name,
             now.since(job.known_since)
         );
-        job.closed = Some((fate, batch, now));
+        job.closed = Some((outcome, batch, now));
         let (priority, due) = queue_rank(job);
         let steps = job.step_keys(key);
         let placed = job.placed_runs(key);
@@ -338,13 +338,13 @@
     /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its
     /// leases have expired: until then an earlier owner may have started them without a record.
     fn check_unknown_runs(&mut self, now: Millis) {
-        let Some(doubt) = self.unrecorded_starts.as_mut() else { return };
+        let Some(log_timer) = self.unrecorded_starts.as_mut() else { return };
         let is_pending = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_pending);
         if let Some(first) = unknown.next() {
             let left = first.lease_end - now;
             let (first, others) = (first.listed.id.clone(), unknown.count());
-            if doubt.is_due(now) {
+            if log_timer.is_due(now) {
                 log::info!(
                     "event=runs-unknown epoch={} worker={first} others={others} left_ms={left}",
                     self.epoch
@@ -359,11 +359,11 @@
     /// Notes that no start was sent without a record in the store, so inherited tasks need not wait
     /// for workers to report. Returns whether that was unknown before.
     pub fn trust_records(&mut self) -> bool {
-        let was_doubtful = self.unrecorded_starts.is_some();
-        if was_doubtful {
+        let was_uncertain = self.unrecorded_starts.is_some();
+        if was_uncertain {
             self.release_inherited_tasks();
         }
-        was_doubtful
+        was_uncertain
     }
 
     /// Lets inherited tasks start, and stops gangs of which not all tasks run.
@@ -405,12 +405,12 @@
 
 /// A list entry for a worker that is only known from the store, without resources until it is
 /// listed.
-fn placeholder_listing(member: WorkerRecord, born: Option<Millis>) -> Listed {
+fn placeholder_listing(record: WorkerRecord, born: Option<Millis>) -> Listed {
     Listed {
-        id: member.id,
+        id: record.id,
         born,
-        service: member.service,
-        addr: member.addr,
+        service: record.service,
+        addr: record.addr,
         domain: "".into(),
         room: Room::default(),
         labels: Vec::new(),
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -48,7 +48,7 @@
 }
 
 impl Cell {
-    /// Why tasks of a step still wait after placement; `fits` are the workers that could have been
+    /// Why tasks of a step still wait after placement; `candidates` are the workers that could have been
     /// chosen.
     pub(in crate::cell) fn wait_reason(
         &self,
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -33,13 +33,13 @@
     pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<ReportCall> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(name)?;
-        let until =
+        let lease_end =
             if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
         // The worker may have restarted. An incarnation that is told the last end of the previous
         // one would drop ends that were never received. A lease end by the clock of the previous
         // one does no harm: the worker shortens it to the longest lease.
-        let seen = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
-        Some(ReportCall { confirmed: seen, lease_end: until })
+        let confirmed = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
+        Some(ReportCall { confirmed, lease_end })
     }
 
     /// The batch that must be in the store before all ends received from a worker can be confirmed
@@ -121,10 +121,10 @@
             // batches are in the store.
             let batch =
                 if self.dirty_jobs.is_empty() { self.open_batch - 1 } else { self.open_batch };
-            let kept = self.stored_batch;
+            let stored_batch = self.stored_batch;
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.record_end(row.no, batch);
-                worker.mark_stored(kept);
+                worker.mark_stored(stored_batch);
             }
         }
         for row in &report.running {
