--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -38,7 +38,7 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
         let advised = &step.clearances;
-        if advised.is_asking || now < advised.retry_at {
+        if advised.request_pending || now < advised.retry_at {
             return;
         }
         let workers = self.to_name(now, key, job, spec, rest);
@@ -49,7 +49,7 @@
         let question = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
         self.advice_queue.push(question);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
-            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
+            (step.clearances.request_pending, step.clearances.requested_at) = (true, now);
         }
     }
 
@@ -134,8 +134,9 @@
     pub(in crate::cell) fn ask_next(&mut self, now: Millis) {
         while let Some((entry, question)) = self.advice_queue.assign(now) {
             let job = self.jobs.get(&question.step.job);
-            let since =
-                job.and_then(|job| job.step(question.step)).map(|step| step.clearances.asked_at);
+            let since = job
+                .and_then(|job| job.step(question.step))
+                .map(|step| step.clearances.requested_at);
             log::info!(
                 "event=question step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 question.step,
@@ -167,22 +168,22 @@
     fn clear(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
         let usual = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
-        let until = now + cleared.valid.unwrap_or(usual);
+        let expires_at = now + cleared.valid.unwrap_or(usual);
         let Some(step) = job.step_mut(key) else { return };
         // The answer may be about the life before.
         let workers = &self.workers;
-        let since = step.clearances.asked_at;
+        let since = step.clearances.requested_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted_at <= since);
         log::info!("event=advised step={key} named={} cleared={}", named.len(), cleared.rows.len());
         let advised = &mut step.clearances;
-        advised.is_asking = false;
+        advised.request_pending = false;
         advised.retry_at = now + ASK_AGAIN;
         let good: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !good.contains(*name) && is_same(name));
         advised.denied.extend(denied.cloned());
         for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
-            advised.cleared.insert(name, Ticket { text, until });
+            advised.cleared.insert(name, Ticket { text, expires_at });
         }
         if good.is_empty() {
             // All were denied: others are asked about at once.
@@ -200,7 +201,7 @@
     pub(in crate::cell) fn forget_question(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
-            step.clearances.is_asking = false;
+            step.clearances.request_pending = false;
             self.needs_placement = true;
         }
     }
@@ -209,7 +210,7 @@
     pub(in crate::cell) fn drop_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
-            ticket.until = Millis(0);
+            ticket.expires_at = Millis(0);
         }
     }
 
@@ -218,7 +219,8 @@
         // A step whose answer was lost on its way was never asked about again.
         for step in self.advice_queue.expire(now) {
             let job = self.jobs.get(&step.job);
-            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
+            let since =
+                job.and_then(|job| job.step(step)).map(|state| state.clearances.requested_at);
             log::info!(
                 "event=wait-expired step={step} queue={} for=lost-answer ms={}",
                 job.map(|job| &*job.queue.name).unwrap_or_default(),
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -88,16 +88,16 @@
     /// The text that an order to start a task must carry.
     pub text: Name,
     /// When it expires.
-    pub until: Millis,
+    pub expires_at: Millis,
 }
 
 /// What the advice service answered about the workers for a step.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Clearances {
     /// A request for the step is queued or was sent, and has not been answered yet.
-    pub is_asking: bool,
+    pub request_pending: bool,
     /// When that request was made.
-    pub asked_at: Millis,
+    pub requested_at: Millis,
     /// No further request is made before this time.
     pub retry_at: Millis,
     /// Workers that may run the step. The clearance of a worker never changes; only its ticket
@@ -108,10 +108,10 @@
 }
 
 impl Clearances {
-    /// Workers whose tickets are valid at `until`.
-    pub fn ticket_holders(&self, until: Millis) -> impl Iterator<Item = &Name> {
-        let holds = move |(_, ticket): &(&Name, &Ticket)| ticket.until > until;
-        self.cleared.iter().filter(holds).map(|(name, _)| name)
+    /// Workers whose tickets are valid at a time.
+    pub fn ticket_holders(&self, at: Millis) -> impl Iterator<Item = &Name> {
+        let is_valid = move |(_, ticket): &(&Name, &Ticket)| ticket.expires_at > at;
+        self.cleared.iter().filter(is_valid).map(|(name, _)| name)
     }
 
     /// Whether the advice service has not cleared or denied any worker yet.
@@ -119,14 +119,14 @@
         self.cleared.is_empty() && self.denied.is_empty()
     }
 
-    /// Whether any ticket is valid at `until`.
-    pub fn has_any_ticket(&self, until: Millis) -> bool {
-        self.ticket_holders(until).next().is_some()
+    /// Whether any ticket is valid at a time.
+    pub fn has_any_ticket(&self, at: Millis) -> bool {
+        self.ticket_holders(at).next().is_some()
     }
 
-    /// Whether a worker's ticket is valid at `until`.
-    pub fn has_ticket_for(&self, name: &Name, until: Millis) -> bool {
-        self.cleared.get(name).is_some_and(|ticket| ticket.until > until)
+    /// Whether a worker's ticket is valid at a time.
+    pub fn has_ticket_for(&self, name: &Name, at: Millis) -> bool {
+        self.cleared.get(name).is_some_and(|ticket| ticket.expires_at > at)
     }
 }
 
@@ -259,8 +259,8 @@
 
     /// Whether a step has been ready for at least `length`.
     pub fn has_waited(&self, now: Millis, key: StepKey, length: Millis) -> bool {
-        let turn = self.step(key).and_then(|step| step.ready_since);
-        turn.is_some_and(|turn| now.since(turn) >= length)
+        let ready_since = self.step(key).and_then(|step| step.ready_since);
+        ready_since.is_some_and(|ready| now.since(ready) >= length)
     }
 
     /// Whether the job has not ended.
@@ -331,19 +331,19 @@
     /// The stored record of the job's progress, from which another owner can continue.
     pub fn progress(&self) -> Progress {
         let step_count = self.work.steps.len().max(1);
-        let notes = self.steps.iter().enumerate().filter_map(|(index, step)| {
-            let note =
-                step.progress_note(((index / step_count) as u32, (index % step_count) as u16));
-            (!note.done.is_empty() || !note.tasks.is_empty()).then_some(note)
+        let records = self.steps.iter().enumerate().filter_map(|(index, step)| {
+            let record =
+                step.progress_record(((index / step_count) as u32, (index % step_count) as u16));
+            (!record.done.is_empty() || !record.tasks.is_empty()).then_some(record)
         });
-        Progress { steps: notes.collect() }
+        Progress { steps: records.collect() }
     }
 
     /// The stored records of worker crashes, for each task that has any.
-    pub fn crash_notes(&self) -> Vec<TaskCrashes> {
+    pub fn crash_records(&self) -> Vec<TaskCrashes> {
         let step_count = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
-        let notes = steps.flat_map(|(index, step)| {
+        let records = steps.flat_map(|(index, step)| {
             let step_index = ((index / step_count) as u32, (index % step_count) as u16);
             let tasks = step.tasks.iter().enumerate();
             let with_crashes = tasks.filter(|(_, task)| !task.crashes.is_empty());
@@ -353,17 +353,17 @@
                 crashes: task.crashes.clone(),
             })
         });
-        notes.collect()
+        records.collect()
     }
 
     /// Restores the crashes that an earlier owner counted.
-    pub fn restore_crashes(&mut self, notes: &[TaskCrashes]) {
-        for note in notes {
-            let at = self.step_position(note.step_index.0, note.step_index.1);
+    pub fn restore_crashes(&mut self, records: &[TaskCrashes]) {
+        for record in records {
+            let at = self.step_position(record.step_index.0, record.step_index.1);
             let step = self.steps.get_mut(at);
-            let task = step.and_then(|step| step.tasks.get_mut(note.index as usize));
+            let task = step.and_then(|step| step.tasks.get_mut(record.index as usize));
             if let Some(task) = task {
-                task.crashes.clone_from(&note.crashes);
+                task.crashes.clone_from(&record.crashes);
             }
         }
         self.has_crashes = true;
@@ -371,18 +371,19 @@
 
     /// Restores the progress that an earlier owner recorded.
     pub fn restore_progress(&mut self, progress: &Progress) {
-        for note in &progress.steps {
-            let at = self.step_position(note.step_index.0, note.step_index.1);
+        for record in &progress.steps {
+            let at = self.step_position(record.step_index.0, record.step_index.1);
             if let Some(step) = self.steps.get_mut(at) {
-                step.restore(note);
+                step.restore(record);
             }
         }
         // Progress is recorded once a task was assigned to a worker, and the record stays even when
         // nothing is left to record.
         self.was_placed = true;
-        let has_run = |note: &TaskProgress| !note.failed.is_empty() || !note.checkpoint.is_empty();
+        let has_run =
+            |record: &TaskProgress| !record.failed.is_empty() || !record.checkpoint.is_empty();
         let shows_run =
-            |note: &StepProgress| !note.done.is_empty() || note.tasks.iter().any(has_run);
+            |record: &StepProgress| !record.done.is_empty() || record.tasks.iter().any(has_run);
         self.has_run = self.has_run || progress.steps.iter().any(shows_run);
         self.has_progress = true;
     }
@@ -407,16 +408,16 @@
     }
 
     /// The stored record of the step's progress; `step_index` is the repetition and the step.
-    fn progress_note(&self, step_index: (u32, u16)) -> StepProgress {
+    fn progress_record(&self, step_index: (u32, u16)) -> StepProgress {
         const BITS_PER_BYTE: usize = 8;
-        let mut note = StepProgress { step_index, ..StepProgress::default() };
+        let mut record = StepProgress { step_index, ..StepProgress::default() };
         if self.unfinished < self.tasks.len() as u32 {
-            note.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
+            record.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
             let assignment = match &task.status {
                 TaskStatus::Done => {
-                    if let Some(byte) = note.done.get_mut(index / BITS_PER_BYTE) {
+                    if let Some(byte) = record.done.get_mut(index / BITS_PER_BYTE) {
                         *byte |= 1 << (index % BITS_PER_BYTE);
                     }
                     continue;
@@ -426,7 +427,7 @@
             };
             if assignment.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
                 let (failed, checkpoint) = (task.failed_runs.clone(), task.checkpoint.clone());
-                note.tasks.push(TaskProgress {
+                record.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
                     checkpoint,
@@ -434,19 +435,19 @@
                 });
             }
         }
-        note
+        record
     }
 
     /// Restores the progress that an earlier owner recorded.
-    fn restore(&mut self, note: &StepProgress) {
+    fn restore(&mut self, record: &StepProgress) {
         const BITS_PER_BYTE: usize = 8;
         for index in 0..self.tasks.len() {
-            let byte = note.done.get(index / BITS_PER_BYTE).copied().unwrap_or(0);
+            let byte = record.done.get(index / BITS_PER_BYTE).copied().unwrap_or(0);
             if byte & (1 << (index % BITS_PER_BYTE)) != 0 {
                 self.finish(index as u32);
             }
         }
-        for known in &note.tasks {
+        for known in &record.tasks {
             if let Some(task) = self.tasks.get_mut(known.index as usize) {
                 task.failed_runs = known.failed.clone();
                 task.checkpoint = known.checkpoint.clone();
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -54,11 +54,11 @@
                     if let Some(crashes) = snapshot.crashes.get(&key) {
                         job.restore_crashes(crashes);
                         self.recount_jobs.insert(key);
-                        for note in crashes {
-                            let (time, step) = note.step_index;
+                        for record in crashes {
+                            let (time, step) = record.step_index;
                             let step = StepKey { job: key, time, step };
-                            let task = TaskKey { step, index: note.index };
-                            self.unconfirmed_crashes.add(now, task, &note.crashes);
+                            let task = TaskKey { step, index: record.index };
+                            self.unconfirmed_crashes.add(now, task, &record.crashes);
                         }
                     }
                     let done = job.is_done();
@@ -83,11 +83,12 @@
     fn restore_runs(&mut self, now: Millis, key: JobKey, progress: &Progress) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
-        for note in &progress.steps {
-            let step_key = StepKey { job: key, time: note.step_index.0, step: note.step_index.1 };
+        for record in &progress.steps {
+            let step_key =
+                StepKey { job: key, time: record.step_index.0, step: record.step_index.1 };
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
-            for task in &note.tasks {
+            for task in &record.tasks {
                 let Some((number, name)) = &task.assignment else { continue };
                 let Some(worker) = self.workers.get_mut(name) else { continue };
                 if !step.waiting.contains(&task.index) {
@@ -125,13 +126,13 @@
     /// the store.
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
-        let scheduled = job.work.first.0 > 0;
+        let is_scheduled = job.work.first.0 > 0;
         let keys = job.step_keys(key);
-        let free: Vec<StepKey> =
+        let unblocked: Vec<StepKey> =
             keys.into_iter().filter(|step| job.dependencies_done(*step)).collect();
-        let due: Vec<Millis> = free.iter().map(|step| job.work.due(step.time)).collect();
-        for (step, due) in free.into_iter().zip(due) {
-            match scheduled {
+        let due: Vec<Millis> = unblocked.iter().map(|step| job.work.due(step.time)).collect();
+        for (step, due) in unblocked.into_iter().zip(due) {
+            match is_scheduled {
                 true => drop(self.start_timers.insert((due, step))),
                 false => self.open_step(now, step),
             }
@@ -197,7 +198,7 @@
             return self.close_job(now, key.job, JobOutcome::Completed);
         }
         let next: Vec<StepKey> =
-            job.dependents(key).into_iter().filter(|f| job.dependencies_done(*f)).collect();
+            job.dependents(key).into_iter().filter(|step| job.dependencies_done(*step)).collect();
         for step in next {
             self.open_step(now, step);
         }
@@ -208,7 +209,7 @@
         let batch = self.open_batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
         log::info!(
-            "event=closed job={key} fate={outcome:?} queue={} age_ms={} batch={batch}",
+            "event=job-closed job={key} fate={outcome:?} queue={} age_ms={} batch={batch}",
             job.queue.name,
             now.since(job.known_since)
         );
@@ -342,11 +343,11 @@
         let is_pending = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_pending);
         if let Some(first) = unknown.next() {
-            let left = first.lease_end - now;
+            let time_left = first.lease_end - now;
             let (first, others) = (first.listed.id.clone(), unknown.count());
             if log_timer.is_due(now) {
                 log::info!(
-                    "event=runs-unknown epoch={} worker={first} others={others} left_ms={left}",
+                    "event=runs-unknown epoch={} worker={first} others={others} left_ms={time_left}",
                     self.epoch
                 );
             }
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -48,8 +48,8 @@
 }
 
 impl Cell {
-    /// Why tasks of a step still wait after placement; `candidates` are the workers that could have been
-    /// chosen.
+    /// Why tasks of a step still wait after placement; `candidates` are the workers that could have
+    /// been chosen.
     pub(in crate::cell) fn wait_reason(
         &self,
         now: Millis,
@@ -66,7 +66,7 @@
             () if step.waiting.is_empty() => return None,
             () if step.waiting.iter().all(is_held_back) => WaitReason::Crashes,
             () if !candidates.is_empty() => WaitReason::Room,
-            () if clearances.is_asking => WaitReason::Advice,
+            () if clearances.request_pending => WaitReason::Advice,
             () if !self.has_large_worker(job, key) => WaitReason::TooLarge,
             () if job.queue.advice.is_none() => WaitReason::NoWorker,
             () if clearances.cleared.is_empty() => WaitReason::NoneCleared,
@@ -135,7 +135,7 @@
         let (reason, since) = (wait.reason.name(), wait.timer.since);
         let clearances = &step.clearances;
         let tickets = clearances.ticket_holders(now).count();
-        let request = match clearances.is_asking {
+        let request = match clearances.request_pending {
             true => self.advice_queue.asked(key).map_or("queued".to_string(), ToString::to_string),
             false => "none".to_string(),
         };
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -47,7 +47,7 @@
         let advice = job.queue.advice;
         // Most steps wait for an answer most of the time: these cost nothing more.
         let pauses =
-            advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
+            advice.is_some() && (step.clearances.request_pending || now < step.clearances.retry_at);
         if pauses && !step.clearances.has_any_ticket(now + TICKET_SPARE) {
             let why = self.wait_reason(now, key, &[]);
             return self.set_wait_reason(now, key, why);
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -106,7 +106,7 @@
                     job.has_progress = true;
                     records.push(journal::put_progress(key, &progress));
                 }
-                let crashes = job.crash_notes();
+                let crashes = job.crash_records();
                 if !crashes.is_empty() || job.has_crashes {
                     job.has_crashes = true;
                     records.push(journal::put_crashes(key, &crashes));
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -55,8 +55,8 @@
     ///
     /// A single report may be lost on the network, so a worker is considered unreachable only when
     /// the next one is missing too.
-    pub fn on_missing_report(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
-        match why {
+    pub fn on_missing_report(&mut self, now: Millis, name: &Name, error: &HoldError) -> bool {
+        match error {
             HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
             HoldError::Refused(Refusal::OtherLife) => {
                 self.remove_worker(now, name, RemovalReason::Replaced)
@@ -90,7 +90,7 @@
         if !worker.is_reachable {
             let (running, ended) = (report.running.len(), report.ended.len());
             log::info!(
-                "event=worker-heard worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
+                "event=worker-reachable worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
                  running={running} ended={ended}",
                 report.born,
                 worker.listed.born,
@@ -155,7 +155,7 @@
     /// Handles the end of a run.
     fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
         let task = row.task;
-        log::info!("event=ended task={task} run={} worker={name} end={:?}", row.run, row.end);
+        log::info!("event=run-ended task={task} run={} worker={name} end={:?}", row.run, row.end);
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -37,15 +37,16 @@
         report: &Report,
     ) {
         let reported = reported_runs(report);
-        let left = |(key, run): (&(TaskKey, u64), &Run)| {
+        let classify = |(key, run): (&(TaskKey, u64), &Run)| {
             (*key, run_after_restart(run, sent, reported.contains(key)))
         };
         let Some(worker) = self.workers.get_mut(name) else { return };
         let ended = worker.life();
-        let all: Vec<((TaskKey, u64), RunAfterRestart)> = worker.runs.iter().map(left).collect();
+        let all: Vec<((TaskKey, u64), RunAfterRestart)> =
+            worker.runs.iter().map(classify).collect();
         let mut kept = Vec::new();
-        for ((task, run), left) in &all {
-            if *left == RunAfterRestart::Kept {
+        for ((task, run), outcome) in &all {
+            if *outcome == RunAfterRestart::Kept {
                 kept.extend(worker.remove_run(*task, *run).map(|known| (*task, known)));
             }
         }
@@ -56,7 +57,7 @@
         let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
         let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut before = worker.restart(now, report.born, batch, lease_end);
+        let mut previous = worker.restart(now, report.born, batch, lease_end);
         log::info!(
             "event=worker-restarted worker={name} life={} was={ended} runs={} kept={}",
             worker.life(),
@@ -69,15 +70,15 @@
         self.crash_counts.restarted += 1;
         self.ended_lives.insert(ended, now);
         (self.workers_dirty, self.needs_placement) = (true, true);
-        for ((task, run), left) in all {
-            match left {
+        for ((task, run), outcome) in all {
+            match outcome {
                 RunAfterRestart::Kept => {}
                 RunAfterRestart::Lost => {
                     log::info!("event=run-lost task={task} run={run} worker={name} why=restarted");
                     self.requeue_task(task, run);
                 }
                 RunAfterRestart::InFlight => {
-                    if let Some(known) = before.remove_run(task, run) {
+                    if let Some(known) = previous.remove_run(task, run) {
                         self.reject_stale_run(name, task, known);
                     }
                 }
@@ -90,12 +91,12 @@
     /// task is not started again and the resources of the run stay charged.
     fn reject_stale_run(&mut self, name: &Name, task: TaskKey, run: Run) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let no = run.run;
+        let number = run.run;
         worker.add_run(
             task,
             Run { phase: Phase::Stopping(None), stop_pending: true, is_stale: true, ..run },
         );
-        self.actions.push(Action::Stop { worker: name.clone(), task, run: no });
+        self.actions.push(Action::Stop { worker: name.clone(), task, run: number });
     }
 
     /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -47,7 +47,7 @@
             && worker.is_reachable
         {
             worker.is_reachable = false;
-            log::info!("event=worker-silent worker={name} runs={}", worker.runs.len());
+            log::info!("event=worker-unreachable worker={name} runs={}", worker.runs.len());
             let runs: Vec<(TaskKey, u64)> = worker.runs.keys().copied().collect();
             for (task, run) in runs {
                 if self.is_quarantined(task) {
@@ -128,13 +128,13 @@
         self.record_worker_crash(now, name, has_ended);
         let Some(worker) = self.workers.remove(name) else { return };
         if has_ended {
-            let life = worker.life();
-            self.resolve_crash(&life, CrashResolution::Ended);
-            self.ended_lives.insert(life, now);
+            let incarnation = worker.life();
+            self.resolve_crash(&incarnation, CrashResolution::Ended);
+            self.ended_lives.insert(incarnation, now);
         }
         let (why, is_leaving) = (reason.name(), worker.listed.leaving.is_some());
         log::info!(
-            "event=worker-gone worker={name} why={why} leaving={is_leaving} runs={}",
+            "event=worker-removed worker={name} why={why} leaving={is_leaving} runs={}",
             worker.runs.len()
         );
         for (task, run) in worker.runs.into_keys() {
@@ -148,14 +148,14 @@
 
     /// Takes the current list of workers, of all services.
     pub fn set_workers(&mut self, now: Millis, listed: Vec<Listed>) {
-        let ids: BTreeSet<Name> = listed.iter().map(|one| one.id.clone()).collect();
-        let lives: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
-        self.ended_lives.retain(|life, _| lives.contains(life));
+        let ids: BTreeSet<Name> = listed.iter().map(|entry| entry.id.clone()).collect();
+        let incarnations: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
+        self.ended_lives.retain(|incarnation, _| incarnations.contains(incarnation));
         for worker in self.workers.values_mut() {
             worker.is_listed = ids.contains(&worker.listed.id);
         }
-        for one in listed {
-            self.update_listing(now, one);
+        for entry in listed {
+            self.update_listing(now, entry);
         }
         self.list_stale = false;
         self.needs_placement = true;
@@ -163,11 +163,11 @@
 
     /// Adds or updates a worker from its entry in the list.
     fn update_listing(&mut self, now: Millis, listed: Listed) {
-        let (name, life) = (listed.id.clone(), listed.life());
-        if self.ended_lives.contains_key(&life) {
+        let (name, incarnation) = (listed.id.clone(), listed.life());
+        if self.ended_lives.contains_key(&incarnation) {
             return;
         }
-        self.confirm_earlier_crashes(&life, &listed.addr);
+        self.confirm_earlier_crashes(&incarnation, &listed.addr);
         self.expect_new_incarnation(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
@@ -237,11 +237,11 @@
             let runs: Vec<_> =
                 worker.map(|worker| worker.runs.keys().copied().collect()).unwrap_or_default();
             if !runs.is_empty() {
-                log::info!("event=leases-over worker={name} runs={}", runs.len());
+                log::info!("event=leases-expired worker={name} runs={}", runs.len());
             }
             self.record_worker_crash(now, &name, false);
             for (task, run) in runs {
-                log::info!("event=run-lost task={task} run={run} worker={name} why=lease-over");
+                log::info!("event=run-lost task={task} run={run} worker={name} why=lease-expired");
                 self.abandon_run(&name, task, run);
             }
         }
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -16,10 +16,10 @@
 /// placement. At most one task in ten fails by its own fault, so three such failures in a row
 /// happen once in a thousand.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// The first time that a worker is excluded from placement; each further exclusion is twice as
-/// long. The platform's workers recover within seconds or not at all.
+/// The length of a worker's first exclusion from placement; each further one is twice as long. The
+/// platform's workers recover within seconds or not at all.
 const MIN_EXCLUSION: Millis = Millis(2_000);
-/// The longest time that a worker is excluded from placement.
+/// The longest exclusion from placement.
 const MAX_EXCLUSION: Millis = Millis(16_000);
 
 /// A run that should save its progress is stalled after this time without a new checkpoint. The
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -7,8 +7,8 @@
 //!
 //! 26.2085 event=start task=T.0.0.0 run=1030 worker=i-e07b2d49e9
 //! 26.2354 event=start-failed task=T.0.0.0 run=1030 worker=i-e07b2d49e9 outcome=Unknown
-//! 26.2354 event=worker-silent worker=i-e07b2d49e9 runs=12
-//! 29.6585 event=worker-gone worker=i-e07b2d49e9 runs=9
+//! 26.2354 event=worker-unreachable worker=i-e07b2d49e9 runs=12
+//! 29.6585 event=worker-removed worker=i-e07b2d49e9 runs=9
 //! 29.6899 event=start task=T.0.0.0 run=1031 worker=i-06311505f9
 
 mod crashworld;
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -6,12 +6,12 @@
 //! finished tasks started a second time, and jobs were never completed although their tasks were
 //! done. The owner's log:
 //!
-//! 5.0472 event=worker-silent worker=i-39cf2896f4 runs=2
-//! 5.5534 event=worker-heard worker=i-39cf2896f4 running=0 ended=0
+//! 5.0472 event=worker-unreachable worker=i-39cf2896f4 runs=2
+//! 5.5534 event=worker-reachable worker=i-39cf2896f4 running=0 ended=0
 //! 5.9151 event=start task=T.0.1.8 run=1025 worker=i-39cf2896f4
 //! 7.1648 event=run-vanished task=T.0.1.8 run=1025 worker=i-39cf2896f4
 //!
-//! There is no `event=ended` between the last two lines, while the platform saw the run end
+//! There is no `event=run-ended` between the last two lines, while the platform saw the run end
 //! successfully at 6.435.
 
 mod lifeworld;
@@ -216,7 +216,7 @@
     // that ended before it had refused the start counted as a crash of the task:
     // event=crash-counted task=T.0.0.2 worker=i-1+2@1699999996000 crashes=2 alone=false confirmed=true
     // event=crash-counted task=T.0.0.2 worker=i-1+2@1699999995000 crashes=3 alone=true confirmed=true
-    // event=given-up task=T.0.0.2 crashes=3
+    // event=job-given-up task=T.0.0.2 crashes=3
     let mut cluster = Cluster::new(1);
     cluster.order_delays.insert(0, 60_000);
     cluster.submit(job(1));
@@ -236,7 +236,7 @@
     // one was the only run there. None of them had begun, and the job was reported as failed:
     // event=start-failed task=T.0.0.0 run=4098 worker=i-4 outcome=Unknown
     // event=crash-counted task=T.0.0.0 worker=i-4@1699999999000 crashes=3 alone=true confirmed=true
-    // event=given-up task=T.0.0.0 crashes=3
+    // event=job-given-up task=T.0.0.0 crashes=3
     let mut cluster = Cluster::new(1);
     cluster.loses_starts = true;
     cluster.submit(job(1));
@@ -420,7 +420,7 @@
     // event=crash-counted task=T.0.0.0 worker=i-2+1@1699999998000 crashes=3 evidence=Shared confirmed=true
     // event=start-failed task=T.0.0.0 run=11266 worker=i-2+1 outcome=Unknown
     // event=crash-counted task=T.0.0.0 worker=i-2+1@1699999997000 crashes=4 evidence=Shared confirmed=false
-    // event=given-up task=T.0.0.0 crashes=4
+    // event=job-given-up task=T.0.0.0 crashes=4
     let mut cluster = Cluster::new(1);
     cluster.loses_starts = true;
     cluster.submit(job(1));
@@ -447,7 +447,7 @@
     //  event=crash-counted task=T.0.2.1 worker=i-3@1699999999000 crashes=3 evidence=Shared confirmed=false
     //  event=start-failed task=T.0.2.1 run=5124 worker=i-5 outcome=Unknown
     //  event=crash-counted task=T.0.2.1 worker=i-5@1699999997000 crashes=4 evidence=Shared confirmed=false
-    //  event=given-up task=T.0.2.1 crashes=4
+    //  event=job-given-up task=T.0.2.1 crashes=4
     let mut cluster = Cluster::new(6);
     cluster.loses_starts = true;
     cluster.submit(job(1));
