--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -40,7 +40,7 @@
 pub struct CrashCounts {
     /// Unplanned ends of worker processes while runs were on the worker.
     pub crashed: u64,
-    /// Jobs that were given up because of crashes under one of their tasks.
+    /// Jobs that were given up because workers crashed while they ran one of their tasks.
     pub given_up: u64,
     /// Workers that were restarted with the same id.
     pub restarted: u64,
@@ -271,9 +271,9 @@
         }
     }
 
-    /// Whether a task may be the reason why a worker does not answer: a worker crashed under it
-    /// before, or a worker with another run of it does not answer either. If such a task were
-    /// copied each time, it would crash the workers one by one.
+    /// Whether a task may be the reason why a worker does not answer: a worker crashed before while
+    /// it ran the task, or a worker with another run of it does not answer either. If such a task
+    /// were copied each time, it would crash the workers one by one.
     pub(in crate::cell) fn may_have_crashed_workers(&self, task: TaskKey, run: u64) -> bool {
         let has_other_run = |worker: &Worker| {
             let mut runs = worker.runs.range((task, 0)..=(task, u64::MAX));
@@ -322,7 +322,7 @@
     task: TaskKey,
     /// Since when the run is known to this owner.
     since: Millis,
-    /// How strongly a crash of the worker speaks against the task.
+    /// How strongly a crash of the worker implicates the task.
     evidence: Evidence,
     /// The worker has confirmed that it started the run.
     has_started: bool,
--- a/src/cell/jobs/restart_policy.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -24,7 +24,7 @@
 /// that reached no worker, would be given up for a single crash of a worker.
 const MIN_CERTAIN_CRASHES: usize = 2;
 
-/// How strongly a crash of a worker speaks against a task that was sent to it.
+/// How strongly a crash of a worker implicates a task that was sent to it.
 ///
 /// Records of earlier versions hold a flag at this position, which decodes as one of the first two
 /// variants.
@@ -48,7 +48,7 @@
     pub worker: Life,
     /// The address at which it was reached.
     pub addr: Name,
-    /// How strongly the crash speaks against the task.
+    /// How strongly the crash implicates the task.
     pub evidence: Evidence,
     /// Whether another incarnation was seen at the address. Until then the worker may just be
     /// unreachable.
--- a/src/cell/jobs/wait_reason.rs
+++ b/src/cell/jobs/wait_reason.rs
@@ -23,7 +23,7 @@
     Crashes,
     /// No worker is large enough for a task now. The resources of some workers may have shrunk.
     TooLarge,
-    /// The workspace of the job has reached its limit of running tasks.
+    /// The running tasks of the job's workspace have reached its resource limit.
     #[serde(rename = "bound")]
     WorkspaceLimit,
     /// Workers that may run the step have no free resources, or only resources that are reserved
--- a/src/cell/workers/run_times.rs
+++ b/src/cell/workers/run_times.rs
@@ -27,7 +27,7 @@
             return;
         }
         let ratio = run_time.0 as f64 / estimate.0 as f64;
-        // The ratio is capped: a stalled run must not raise the limit for the runs after it.
+        // The ratio is capped, so that stalled runs do not make long run times look normal.
         let ratio = self.late_ratio().map_or(ratio, |limit| ratio.min(limit));
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.count + 1));
         self.deviation += ((ratio - self.mean).abs() - self.deviation) * weight;
