--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -39,7 +39,7 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
         let clearances = &step.clearances;
-        if clearances.is_asking || now < clearances.retry_at {
+        if clearances.request_pending || now < clearances.retry_at {
             return;
         }
         let workers = self.select_workers(now, key, job, spec, remaining);
@@ -50,7 +50,7 @@
         let request = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
         self.advice_queue.push(request);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
-            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
+            (step.clearances.request_pending, step.clearances.requested_at) = (true, now);
         }
     }
 
@@ -147,8 +147,9 @@
     pub(in crate::cell) fn assign_requests(&mut self, now: Millis) {
         while let Some((entry, request)) = self.advice_queue.assign_next(now) {
             let job = self.jobs.get(&request.step.job);
-            let since =
-                job.and_then(|job| job.step(request.step)).map(|step| step.clearances.asked_at);
+            let since = job
+                .and_then(|job| job.step(request.step))
+                .map(|step| step.clearances.requested_at);
             log::info!(
                 "event=advice-requested step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 request.step,
@@ -181,12 +182,12 @@
     fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
         let default = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
-        let until = now + cleared.valid.unwrap_or(default);
+        let expires_at = now + cleared.valid.unwrap_or(default);
         let Some(step) = job.step_mut(key) else { return };
         // Workers that restarted since the request was queued are left out, because the answer may
         // be about their previous process.
         let workers = &self.workers;
-        let since = step.clearances.asked_at;
+        let since = step.clearances.requested_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted_at <= since);
         log::info!(
@@ -195,13 +196,13 @@
             cleared.rows.len()
         );
         let clearances = &mut step.clearances;
-        clearances.is_asking = false;
+        clearances.request_pending = false;
         clearances.retry_at = now + REQUEST_INTERVAL;
         let allowed: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
         clearances.denied.extend(denied.cloned());
         for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
-            clearances.cleared.insert(name, Ticket { text, until });
+            clearances.cleared.insert(name, Ticket { text, expires_at });
         }
         if allowed.is_empty() {
             // All workers were denied, so the next request may follow at once.
@@ -219,7 +220,7 @@
     pub(in crate::cell) fn clear_request(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
-            step.clearances.is_asking = false;
+            step.clearances.request_pending = false;
             self.needs_placement = true;
         }
     }
@@ -228,7 +229,7 @@
     pub(in crate::cell) fn invalidate_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
-            ticket.until = Millis(0);
+            ticket.expires_at = Millis(0);
         }
     }
 
@@ -238,7 +239,8 @@
         // Without this, a step whose answer was lost would wait forever.
         for step in self.advice_queue.take_overdue(now) {
             let job = self.jobs.get(&step.job);
-            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
+            let since =
+                job.and_then(|job| job.step(step)).map(|state| state.clearances.requested_at);
             log::info!(
                 "event=wait-expired step={step} queue={} for=lost-answer ms={}",
                 job.map(|job| &*job.queue.name).unwrap_or_default(),
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -50,7 +50,7 @@
         let advice = job.queue.advice;
         // Most steps wait for a response of the advice service most of the time. Stop early for them.
         let awaits_advice =
-            advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
+            advice.is_some() && (step.clearances.request_pending || now < step.clearances.retry_at);
         if awaits_advice && !step.clearances.has_any_ticket(now + MIN_TICKET_VALIDITY) {
             let why = self.wait_reason(now, key, &[]);
             return self.set_wait_reason(now, key, why);
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -1,4 +1,5 @@
-//! Reports of workers: runs that go on, runs that ended, and throttling of filler tasks beside tasks that serve requests.
+//! Reports of workers: runs that go on, runs that ended, and throttling of filler tasks beside
+//! tasks that serve requests.
 
 use crate::cell::jobs::job::TaskStatus;
 use crate::cell::records::journal::JobOutcome;
@@ -11,34 +12,38 @@
 use crate::workload::{Room, Step, TaskKey};
 use std::collections::BTreeSet;
 
-/// Filler tasks are slowed down when a tail latency on their worker reaches this percentage of its limit.
+/// Filler tasks are slowed down when a tail latency on their worker reaches this percentage of its
+/// limit.
 const SLOW_DOWN_PERCENT: f64 = 80.0;
-/// Filler tasks are sped up when all tail latencies on their worker are below this percentage of their limits.
+/// Filler tasks are sped up when all tail latencies on their worker are below this percentage of
+/// their limits.
 const SPEED_UP_PERCENT: f64 = 55.0;
 /// By how many percentage points the share of a filler task is raised at a time.
 const SPEED_UP_STEP: u32 = 20;
 /// A share that would fall below this percentage is set to zero.
 const MIN_SHARE_PERCENT: u32 = 10;
-/// The least time between two changes of shares on a worker. The latencies in a report cover the last half second.
+/// The least time between two changes of shares on a worker. The latencies in a report cover the
+/// last half second.
 const THROTTLE_INTERVAL: Millis = Millis(600);
 
 impl Cell {
-    /// The parameters of the next report call to a worker, with a renewal of its lease if `renew` is set; `None` if the
-    /// worker is not known any more. The lease of an unreachable worker is not renewed, because its tasks are started
-    /// elsewhere once it has expired.
+    /// The parameters of the next report call to a worker, with a renewal of its lease if `renew`
+    /// is set; `None` if the worker is not known any more. The lease of an unreachable worker is
+    /// not renewed, because its tasks are started elsewhere once it has expired.
     pub fn report_call(&mut self, now: Millis, name: &Name, renew: bool) -> Option<ReportCall> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(name)?;
         let lease_end =
             if renew && worker.is_reachable { worker.renew_lease(now, lease) } else { None };
-        // The worker may have restarted. An incarnation that is told the last end of the previous one would drop ends that
-        // were never received. A lease end by the clock of the previous one does no harm: the worker shortens it to the
-        // longest lease.
+        // The worker may have restarted. An incarnation that is told the last end of the previous
+        // one would drop ends that were never received. A lease end by the clock of the previous
+        // one does no harm: the worker shortens it to the longest lease.
         let confirmed = if worker.may_have_restarted() { 0 } else { worker.confirmed_end() };
         Some(ReportCall { confirmed, lease_end })
     }
 
-    /// The batch that must be in the store before all ends received from a worker can be confirmed to it.
+    /// The batch that must be in the store before all ends received from a worker can be confirmed
+    /// to it.
     pub fn unstored_ends_batch(&self, name: &Name) -> Option<u64> {
         self.workers
             .get(name)
@@ -48,10 +53,10 @@
 
     /// Handles a report call that failed. Returns whether to pause before the next call.
     ///
-    /// A single report may be lost on the network, so a worker is considered unreachable only when the next one is missing
-    /// too.
-    pub fn on_missing_report(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
-        match why {
+    /// A single report may be lost on the network, so a worker is considered unreachable only when
+    /// the next one is missing too.
+    pub fn on_missing_report(&mut self, now: Millis, name: &Name, error: &HoldError) -> bool {
+        match error {
             HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
             HoldError::Refused(Refusal::OtherLife) => {
                 self.remove_worker(now, name, RemovalReason::Replaced)
@@ -85,7 +90,7 @@
         if !worker.is_reachable {
             let (running, ended) = (report.running.len(), report.ended.len());
             log::info!(
-                "event=worker-heard worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
+                "event=worker-reachable worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
                  running={running} ended={ended}",
                 report.born,
                 worker.listed.born,
@@ -95,7 +100,8 @@
             self.needs_placement = true;
         }
         self.needs_placement = self.needs_placement || worker.has_unanswered();
-        // If an earlier owner did not know when the worker started, the start time has to be stored for the next one.
+        // If an earlier owner did not know when the worker started, the start time has to be stored
+        // for the next one.
         self.workers_dirty |= worker.record_report(now, sent, report);
         self.resolve_by_report(name);
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -111,13 +117,14 @@
                 self.record_run_time(row.task, now.since(run.started_at));
             }
             self.on_run_end(now, name, row);
-            // An end that changes no job needs no record, and can be confirmed once the earlier batches are in the store.
+            // An end that changes no job needs no record, and can be confirmed once the earlier
+            // batches are in the store.
             let batch =
                 if self.dirty_jobs.is_empty() { self.open_batch - 1 } else { self.open_batch };
-            let kept = self.stored_batch;
+            let stored_batch = self.stored_batch;
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.record_end(row.no, batch);
-                worker.mark_stored(kept);
+                worker.mark_stored(stored_batch);
             }
         }
         for row in &report.running {
@@ -128,7 +135,8 @@
         self.throttle_fillers(now, name, report);
     }
 
-    /// Finds stalled and late runs on a worker, and lets their tasks run on another worker too if copies are allowed.
+    /// Finds stalled and late runs on a worker, and lets their tasks run on another worker too if
+    /// copies are allowed.
     fn duplicate_stragglers(&mut self, now: Millis, name: &Name) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         for (task, run) in worker.find_stragglers(now) {
@@ -147,7 +155,7 @@
     /// Handles the end of a run.
     fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
         let task = row.task;
-        log::info!("event=ended task={task} run={} worker={name} end={:?}", row.run, row.end);
+        log::info!("event=run-ended task={task} run={} worker={name} end={:?}", row.run, row.end);
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
@@ -252,8 +260,8 @@
         let job = self.jobs.get_mut(&task.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(task.step.step)).cloned();
         let owner = job.as_ref().and_then(|job| job.workspace.as_ref());
-        // The resources of a run whose job was closed are not known. It may fill the worker, whose resources may have been
-        // larger when it started.
+        // The resources of a run whose job was closed are not known. It may fill the worker, whose
+        // resources may have been larger when it started.
         let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::new(row.run, &spec, Phase::Running(now));
@@ -316,8 +324,8 @@
         }
     }
 
-    /// Slows down filler tasks while a task that serves requests on the worker is close to its tail latency limit, and
-    /// speeds them up again afterwards.
+    /// Slows down filler tasks while a task that serves requests on the worker is close to its tail
+    /// latency limit, and speeds them up again afterwards.
     fn throttle_fillers(&mut self, now: Millis, name: &Name, report: &Report) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let fillers: Vec<(TaskKey, u64, u32)> = worker
@@ -351,7 +359,8 @@
         for (task, run, percent) in changed {
             let percent = next_percent(percent);
             log::info!(
-                "event=filler-share-changed task={task} run={run} worker={name} percent={percent} worst={worst:.0}"
+                "event=filler-share-changed task={task} run={run} worker={name} percent={percent} \
+                 worst={worst:.0}"
             );
             self.actions.push(Action::Pace { worker: name.clone(), task, run, percent });
         }
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -1,8 +1,9 @@
 //! Workers whose process was restarted with the same id.
 //!
-//! State that ends with a process is dropped here: its runs, the numbers of its ends, its clock and with it the leases, and
-//! tickets. Which of two incarnations is the later one is known from reports alone: report calls to a worker follow one
-//! another, while an entry in the list of workers may belong to either incarnation.
+//! State that ends with a process is dropped here: its runs, the numbers of its ends, its clock and
+//! with it the leases, and tickets. Which of two incarnations is the later one is known from
+//! reports alone: report calls to a worker follow one another, while an entry in the list of
+//! workers may belong to either incarnation.
 
 use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::workers::worker::{Phase, Run};
@@ -20,12 +21,14 @@
     Kept,
     /// It ended with the previous incarnation, or was never sent.
     Lost,
-    /// Its start was not answered and may still arrive, so the new incarnation has to be told to refuse it.
+    /// Its start was not answered and may still arrive, so the new incarnation has to be told to
+    /// refuse it.
     InFlight,
 }
 
 impl Cell {
-    /// Handles a report from another incarnation of a worker than the one known here; the report call was sent at `sent`.
+    /// Handles a report from another incarnation of a worker than the one known here; the report
+    /// call was sent at `sent`.
     pub(in crate::cell) fn on_worker_restart(
         &mut self,
         now: Millis,
@@ -34,25 +37,27 @@
         report: &Report,
     ) {
         let reported = reported_runs(report);
-        let left = |(key, run): (&(TaskKey, u64), &Run)| {
+        let classify = |(key, run): (&(TaskKey, u64), &Run)| {
             (*key, run_after_restart(run, sent, reported.contains(key)))
         };
         let Some(worker) = self.workers.get_mut(name) else { return };
         let ended = worker.life();
-        let all: Vec<((TaskKey, u64), RunAfterRestart)> = worker.runs.iter().map(left).collect();
+        let all: Vec<((TaskKey, u64), RunAfterRestart)> =
+            worker.runs.iter().map(classify).collect();
         let mut kept = Vec::new();
-        for ((task, run), left) in &all {
-            if *left == RunAfterRestart::Kept {
+        for ((task, run), outcome) in &all {
+            if *outcome == RunAfterRestart::Kept {
                 kept.extend(worker.remove_run(*task, *run).map(|known| (*task, known)));
             }
         }
-        // The remaining runs ended with the previous incarnation, which counts as a crash for their tasks.
+        // The remaining runs ended with the previous incarnation, which counts as a crash for their
+        // tasks.
         self.record_worker_crash(now, name, true);
         self.resolve_crash(&ended, CrashResolution::Ended);
         let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
         let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut before = worker.restart(now, report.born, batch, lease_end);
+        let mut previous = worker.restart(now, report.born, batch, lease_end);
         log::info!(
             "event=worker-restarted worker={name} life={} was={ended} runs={} kept={}",
             worker.life(),
@@ -65,15 +70,15 @@
         self.crash_counts.restarted += 1;
         self.ended_lives.insert(ended, now);
         (self.workers_dirty, self.needs_placement) = (true, true);
-        for ((task, run), left) in all {
-            match left {
+        for ((task, run), outcome) in all {
+            match outcome {
                 RunAfterRestart::Kept => {}
                 RunAfterRestart::Lost => {
                     log::info!("event=run-lost task={task} run={run} worker={name} why=restarted");
                     self.requeue_task(task, run);
                 }
                 RunAfterRestart::InFlight => {
-                    if let Some(known) = before.remove_run(task, run) {
+                    if let Some(known) = previous.remove_run(task, run) {
                         self.reject_stale_run(name, task, known);
                     }
                 }
@@ -82,20 +87,20 @@
         self.forget_clearances(name);
     }
 
-    /// Tells the new incarnation to refuse a run of the previous one. Until it confirms that, the task is not started again
-    /// and the resources of the run stay charged.
+    /// Tells the new incarnation to refuse a run of the previous one. Until it confirms that, the
+    /// task is not started again and the resources of the run stay charged.
     fn reject_stale_run(&mut self, name: &Name, task: TaskKey, run: Run) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let no = run.run;
+        let number = run.run;
         worker.add_run(
             task,
             Run { phase: Phase::Stopping(None), stop_pending: true, is_stale: true, ..run },
         );
-        self.actions.push(Action::Stop { worker: name.clone(), task, run: no });
+        self.actions.push(Action::Stop { worker: name.clone(), task, run: number });
     }
 
-    /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the next one may be of another
-    /// kind.
+    /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the
+    /// next one may be of another kind.
     fn forget_clearances(&mut self, name: &Name) {
         for job in self.jobs.values_mut().filter(|job| job.is_open() && job.queue.advice.is_some())
         {
@@ -106,8 +111,9 @@
         }
     }
 
-    /// Handles a list entry with another incarnation of a worker than the one that last reported. It is a later one, because
-    /// incarnations that ended are known. The worker is asked for a report at once, and gets no new tasks until it reports.
+    /// Handles a list entry with another incarnation of a worker than the one that last reported.
+    /// It is a later one, because incarnations that ended are known. The worker is asked for a
+    /// report at once, and gets no new tasks until it reports.
     pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &Listed) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
         let is_new = worker.is_other_incarnation(listed.born) && worker.listed.born != listed.born;
@@ -124,7 +130,8 @@
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
 
-/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation reported the run.
+/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation
+/// reported the run.
 fn run_after_restart(run: &Run, sent: Millis, is_reported: bool) -> RunAfterRestart {
     match run.phase {
         _ if is_reported => RunAfterRestart::Kept,
