--- a/src/cell/placing/candidate.rs
+++ b/src/cell/placing/candidate.rs
@@ -1,7 +1,7 @@
 //! Selection of workers for a task or a gang among those with enough free resources.
 
 use crate::cell::jobs::job::Task;
-use crate::cell::jobs::stage::needs_settled;
+use crate::cell::jobs::restart_policy::needs_stable_worker;
 use crate::cell::workers::worker::Worker;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -125,9 +125,9 @@
         let beside_serving = spec.filler && candidate.serves_users;
         let penalties = (beside_serving, candidate.is_reserved, away, !candidate.is_healthy);
         let neighbors = if task.crashes.is_empty() { 0 } else { candidate.total_runs };
-        (task.avoid.contains(&candidate.name), neighbors, far, penalties, cpu_score)
+        (task.failed_workers.contains(&candidate.name), neighbors, far, penalties, cpu_score)
     };
-    let needs_settled = needs_settled(&task.crashes);
+    let needs_settled = needs_stable_worker(&task.crashes);
     let is_usable = |candidate: &&mut Candidate| {
         candidate.has_room(spec, &charge) && (candidate.is_stable || !needs_settled)
     };
--- a/src/cell/placing/fair_share.rs
+++ b/src/cell/placing/fair_share.rs
@@ -46,7 +46,7 @@
     /// 0 has no share to exceed.
     pub(in crate::cell) fn exceeds_share(&mut self, now: Millis, name: &Name) -> bool {
         let weight = self.usages.workspace(name).map_or(0, |workspace| workspace.weight);
-        let is_disabled = self.bounds.off.has(Mechanism::Shares);
+        let is_disabled = self.config.disabled.contains(Mechanism::WorkspaceShares);
         weight > 0 && !is_disabled && self.shares.exceeds(now, name, f64::from(weight))
     }
 }
--- a/src/cell/placing/gang.rs
+++ b/src/cell/placing/gang.rs
@@ -5,7 +5,7 @@
 //! left to run. So resources are reserved for the gang while they become free.
 
 use crate::cell::Cell;
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::candidate::{Candidate, UnplacedTasks};
 use crate::clock::Millis;
@@ -37,10 +37,10 @@
     ) {
         let UnplacedTasks { step: key, spec, count: unplaced } = *unplaced_tasks;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let gang_rank = rank(job);
+        let gang_rank = queue_rank(job);
         let is_early = !job.has_waited(now, key, MIN_GANG_WAIT);
-        let is_disabled = self.bounds.off.has(Mechanism::Gather);
-        if !spec.gang || is_disabled || is_early || self.reserved.has_gang() {
+        let is_disabled = self.config.disabled.contains(Mechanism::GatherForGangs);
+        if !spec.gang || is_disabled || is_early || self.reservations.has_gang() {
             return;
         }
         let charge = spec.charge();
@@ -66,7 +66,7 @@
         log::info!("event=gang-reservation step={key} tasks={unplaced} workers={}", chosen.len());
         for (worker, tasks) in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&charge));
-            self.reserved.reserve_for_gang(&worker, key, gang_rank, room, now + RESERVATION_TIME);
+            self.reservations.reserve_for_gang(&worker, key, gang_rank, room, now + RESERVATION_TIME);
         }
     }
 
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -5,7 +5,7 @@
 //! loses half a second of work and the time to restore its progress.
 
 use crate::cell::Cell;
-use crate::cell::jobs::life::rank;
+use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::candidate::{Candidate, UnplacedTasks};
 use crate::cell::workers::worker::Phase;
@@ -50,11 +50,12 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let is_early = !job.has_waited(now, key, MIN_WAIT);
         // A job that isn't stored yet may still be refused, and the tasks stopped for it would have lost work for nothing.
-        let is_unstored = job.batch > self.kept;
-        if is_early || is_unstored || candidates.is_empty() || self.reserved.has_exclusive(key) {
+        let is_unstored = job.batch > self.stored_batch;
+        if is_early || is_unstored || candidates.is_empty() || self.reservations.has_exclusive(key)
+        {
             return;
         }
-        let (step_rank, queue) = (rank(job), job.queue.name.clone());
+        let (step_rank, queue) = (queue_rank(job), job.queue.name.clone());
         let priority = job.priority();
         let mut plans: Vec<PreemptionPlan> = candidates
             .iter()
@@ -83,12 +84,12 @@
         }
         for PreemptionPlan { worker, tasks, victims } in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&spec.charge()));
-            self.reserved.reserve(&worker, key, step_rank, room, now + RESERVATION_TIME);
+            self.reservations.reserve(&worker, key, step_rank, room, now + RESERVATION_TIME);
             for Victim { task, run, .. } in victims {
                 log::info!(
                     "event=preempted task={task} run={run} worker={worker} for={key} queue={queue}"
                 );
-                self.stop(&worker, task, run);
+                self.stop_run(&worker, task, run);
             }
         }
     }
@@ -102,9 +103,9 @@
     ) {
         let UnplacedTasks { step: key, spec, count: unplaced } = *unplaced_tasks;
         let Some(job) = self.jobs.get(&key.job) else { return };
-        let step_rank = rank(job);
-        let is_disabled = self.bounds.off.has(Mechanism::Reserve);
-        if is_disabled || self.reserved.has_exclusive(key) || self.reserved.has_shared(key) {
+        let step_rank = queue_rank(job);
+        let is_disabled = self.config.disabled.contains(Mechanism::ReserveRoom);
+        if is_disabled || self.reservations.has_exclusive(key) || self.reservations.has_shared(key) {
             return;
         }
         let charge = spec.charge();
@@ -114,7 +115,7 @@
         candidates
             .sort_by_key(|candidate| std::cmp::Reverse((candidate.free.gpu, candidate.free.cpu)));
         for candidate in candidates.into_iter().take(unplaced as usize) {
-            self.reserved.reserve_shared(
+            self.reservations.reserve_shared(
                 &candidate.name,
                 key,
                 step_rank,
@@ -139,7 +140,7 @@
 
     /// Runs on a worker that can be stopped for a job with this priority, the least urgent first.
     fn victims(&self, worker: &Name, priority: u32) -> Vec<Victim> {
-        if self.bounds.off.has(Mechanism::Preempt) {
+        if self.config.disabled.contains(Mechanism::Preemption) {
             return Vec::new();
         }
         let Some(worker) = self.workers.get(worker) else { return Vec::new() };
@@ -152,7 +153,7 @@
                 let spec = job.spec(task.step.step)?;
                 let can_stop = job.priority() > priority && spec.can_stop();
                 let victim = Victim { task: *task, run: *run_number, charge: run.charge };
-                can_stop.then_some((rank(job), victim))
+                can_stop.then_some((queue_rank(job), victim))
             })
             .collect();
         found.sort_by(|(a, _), (b, _)| b.cmp(a));
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -2,9 +2,9 @@
 
 use crate::cell::advising::clearance::TICKET_SPARE;
 use crate::cell::jobs::job::{Job, StepState};
-use crate::cell::jobs::life::rank;
-use crate::cell::jobs::stage::{is_paused, needs_settled};
-use crate::cell::jobs::why::Why;
+use crate::cell::jobs::lifecycle::queue_rank;
+use crate::cell::jobs::restart_policy::{is_paused, needs_stable_worker};
+use crate::cell::jobs::wait_reason::WaitReason;
 use crate::cell::mechanism::Mechanism;
 use crate::cell::placing::candidate::{
     Candidate, UnplacedTasks, count_step_runs, is_suitable, pick_gang_workers, pick_worker,
@@ -22,11 +22,11 @@
     /// Places as many waiting tasks as fit, the most urgent first. Does nothing unless the cell's state has changed since
     /// the last pass.
     pub fn schedule(&mut self, now: Millis) {
-        self.give_up(now);
-        if self.is_stale || !std::mem::take(&mut self.changed) {
+        self.fail_exhausted_jobs(now);
+        if self.list_stale || !std::mem::take(&mut self.needs_placement) {
             return;
         }
-        let ready: Vec<StepKey> = self.ready.iter().map(|(_, _, key)| *key).collect();
+        let ready: Vec<StepKey> = self.ready_steps.iter().map(|(_, _, key)| *key).collect();
         for key in ready {
             self.place_step(now, key);
         }
@@ -37,27 +37,28 @@
     /// the step waits.
     fn place_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
-        if job.inherited && self.doubt.is_some() {
-            return self.note_wait(now, key, Some(Why::Takeover));
+        if job.is_inherited && self.unrecorded_starts.is_some() {
+            return self.set_wait_reason(now, key, Some(WaitReason::Takeover));
         }
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
         if step.waiting.is_empty() {
             // All its tasks were found to be running or done since the step became ready.
-            let (priority, due) = rank(job);
-            self.ready.remove(&(priority, due, key));
-            return self.note_wait(now, key, None);
+            let (priority, due) = queue_rank(job);
+            self.ready_steps.remove(&(priority, due, key));
+            return self.set_wait_reason(now, key, None);
         }
         let advice = job.queue.advice;
         // Most steps wait for a response of the advice service most of the time. Stop early for them.
-        let awaits_advice = advice.is_some() && (step.advised.asking || now < step.advised.again);
-        if awaits_advice && !step.advised.has_ticket(now + TICKET_SPARE) {
-            let why = self.why(now, key, &[]);
-            return self.note_wait(now, key, why);
+        let awaits_advice =
+            advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
+        if awaits_advice && !step.clearances.has_any_ticket(now + TICKET_SPARE) {
+            let why = self.wait_reason(now, key, &[]);
+            return self.set_wait_reason(now, key, why);
         }
         let allowed = self.allowed_starts(job, spec, step.waiting.len());
         if allowed == 0 {
-            self.reserved.release(key);
-            return self.note_wait(now, key, Some(Why::Bound));
+            self.reservations.release(key);
+            return self.set_wait_reason(now, key, Some(WaitReason::WorkspaceLimit));
         }
         let spec = spec.clone();
         let waiting: Vec<u32> = step.waiting.iter().copied().take(allowed).collect();
@@ -84,22 +85,22 @@
         }
         match advice {
             _ if still_waiting == 0 => {
-                self.reserved.release(key);
-                let step_rank = self.jobs.get(&key.job).map(rank);
+                self.reservations.release(key);
+                let step_rank = self.jobs.get(&key.job).map(queue_rank);
                 if let Some((priority, due)) = step_rank {
-                    self.ready.remove(&(priority, due, key));
+                    self.ready_steps.remove(&(priority, due, key));
                 }
             }
             Some(advice) if unplaced > 0 => self.question(now, key, &spec, advice, unplaced),
             _ => {}
         }
-        let why = self.why(now, key, &candidates).map(|why| match why {
-            _ if unplaced == 0 => Why::Bound,
-            Why::Crashes => why,
-            _ if waits_for_stable => Why::NewWorkers,
+        let why = self.wait_reason(now, key, &candidates).map(|why| match why {
+            _ if unplaced == 0 => WaitReason::WorkspaceLimit,
+            WaitReason::Crashes => why,
+            _ if waits_for_stable => WaitReason::NewWorkers,
             _ => why,
         });
-        self.note_wait(now, key, why);
+        self.set_wait_reason(now, key, why);
     }
 
     /// The workers that may run a step's tasks now, without regard to the advice service.
@@ -122,7 +123,7 @@
         step: &StepState,
         spec: &Step,
     ) -> Vec<Candidate> {
-        let tickets = step.advised.tickets(now + TICKET_SPARE);
+        let tickets = step.clearances.ticket_holders(now + TICKET_SPARE);
         let cleared = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.filter_candidates(now, key, job, spec, cleared)
     }
@@ -140,7 +141,7 @@
         if job.queue.advice.is_none() {
             return self.open_candidates(now, key, job, spec);
         }
-        let names = step.advised.cleared.keys();
+        let names = step.clearances.cleared.keys();
         let cleared = names.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.filter_candidates(now, key, job, spec, cleared)
     }
@@ -155,8 +156,8 @@
         spec: &Step,
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Candidate> {
-        let step_rank = rank(job);
-        let skips_aside = !self.bounds.off.has(Mechanism::Aside);
+        let step_rank = queue_rank(job);
+        let skips_aside = !self.config.disabled.contains(Mechanism::SidelineWorkers);
         let is_quarantined =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let relaxation = self.relaxation(now, job, key);
@@ -164,14 +165,15 @@
             relaxation == Relaxation::None
                 && ((skips_aside && worker.is_aside(now)) || is_quarantined(worker))
         };
-        let open = workers.filter(|(_, worker)| worker.is_open(self.kept) && !is_excluded(worker));
+        let open =
+            workers.filter(|(_, worker)| worker.is_open(self.stored_batch) && !is_excluded(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
             let unavailable =
-                self.reserved.unavailable(name, key, step_rank, spec.can_stop(), relaxation);
+                self.reservations.unavailable(name, key, step_rank, spec.can_stop(), relaxation);
             let step_runs = if spec.apart == 0 { 0 } else { count_step_runs(worker, key) };
-            let is_reserved = self.reserved.has_gang_at(name, key);
+            let is_reserved = self.reservations.has_gang_at(name, key);
             Candidate {
                 free: candidate.free.less(&unavailable),
                 step_runs,
@@ -185,17 +187,18 @@
     /// Assigns a home failure domain to a job: the one with the most idle cores. Its tasks go there while they fit, so that
     /// a network partition between failure domains delays few jobs.
     fn choose_home_domain(&mut self, key: StepKey, candidates: &[Candidate]) {
-        if self.bounds.off.has(Mechanism::Home) {
+        if self.config.disabled.contains(Mechanism::PreferDomain) {
             return;
         }
-        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.home.is_none()) else {
+        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.home_domain.is_none()) else {
             return;
         };
         let mut idle: BTreeMap<&Name, u64> = BTreeMap::new();
         for candidate in candidates {
             *idle.entry(&candidate.domain).or_default() += candidate.free.cpu;
         }
-        job.home = idle.into_iter().max_by_key(|(_, cpu)| *cpu).map(|(domain, _)| domain.clone());
+        job.home_domain =
+            idle.into_iter().max_by_key(|(_, cpu)| *cpu).map(|(domain, _)| domain.clone());
     }
 
     /// Places waiting tasks of a step that isn't a gang, each on the best candidate.
@@ -216,8 +219,8 @@
             if is_paused(&state.crashes) {
                 continue;
             }
-            let home = job.home.as_ref().filter(|_| !spec.lasting);
-            let needs_settled = needs_settled(&state.crashes);
+            let home = job.home_domain.as_ref().filter(|_| !spec.lasting);
+            let needs_settled = needs_stable_worker(&state.crashes);
             let candidate = match pick_worker(candidates, spec, home, state) {
                 Some(candidate) => candidate,
                 // Other tasks of the step may run on unstable workers.
@@ -245,9 +248,9 @@
         if waiting < spec.count as usize {
             return;
         }
-        let home = self.jobs.get(&key.job).and_then(|job| job.home.clone());
+        let home = self.jobs.get(&key.job).and_then(|job| job.home_domain.clone());
         let mut members = (0..spec.count).map(|index| TaskKey { step: key, index });
-        if members.clone().any(|task| is_paused(self.crashes(task))) {
+        if members.clone().any(|task| is_paused(self.task_crashes(task))) {
             return;
         }
         let is_quarantined = members.any(|task| self.is_quarantined(task));
@@ -267,7 +270,7 @@
     fn saved_gang_progress(&self, key: StepKey) -> Name {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let tasks = step.map(|step| step.tasks.as_slice()).unwrap_or_default();
-        let saved = tasks.iter().map(|task| &task.saved).find(|saved| !saved.is_empty());
+        let saved = tasks.iter().map(|task| &task.checkpoint).find(|saved| !saved.is_empty());
         saved.cloned().unwrap_or_else(|| "".into())
     }
 
@@ -276,7 +279,7 @@
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let runs = indices.into_iter().filter_map(|index| {
             let task = step?.tasks.get(index as usize)?;
-            Some(task.runs)
+            Some(task.last_run)
         });
         (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
     }
@@ -300,27 +303,27 @@
         let run_times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
         run.limit = run_times.and_then(|times| times.limit(spec.estimate));
         worker.add(task, run);
-        let age = now.since(job.since);
-        job.bound = true;
+        let age = now.since(job.known_since);
+        job.was_placed = true;
         let spec_text = job.work.spec.clone();
         let Some(step) = job.step_mut(task.step) else { return };
         step.place(task.index, name.clone(), run_number);
         step.idle_since = None;
-        let ticket = step.advised.cleared.get(name).map(|ticket| ticket.text.clone());
+        let ticket = step.clearances.cleared.get(name).map(|ticket| ticket.text.clone());
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
-        state.runs = run_number;
+        state.last_run = run_number;
         let saved = match saved {
-            "" if !spec.gang => state.saved.clone(),
+            "" if !spec.gang => state.checkpoint.clone(),
             saved => saved.into(),
         };
         log::info!("event=start task={task} run={run_number} worker={name} age_ms={age}");
         let ticket = ticket.unwrap_or_else(|| "".into());
         let start = Start { task, run: run_number, spec: spec_text, saved, ticket };
-        self.dirty.insert(task.step.job);
+        self.dirty_jobs.insert(task.step.job);
         if self.is_quarantined(task) {
-            self.quarantine(name, task);
+            self.quarantine_worker(name, task);
         }
-        self.unsent.push_back((self.batch, name.clone(), start));
+        self.unsent_starts.push_back((self.open_batch, name.clone(), start));
     }
 
     /// Sends the starts whose bindings are in the store, up to batch `kept`. The next owner has to know of them.
@@ -330,13 +333,13 @@
 
     /// Sends the queued starts of accepted jobs for which `may_send` holds. The others stay queued in order.
     fn send_starts_if(&mut self, now: Millis, may_send: impl Fn(&Self, u64, TaskKey) -> bool) {
-        let lease = self.bounds.lease;
-        let unsent = std::mem::take(&mut self.unsent);
+        let lease = self.config.lease;
+        let unsent = std::mem::take(&mut self.unsent_starts);
         let is_ready = |(batch, _, start): &(u64, Name, Start)| {
             self.is_accepted(start.task.step.job) && may_send(self, *batch, start.task)
         };
         let (ready, remaining): (VecDeque<_>, VecDeque<_>) = unsent.into_iter().partition(is_ready);
-        self.unsent = remaining;
+        self.unsent_starts = remaining;
         for (_, name, start) in ready {
             let Some(worker) = self.workers.get_mut(&name) else { continue };
             let run = worker.runs.get(&(start.task, start.run));
@@ -345,12 +348,12 @@
             }
             if worker.is_other(worker.listed.born) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
-                self.lose(&name, start.task, start.run);
+                self.abandon_run(&name, start.task, start.run);
                 continue;
             }
             if worker.is_overfull() {
                 log::info!("event=worker-overcommitted task={} worker={name}", start.task);
-                self.lose(&name, start.task, start.run);
+                self.abandon_run(&name, start.task, start.run);
                 continue;
             }
             let Some(until) = worker.lease(now, lease) else {
@@ -358,7 +361,7 @@
                     "event=start-given-up task={} worker={name} why=clock-unknown",
                     start.task
                 );
-                self.lose(&name, start.task, start.run);
+                self.abandon_run(&name, start.task, start.run);
                 continue;
             };
             if let Some(run) = worker.runs.get_mut(&(start.task, start.run)) {
@@ -370,7 +373,7 @@
 
     /// Whether a job is stored. Starts of a job that is no longer known aren't delayed.
     fn is_accepted(&self, key: JobKey) -> bool {
-        self.jobs.get(&key).is_none_or(|job| job.batch <= self.kept)
+        self.jobs.get(&key).is_none_or(|job| job.batch <= self.stored_batch)
     }
 
     /// Sends starts whose bindings aren't stored, while the store is unavailable to all entries. The next owner will know of
@@ -379,7 +382,7 @@
         // Crashes of a task have to be stored before it starts again. Otherwise it could start more often than is allowed
         // over several outages that each end with a takeover.
         self.send_starts_if(now, |cell, batch, task| {
-            batch <= cell.kept || cell.crashes(task).is_empty()
+            batch <= cell.stored_batch || cell.task_crashes(task).is_empty()
         });
     }
 }
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -5,7 +5,7 @@
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::StepState;
-use crate::cell::jobs::stage::needs_settled;
+use crate::cell::jobs::restart_policy::needs_stable_worker;
 use crate::cell::placing::candidate::Candidate;
 use crate::clock::Millis;
 use crate::workload::{Step, StepKey};
@@ -38,7 +38,7 @@
     /// Schedules again once a worker that steps wait for has become stable.
     pub(in crate::cell) fn check_stability(&mut self, now: Millis) {
         if self.next_settled.take_if(|at| now >= *at).is_some() {
-            self.changed = true;
+            self.needs_placement = true;
         }
     }
 }
@@ -46,6 +46,6 @@
 /// Whether any and whether all of a step's waiting tasks may only run on stable workers.
 fn needs_stable(step: &StepState) -> (bool, bool) {
     let tasks = || step.waiting.iter().filter_map(|index| step.tasks.get(*index as usize));
-    let any_with = |needs: bool| tasks().any(|task| needs_settled(&task.crashes) == needs);
+    let any_with = |needs: bool| tasks().any(|task| needs_stable_worker(&task.crashes) == needs);
     (any_with(true), any_with(true) && !any_with(false))
 }
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -92,7 +92,7 @@
     /// Replaces the workspaces by those of a new version of the policy.
     pub fn set_workspaces(&mut self, workspaces: Workspaces) {
         self.usages.workspaces = workspaces;
-        self.changed = true;
+        self.needs_placement = true;
     }
 
     /// How many of `max` tasks of a step the job's workspace may start now. All tasks of a gang start together or none.
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,6 +1,6 @@
 //! Decodes the settings file that the platform provides for an entry.
 
-use crate::cell::mechanism::Off;
+use crate::cell::mechanism::DisabledMechanisms;
 use crate::cell::owner::map::CELL_WORKERS;
 use crate::clock::Millis;
 use crate::id::Name;
@@ -117,7 +117,7 @@
     /// The time between the request to stop and the forced end of the process.
     pub stop_grace: Millis,
     /// Mechanisms that are disabled. Not read from the file.
-    pub disabled: Off,
+    pub disabled: DisabledMechanisms,
 }
 
 /// Why the settings are unusable.
@@ -150,7 +150,7 @@
         let seconds = |value: f64| Millis((value.max(0.0) * 1_000.0) as u64);
         let (first, second) = raw.internal_ports;
         Ok(Self {
-            disabled: Off::default(),
+            disabled: DisabledMechanisms::default(),
             peer_addr: format!("{}:{first}", raw.ip).into(),
             advertised_addr: format!("{}:{first}", raw.ip).into(),
             metrics_addr: format!("{}:{second}", raw.ip).into(),
--- /dev/null
+++ b/tests/cellworld/network.rs
@@ -0,0 +1,200 @@
+//! Orders and reports between owners and workers, which may be lost, delayed or reordered.
+
+use super::*;
+
+impl World {
+    pub(super) fn poll_report(&mut self, owner: usize, worker: Name) {
+        if self.owners[owner].deposed {
+            return;
+        }
+        let renew = self.has_authority(owner);
+        let sent = self.now;
+        let Some(hold) = self.owners[owner].cell.hold(Millis(sent), &worker, renew) else {
+            self.owners[owner].polled.remove(&worker);
+            return;
+        };
+        let lost = self.chance(5);
+        let delay = 1 + self.pick(3);
+        let event = Event::ReportCall {
+            owner,
+            worker,
+            seen: hold.confirmed,
+            until: hold.lease_end,
+            sent,
+            lost,
+        };
+        self.schedule_after(delay, event);
+    }
+
+    pub(super) fn can_reach(&self, owner: usize, worker: &Name) -> bool {
+        let worker = self.workers.get(worker);
+        worker.is_some_and(|worker| {
+            let is_partitioned =
+                worker.partitioned_until > self.now && owner >= worker.first_unreachable;
+            !is_partitioned && worker.down_until <= self.now
+        })
+    }
+
+    pub(super) fn deliver_report_call(
+        &mut self,
+        owner: usize,
+        name: Name,
+        seen: u64,
+        until: Option<u64>,
+        sent: u64,
+        lost: bool,
+    ) {
+        let silent = Err(HoldError::Silent("lost".to_string()));
+        if lost || !self.can_reach(owner, &name) {
+            return self.schedule_after(
+                CALL_TIMEOUT_MS,
+                Event::ReportAnswered { owner, worker: name, sent, result: silent },
+            );
+        }
+        let epoch = self.owners[owner].cell.epoch();
+        let (now, disabled) = (self.now, self.disabled);
+        let Some(worker) = self.workers.get(&name) else { return };
+        let result = if !worker.alive {
+            Err(HoldError::Refused(Refusal::OtherLife))
+        } else if epoch < worker.fence && disabled != Disabled::Fencing {
+            Err(HoldError::Refused(Refusal::Fence))
+        } else {
+            self.receive_report_call(&name, epoch, seen, until);
+            let report = self.workers.get(&name).map(|worker| worker.report(now));
+            report.ok_or(HoldError::Refused(Refusal::OtherLife))
+        };
+        let busy = matches!(&result, Ok(report) if report.ended.is_empty());
+        let delay = if busy { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
+        if busy {
+            // The answer is delayed and reports the state at that time.
+            let again =
+                Event::ReportCall { owner, worker: name, seen, until: None, sent, lost: false };
+            return self.answer_delayed(delay, again);
+        }
+        self.schedule_after(delay, Event::ReportAnswered { owner, worker: name, sent, result });
+    }
+
+    /// A worker handles a report call: it takes the fencing token and the lease, and drops the ends
+    /// that the call confirms.
+    pub(super) fn receive_report_call(
+        &mut self,
+        name: &Name,
+        epoch: u64,
+        seen: u64,
+        until: Option<u64>,
+    ) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(name) else { return };
+        worker.fence = worker.fence.max(epoch);
+        worker.renew(now, until.unwrap_or(0));
+        let confirmed = worker.ended.iter().filter(|row| row.no <= seen && row.end == End::Done);
+        for row in confirmed {
+            self.done.insert(row.task, true);
+        }
+        let (last_lapsed, life) = (worker.last_lapsed, worker.life());
+        let failed = worker.ended.iter().filter(|row| row.no <= seen && row.end == End::Failed);
+        for row in failed.filter(|row| row.no > last_lapsed) {
+            let ends = self.failures.get_mut(&row.task).into_iter().flatten();
+            for (_, _, confirmed) in ends.filter(|(at, no, _)| *at == life && *no == row.no) {
+                *confirmed = true;
+            }
+        }
+        worker.ended.retain(|row| row.no > seen);
+        self.check_attempts();
+    }
+
+    pub(super) fn answer_delayed(&mut self, delay: u64, again: Event) {
+        let Event::ReportCall { owner, worker: name, sent, .. } = again else { return };
+        self.now += delay;
+        self.expire_leases();
+        let alive = self.workers.get(&name).filter(|worker| worker.alive);
+        let report = alive.map(|worker| worker.report(self.now));
+        self.now -= delay;
+        // What starts or ends after that is in the next report only.
+        let result = report.ok_or(HoldError::Refused(Refusal::OtherLife));
+        self.schedule_after(delay, Event::ReportAnswered { owner, worker: name, sent, result });
+    }
+
+    /// Sends an order, unless the owner knows by now that the worker has restarted.
+    pub(super) fn send_order(
+        &mut self,
+        owner: usize,
+        name: &Name,
+        life: Option<Life>,
+        action: &Action,
+        delivery: Delivery,
+    ) {
+        let cell = &self.owners[owner].cell;
+        let is_other = life.as_ref().is_some_and(|life| cell.has_restarted(life));
+        let there = self.workers.get(name).map(|worker| worker.listed.life());
+        match action {
+            _ if delivery == Delivery::ArrivesLate && there != life => return,
+            Action::Start { .. }
+                if delivery != Delivery::ArrivesLate && !self.has_authority(owner) =>
+            {
+                return self.withhold_start(owner, action, self.now);
+            }
+            _ if delivery == Delivery::ArrivesLate || !is_other => {}
+            Action::Start { .. } => return self.withhold_start(owner, action, self.now),
+            _ => return,
+        }
+        let (start, task, run) = match action {
+            Action::Start { start, .. } => (true, start.task, start.run),
+            Action::Stop { task, run, .. } => (false, *task, *run),
+            _ => return,
+        };
+        let (to, worker) = (life.clone(), name.clone());
+        let answered = |outcome| {
+            let (worker, life) = (worker.clone(), to.clone());
+            Event::OrderAnswered { owner, worker, start, task, run, life, outcome }
+        };
+        if let Delivery::Delayed(delay) = delivery {
+            let (action, worker) = (action.clone(), name.clone());
+            // A delayed order arrives even if its sender has died, but not at a restarted worker.
+            let life = self.workers.get(name).map(|worker| worker.listed.life());
+            let late =
+                Event::Order { owner, worker, life, action, delivery: Delivery::ArrivesLate };
+            self.schedule_after(delay, late);
+            return self.schedule_after(CALL_TIMEOUT_MS, answered(Outcome::Unknown));
+        }
+        if delivery == Delivery::Lost || !self.can_reach(owner, name) {
+            return self.schedule_after(CALL_TIMEOUT_MS, answered(Outcome::Unknown));
+        }
+        let epoch = self.owners[owner].cell.epoch();
+        let is_late = delivery == Delivery::ArrivesLate;
+        let outcome = match action {
+            Action::Start { start, until, .. } => {
+                // The sender isn't blamed for a start that arrives late.
+                let sender = (!is_late).then_some(owner);
+                self.start_run(sender, name, start, *until, epoch)
+            }
+            _ => self.stop_run(name, task, run, epoch),
+        };
+        match delivery {
+            Delivery::Answered => self.schedule_after(1, answered(outcome)),
+            _ => self.schedule_after(CALL_TIMEOUT_MS, answered(Outcome::Unknown)),
+        }
+    }
+
+    /// A start that was decided too long ago is not sent.
+    pub(super) fn withhold_start(&mut self, owner: usize, action: &Action, at: u64) {
+        let Action::Start { worker, start, .. } = action else { return };
+        let (worker, task, run) = (worker.clone(), start.task, start.run);
+        let (life, outcome) = (self.owners[owner].cell.worker_life(&worker), Outcome::Withheld);
+        self.schedule_at(
+            at,
+            Event::OrderAnswered { owner, worker, start: true, task, run, life, outcome },
+        );
+    }
+
+    pub(super) fn pick_delivery(&mut self) -> Delivery {
+        match self.chance(8) {
+            false => Delivery::Answered,
+            true => match self.pick(3) {
+                0 => Delivery::AnswerLost,
+                1 => Delivery::Lost,
+                _ => Delivery::Delayed(500 + self.pick(4_000)),
+            },
+        }
+    }
+}
