--- a/src/cell/placing/gang.rs
+++ b/src/cell/placing/gang.rs
@@ -66,7 +66,13 @@
         log::info!("event=gang-reservation step={key} tasks={unplaced} workers={}", chosen.len());
         for (worker, tasks) in chosen {
             let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&charge));
-            self.reservations.reserve_for_gang(&worker, key, gang_rank, room, now + RESERVATION_TIME);
+            self.reservations.reserve_for_gang(
+                &worker,
+                key,
+                gang_rank,
+                room,
+                now + RESERVATION_TIME,
+            );
         }
     }
 
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -105,7 +105,8 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let step_rank = queue_rank(job);
         let is_disabled = self.config.disabled.contains(Mechanism::ReserveRoom);
-        if is_disabled || self.reservations.has_exclusive(key) || self.reservations.has_shared(key) {
+        if is_disabled || self.reservations.has_exclusive(key) || self.reservations.has_shared(key)
+        {
             return;
         }
         let charge = spec.charge();
