--- a/src/cell/placing/candidate.rs
+++ b/src/cell/placing/candidate.rs
@@ -127,9 +127,9 @@
         let neighbors = if task.crashes.is_empty() { 0 } else { candidate.total_runs };
         (task.failed_workers.contains(&candidate.name), neighbors, far, penalties, cpu_score)
     };
-    let needs_settled = needs_stable_worker(&task.crashes);
+    let needs_stable = needs_stable_worker(&task.crashes);
     let is_usable = |candidate: &&mut Candidate| {
-        candidate.has_room(spec, &charge) && (candidate.is_stable || !needs_settled)
+        candidate.has_room(spec, &charge) && (candidate.is_stable || !needs_stable)
     };
     candidates.iter_mut().filter(is_usable).min_by_key(|candidate| score(candidate))
 }
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -157,13 +157,13 @@
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Candidate> {
         let step_rank = queue_rank(job);
-        let skips_aside = !self.config.disabled.contains(Mechanism::SidelineWorkers);
+        let skips_sidelined = !self.config.disabled.contains(Mechanism::SidelineWorkers);
         let is_quarantined =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let relaxation = self.relaxation(now, job, key);
         let is_excluded = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_aside && worker.is_aside(now)) || is_quarantined(worker))
+                && ((skips_sidelined && worker.is_aside(now)) || is_quarantined(worker))
         };
         let open =
             workers.filter(|(_, worker)| worker.is_open(self.stored_batch) && !is_excluded(worker));
@@ -220,11 +220,11 @@
                 continue;
             }
             let home = job.home_domain.as_ref().filter(|_| !spec.lasting);
-            let needs_settled = needs_stable_worker(&state.crashes);
+            let needs_stable = needs_stable_worker(&state.crashes);
             let candidate = match pick_worker(candidates, spec, home, state) {
                 Some(candidate) => candidate,
                 // Other tasks of the step may run on unstable workers.
-                None if needs_settled => continue,
+                None if needs_stable => continue,
                 None => return,
             };
             candidate.free = candidate.free.less(&charge);
