--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// The share of a run in its workspace's usage; subtracted again when dropped.
+/// The resources that a run adds to its workspace's usage. They are subtracted again when the guard is dropped.
 #[derive(Debug)]
 pub struct UsageGuard {
     usage: Usage,
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -90,9 +90,9 @@
 
 /// An HTTP client with a pool of connections for each address.
 ///
-/// Existing connections may become dead without a reset while new ones work. So an exchange that times out drops all
-/// idle connections to its address. Otherwise each of up to [`MAX_IDLE_CONNECTIONS`] dead ones would cost one more
-/// exchange its whole time limit.
+/// Existing connections may become dead without a reset while new ones work. So an exchange that times out, or can't open
+/// a connection, drops all idle connections to its address. Otherwise each of up to [`MAX_IDLE_CONNECTIONS`] dead ones
+/// would cost one more exchange its whole time limit.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     pools: Arc<Mutex<HashMap<Name, Arc<Pool>>>>,
