--- a/src/cell/advising/clearance.rs
+++ b/src/cell/advising/clearance.rs
@@ -8,8 +8,8 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Cleared;
-use crate::workload::{Advice, Step, StepKey};
+use crate::order::ClearedWorkers;
+use crate::workload::{AdviceConfig, Step, StepKey};
 use std::collections::BTreeSet;
 
 /// A ticket is used only if it holds this much longer: an order takes a few milliseconds, and a
@@ -32,7 +32,7 @@
         now: Millis,
         key: StepKey,
         spec: &Step,
-        advice: Advice,
+        advice: AdviceConfig,
         rest: usize,
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
@@ -45,7 +45,8 @@
         if workers.is_empty() {
             return;
         }
-        let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
+        let cost =
+            Millis(advice.base_latency.0 + advice.worker_micros * workers.len() as u64 / 1_000);
         let question = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
         self.advice_queue.push(question);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
@@ -61,7 +62,7 @@
         let (Some(step), Some(advice)) = (job.step(key), job.queue.advice) else {
             return Vec::new();
         };
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let advised = &step.clearances;
         let names_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open_candidates(now, key, job, spec).into_iter();
@@ -74,7 +75,7 @@
                 !asked(candidate) && (names_busy || candidate.has_room(spec, &charge))
             })
             .partition(|candidate| advised.cleared.contains_key(&candidate.name));
-        if spec.gang
+        if spec.is_gang
             && let Some(named) = self.to_name_again(now, key, spec, rest)
         {
             return named;
@@ -85,12 +86,12 @@
         let known: Vec<Candidate> = known.into_iter().filter(fits_after_preemption).collect();
         let again = rest.max(LEAST_AGAIN);
         let anew = (rest * CLEARED_SHARE).max(balance(advice));
-        let suffices = |known: &[Candidate]| !spec.gang && known.iter().any(has_room);
+        let suffices = |known: &[Candidate]| !spec.is_gang && known.iter().any(has_room);
         let (mut named, most) = match () {
             () if suffices(&known) => (known, again),
             () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, anew),
             // Asking again would be of no use: their room does not hold the gang.
-            () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
+            () if spec.is_gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made at some of them.
             () => (known, again),
         };
@@ -111,7 +112,7 @@
         spec: &Step,
         rest: usize,
     ) -> Option<Vec<Name>> {
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let mut candidates = self.cleared_candidates(now, key, spec);
         candidates.retain(|candidate| candidate.has_room(spec, &charge));
         candidates.sort_by_cached_key(|candidate| {
@@ -154,7 +155,7 @@
         entry: &Name,
         key: StepKey,
         named: &[Name],
-        answer: Option<Cleared>,
+        answer: Option<ClearedWorkers>,
     ) {
         self.advice_queue.answered(entry, key);
         match answer {
@@ -164,24 +165,28 @@
         self.needs_placement = true;
     }
 
-    fn clear(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
+    fn clear(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: ClearedWorkers) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
-        let usual = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
-        let until = now + cleared.valid.unwrap_or(usual);
+        let usual = job.queue.advice.map(|advice| advice.ticket_validity).unwrap_or_default();
+        let until = now + cleared.valid_for.unwrap_or(usual);
         let Some(step) = job.step_mut(key) else { return };
         // The answer may be about the life before.
         let workers = &self.workers;
         let since = step.clearances.asked_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted <= since);
-        log::info!("event=advised step={key} named={} cleared={}", named.len(), cleared.rows.len());
+        log::info!(
+            "event=advised step={key} named={} cleared={}",
+            named.len(),
+            cleared.tickets.len()
+        );
         let advised = &mut step.clearances;
         advised.is_asking = false;
         advised.retry_at = now + ASK_AGAIN;
-        let good: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
+        let good: BTreeSet<Name> = cleared.tickets.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !good.contains(*name) && is_same(name));
         advised.denied.extend(denied.cloned());
-        for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
+        for (name, text) in cleared.tickets.into_iter().filter(|(name, _)| is_same(name)) {
             advised.cleared.insert(name, Ticket { text, until });
         }
         if good.is_empty() {
@@ -232,9 +237,9 @@
 }
 
 /// How many workers a question names so that naming them takes half as long as asking at all.
-fn balance(advice: Advice) -> usize {
-    match advice.each {
+fn balance(advice: AdviceConfig) -> usize {
+    match advice.worker_micros {
         0 => MAX_NAMED,
-        each => (advice.base.0 * 1_000 / each / 2) as usize,
+        each => (advice.base_latency.0 * 1_000 / each / 2) as usize,
     }
 }
--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -18,7 +18,7 @@
 use crate::cell::workers::worker::{Run, Worker};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Life;
+use crate::order::Incarnation;
 use crate::workload::{JobKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -64,7 +64,7 @@
 
 /// Lives that may have ended, with unconfirmed crashes under tasks.
 #[derive(Debug, Default)]
-pub(in crate::cell) struct UnconfirmedCrashes(BTreeMap<Life, PossibleCrash>);
+pub(in crate::cell) struct UnconfirmedCrashes(BTreeMap<Incarnation, PossibleCrash>);
 
 impl UnconfirmedCrashes {
     /// Takes in the unconfirmed crashes under a task.
@@ -77,7 +77,7 @@
         }
     }
 
-    fn find(&self, wanted: impl Fn(&Life, &PossibleCrash) -> bool) -> Vec<Life> {
+    fn find(&self, wanted: impl Fn(&Incarnation, &PossibleCrash) -> bool) -> Vec<Incarnation> {
         let found = self.0.iter().filter(|(life, candidate)| wanted(life, candidate));
         found.map(|(life, _)| life.clone()).collect()
     }
@@ -94,7 +94,7 @@
     ) {
         let Some(worker) = self.workers.get(name) else { return };
         let sent: Vec<SentRun> = sent_runs(worker);
-        if worker.listed.leaving.is_some() || sent.is_empty() {
+        if worker.listed.leaves_in.is_some() || sent.is_empty() {
             return;
         }
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
@@ -124,7 +124,7 @@
     ) {
         let Some(worker) = self.workers.get(name).filter(|worker| !worker.heard) else { return };
         let Some(run) = sent_runs(worker).into_iter().find(|run| run.task == task) else { return };
-        if worker.listed.leaving.is_some() {
+        if worker.listed.leaves_in.is_some() {
             return;
         }
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
@@ -164,9 +164,9 @@
     }
 
     /// Another life is at the address of one that may have crashed: so it did.
-    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, life: &Life, addr: &Name) {
-        let is_before = |other: &Life, candidate: &PossibleCrash| {
-            candidate.addr == *addr && other.differs(life)
+    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, life: &Incarnation, addr: &Name) {
+        let is_before = |other: &Incarnation, candidate: &PossibleCrash| {
+            candidate.addr == *addr && other.differs_from(life)
         };
         for over in self.unconfirmed_crashes.find(is_before) {
             self.resolve_crash(&over, CrashResolution::Ended);
@@ -191,7 +191,7 @@
         let Some(worker) = self.workers.get(name) else { return };
         let (life, addr) = (worker.life(), worker.listed.addr.clone());
         // What was written of it before it told its start names the id alone.
-        for same in self.unconfirmed_crashes.find(|other, _| !other.differs(&life)) {
+        for same in self.unconfirmed_crashes.find(|other, _| !other.differs_from(&life)) {
             self.resolve_crash(&same, CrashResolution::Alive);
         }
         self.confirm_earlier_crashes(&life, &addr);
@@ -199,7 +199,7 @@
 
     /// It is settled whether a life ended. Where nothing was heard of it, it counts against
     /// tasks with two confirmed crashes.
-    pub(in crate::cell) fn resolve_crash(&mut self, life: &Life, found: CrashResolution) {
+    pub(in crate::cell) fn resolve_crash(&mut self, life: &Incarnation, found: CrashResolution) {
         let Some(PossibleCrash { tasks, .. }) = self.unconfirmed_crashes.0.remove(life) else {
             return;
         };
@@ -313,7 +313,7 @@
 }
 
 fn is_long_running(job: &Job, task: TaskKey) -> bool {
-    job.spec(task.step.step).is_some_and(|spec| spec.lasting)
+    job.spec(task.step.step).is_some_and(|spec| spec.long_running)
 }
 
 /// The first task of a job that has used up its crashes, and how many there were.
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -7,7 +7,7 @@
 };
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{JobKey, Queue, Step, StepKey, TaskKey, Work};
+use crate::workload::{JobDefinition, JobKey, Queue, Step, StepKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -150,7 +150,7 @@
     /// Its queue.
     pub queue: Arc<Queue>,
     /// What was asked for.
-    pub work: Arc<Work>,
+    pub work: Arc<JobDefinition>,
     /// The workspace of its caller; `None`: anybody's.
     pub workspace: Option<Name>,
     /// Its workspace sent more than its share when it came.
@@ -179,14 +179,14 @@
 
 impl Job {
     /// A job of which nothing has run.
-    pub fn new(queue: Arc<Queue>, work: Arc<Work>, now: Millis, batch: u64) -> Self {
+    pub fn new(queue: Arc<Queue>, work: Arc<JobDefinition>, now: Millis, batch: u64) -> Self {
         let fresh = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             unfinished: step.count,
             waiting: (0..step.count).collect(),
             ..StepState::default()
         };
-        let steps = (0..work.times).flat_map(|_| work.steps.iter().map(fresh)).collect();
+        let steps = (0..work.repetitions).flat_map(|_| work.steps.iter().map(fresh)).collect();
         Self {
             queue,
             work,
@@ -207,12 +207,12 @@
 
     /// A job that ended under an earlier owner: only its fate is known.
     pub fn ended(queue: Arc<Queue>, fate: JobOutcome, now: Millis) -> Self {
-        let work = Work {
-            spec: "".into(),
+        let work = JobDefinition {
+            payload: "".into(),
             steps: Vec::new(),
-            times: 0,
-            first: Millis(0),
-            every: Millis(0),
+            repetitions: 0,
+            first_due: Millis(0),
+            interval: Millis(0),
         };
         let job = Self::new(queue, Arc::new(work), now, 0);
         Self {
@@ -235,12 +235,12 @@
 
     /// The state of a step.
     pub fn step(&self, key: StepKey) -> Option<&StepState> {
-        self.steps.get(self.step_index(key.time, key.step))
+        self.steps.get(self.step_index(key.repetition, key.step))
     }
 
     /// The state of a step, to change it.
     pub fn step_mut(&mut self, key: StepKey) -> Option<&mut StepState> {
-        let at = self.step_index(key.time, key.step);
+        let at = self.step_index(key.repetition, key.step);
         self.steps.get_mut(at)
     }
 
@@ -263,9 +263,9 @@
     /// Whether all steps that a step depends on are done.
     pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(spec) = self.spec(key.step) else { return false };
-        spec.after.iter().all(|after| {
+        spec.dependencies.iter().all(|after| {
             self.steps
-                .get(self.step_index(key.time, *after))
+                .get(self.step_index(key.repetition, *after))
                 .is_some_and(|step| step.unfinished == 0)
         })
     }
@@ -273,14 +273,14 @@
     /// The steps of repetition `time` that depend on `step`.
     pub fn dependents(&self, key: StepKey) -> Vec<StepKey> {
         let steps = self.work.steps.iter().enumerate();
-        let follows = steps.filter(|(_, spec)| spec.after.contains(&key.step));
+        let follows = steps.filter(|(_, spec)| spec.dependencies.contains(&key.step));
         follows.map(|(no, _)| StepKey { step: no as u16, ..key }).collect()
     }
 
     /// Tasks that last and are bound to no worker may have waited for long under an earlier owner.
     pub fn mark_idle_at_takeover(&mut self) {
         let steps = self.steps.iter_mut().zip(self.work.steps.iter().cycle());
-        for (step, _) in steps.filter(|(_, spec)| spec.lasting) {
+        for (step, _) in steps.filter(|(_, spec)| spec.long_running) {
             step.mark_idle(Millis(0));
         }
     }
@@ -293,8 +293,10 @@
     /// Every step of every repetition.
     pub fn step_keys(&self, job: JobKey) -> Vec<StepKey> {
         let steps = self.work.steps.len() as u16;
-        let times = 0..self.work.times;
-        times.flat_map(|time| (0..steps).map(move |step| StepKey { job, time, step })).collect()
+        let times = 0..self.work.repetitions;
+        times
+            .flat_map(|repetition| (0..steps).map(move |step| StepKey { job, repetition, step }))
+            .collect()
     }
 
     /// The runs that its tasks were given to workers as.
@@ -410,11 +412,11 @@
                 TaskStatus::Waiting => None,
             };
             if bound.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
-                let (failed, saved) = (task.failed_runs.clone(), task.checkpoint.clone());
+                let (failed, checkpoint) = (task.failed_runs.clone(), task.checkpoint.clone());
                 note.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
-                    checkpoint: saved,
+                    checkpoint,
                     assignment: bound,
                 });
             }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -7,8 +7,8 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Listed;
-use crate::workload::{JobKey, Queue, Room, StepKey, TaskKey};
+use crate::order::WorkerInfo;
+use crate::workload::{JobKey, Queue, Resources, StepKey, TaskKey};
 use std::sync::Arc;
 
 /// How often time passes for a cell: stops that were not answered are sent again, leases run out.
@@ -53,8 +53,8 @@
                         job.restore_crashes(crashes);
                         self.recount_jobs.insert(key);
                         for note in crashes {
-                            let (time, step) = note.step_index;
-                            let step = StepKey { job: key, time, step };
+                            let (repetition, step) = note.step_index;
+                            let step = StepKey { job: key, repetition, step };
                             let task = TaskKey { step, index: note.index };
                             self.unconfirmed_crashes.add(now, task, &note.crashes);
                         }
@@ -82,7 +82,8 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
         for note in &progress.steps {
-            let step_key = StepKey { job: key, time: note.step_index.0, step: note.step_index.1 };
+            let step_key =
+                StepKey { job: key, repetition: note.step_index.0, step: note.step_index.1 };
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
             for task in &note.tasks {
@@ -94,7 +95,7 @@
                 step.place(task.index, name.clone(), *no);
                 // The first report has to name it, or it is over.
                 let mut run = Run::bound(*no, &spec, Phase::Running(Millis(0)));
-                run.held = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
+                run.held = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
                 // It may have been sent.
                 (run.is_sent, run.since) = (true, now);
                 worker.add(TaskKey { step: step_key, index: task.index }, run);
@@ -108,7 +109,7 @@
                 name: name.clone(),
                 service: "".into(),
                 priority: 0,
-                attempts: 1,
+                max_attempts: 1,
                 stretch: 1_000,
                 target: Millis(0),
                 advice: None,
@@ -120,11 +121,11 @@
     /// A job came: its first steps may find workers when they are due, and begin once it is in the store.
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
-        let scheduled = job.work.first.0 > 0;
+        let scheduled = job.work.first_due.0 > 0;
         let keys = job.step_keys(key);
         let free: Vec<StepKey> =
             keys.into_iter().filter(|step| job.dependencies_done(*step)).collect();
-        let due: Vec<Millis> = free.iter().map(|step| job.work.due(step.time)).collect();
+        let due: Vec<Millis> = free.iter().map(|step| job.work.due_at(step.repetition)).collect();
         for (step, due) in free.into_iter().zip(due) {
             match scheduled {
                 true => drop(self.start_timers.insert((due, step))),
@@ -167,7 +168,7 @@
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
-        let gang = job.spec(task.step.step).is_some_and(|spec| spec.gang);
+        let gang = job.spec(task.step.step).is_some_and(|spec| spec.is_gang);
         let Some(step) = job.step_mut(task.step) else { return };
         let new = match gang {
             true => (0..step.tasks.len() as u32).filter(|index| step.finish(*index)).count() > 0,
@@ -280,7 +281,7 @@
     pub(in crate::cell) fn stop_incomplete_gang(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
-        if !spec.gang || step.waiting.is_empty() || step.unfinished == 0 {
+        if !spec.is_gang || step.waiting.is_empty() || step.unfinished == 0 {
             return;
         }
         let placed: Vec<(Name, TaskKey, u64)> = step
@@ -386,15 +387,15 @@
     (job.priority(), job.known_since + job.queue.objective(&job.work))
 }
 
-fn placeholder_listing(member: WorkerRecord, born: Option<Millis>) -> Listed {
-    Listed {
+fn placeholder_listing(member: WorkerRecord, started_at: Option<Millis>) -> WorkerInfo {
+    WorkerInfo {
         id: member.id,
-        born,
+        started_at,
         service: member.service,
         addr: member.addr,
         domain: "".into(),
-        room: Room::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
-        leaving: None,
+        leaves_in: None,
     }
 }
--- a/src/cell/jobs/restart_policy.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -1,7 +1,7 @@
 //! What the crashes under a task mean for its next start.
 
 use crate::id::Name;
-use crate::order::Life;
+use crate::order::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// Crashes from which a task runs alone: with one it is mostly one of the six to fourteen that shared
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
     /// The life: each counts once, however often it is noticed.
-    pub worker: Life,
+    pub worker: Incarnation,
     /// Where it was called.
     pub addr: Name,
     /// What it tells of the task.
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -95,7 +95,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let queue = job.queue.name.clone();
-        let is_lasting = job.spec(key.step).is_some_and(|spec| spec.lasting);
+        let is_lasting = job.spec(key.step).is_some_and(|spec| spec.long_running);
         let Some(step) = job.step_mut(key) else { return };
         if is_lasting {
             step.mark_idle(now);
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed, Start};
-use crate::workload::{JobKey, Queue, StepKey, TaskKey, Work};
+use crate::order::{Incarnation, StartOrder, WorkerInfo};
+use crate::workload::{JobDefinition, JobKey, Queue, StepKey, TaskKey};
 use advising::advice::{AdviceRequest, Advisers};
 use jobs::job::Job;
 use jobs::wait::WaitLogTimer;
@@ -51,13 +51,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start a run, with a lease up to this time on the worker's clock.
-    Start { worker: Name, start: Start, until: u64 },
+    Start { worker: Name, start: StartOrder, until: u64 },
     /// Stop a run.
     Stop { worker: Name, task: TaskKey, run: u64 },
     /// Change the share at which a run works, in hundredths.
     Pace { worker: Name, task: TaskKey, run: u64, percent: u32 },
     /// Keep asking this worker for reports.
-    Watch(Listed),
+    Watch(WorkerInfo),
     /// Stop asking this worker.
     Unwatch(Name),
     /// A job, of a workspace or none, is not known any more; if it came from another cell, that one may forget it too.
@@ -120,7 +120,7 @@
     /// Lives of workers that may have ended.
     unconfirmed_crashes: jobs::crash::UnconfirmedCrashes,
     /// Lives of workers that are over and may be listed still, with when they were found to be.
-    ended_lives: BTreeMap<Life, Millis>,
+    ended_lives: BTreeMap<Incarnation, Millis>,
     /// Jobs with something new against their tasks.
     recount_jobs: BTreeSet<JobKey>,
     /// Crashes of workers and what became of them, since the takeover.
@@ -149,7 +149,7 @@
     /// until all their workers are known.
     unrecorded_starts: Option<WaitLogTimer>,
     /// Starts that wait for the batch with their binding, in order.
-    unsent_starts: VecDeque<(u64, Name, Start)>,
+    unsent_starts: VecDeque<(u64, Name, StartOrder)>,
     actions: Vec<Action>,
 }
 
@@ -213,13 +213,13 @@
     }
 
     /// The life of a worker that is known here.
-    pub fn worker_life(&self, worker: &Name) -> Option<Life> {
+    pub fn worker_life(&self, worker: &Name) -> Option<Incarnation> {
         self.workers.get(worker).map(Worker::life)
     }
 
     /// Whether a worker is known to be another life than `life` by now. One whose start was not known is not.
-    pub fn has_restarted(&self, life: &Life) -> bool {
-        self.worker_life(&life.id).is_some_and(|now| now.differs(life))
+    pub fn has_restarted(&self, life: &Incarnation) -> bool {
+        self.worker_life(&life.id).is_some_and(|now| now.differs_from(life))
     }
 
     /// Where a worker is called.
@@ -294,7 +294,7 @@
         now: Millis,
         key: JobKey,
         queue: &str,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
     ) -> Option<u64> {
         self.submit_for_workspace(now, key, queue, work, None)
     }
@@ -305,7 +305,7 @@
         now: Millis,
         key: JobKey,
         queue: &str,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
         workspace: Option<Name>,
     ) -> Option<u64> {
         if let Some(job) = self.jobs.get(&key) {
--- a/src/cell/owner/admission.rs
+++ b/src/cell/owner/admission.rs
@@ -5,7 +5,7 @@
 //! tries of those that came early are over before the outage is, also of jobs that had the time to
 //! wait; and all come at once when it ends.
 
-use crate::workload::{JobKey, Queue, Work};
+use crate::workload::{JobDefinition, JobKey, Queue};
 
 const SECOND: u64 = 1_000;
 /// Callers' tries spread over about this many times the first wait.
@@ -19,8 +19,8 @@
 /// After how many seconds the caller of a refused job should come back: its tries cover the time in
 /// which the job can still be on time. Jobs with time to spare are told one of two times, so that
 /// they do not come back together, nor before those without.
-pub fn retry_after(queue: &Queue, work: &Work, job: JobKey) -> u64 {
-    let chain = work.chain();
+pub fn retry_after(queue: &Queue, work: &JobDefinition, job: JobKey) -> u64 {
+    let chain = work.critical_path();
     let slack = queue.objective(work) - chain;
     let after = (slack.0 / SPAN / SECOND).clamp(LEAST, MOST);
     match after {
--- a/src/cell/owner/forward.rs
+++ b/src/cell/owner/forward.rs
@@ -37,7 +37,7 @@
     /// The processors of the workers of a service, in thousandths of one.
     pub fn processors(&self, service: &str) -> u64 {
         let of_service = self.workers.values().filter(|worker| *worker.listed.service == *service);
-        of_service.map(|worker| worker.listed.room.cpu).sum()
+        of_service.map(|worker| worker.listed.capacity.cpu).sum()
     }
 
     /// What the workers of each service have to do: processors that are taken, and those that tasks
@@ -46,14 +46,14 @@
         let mut services: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| worker.is_open(self.stored_batch)) {
             let (taken, all) = services.entry(&worker.listed.service).or_default();
-            *taken += worker.used.cpu.min(worker.listed.room.cpu);
-            *all += worker.listed.room.cpu;
+            *taken += worker.used.cpu.min(worker.listed.capacity.cpu);
+            *all += worker.listed.capacity.cpu;
         }
         for (_, _, key) in &self.ready_steps {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let (Some(spec), Some(step)) = (job.spec(key.step), job.step(*key)) else { continue };
             if let Some((taken, _)) = services.get_mut(&job.queue.service) {
-                *taken += spec.charge().cpu * step.waiting.len() as u64;
+                *taken += spec.charged_resources().cpu * step.waiting.len() as u64;
             }
         }
         let load = |(service, (taken, all)): (&Name, (u64, u64))| Load {
--- a/src/cell/owner/map.rs
+++ b/src/cell/owner/map.rs
@@ -8,7 +8,7 @@
 //! started by two owners.
 
 use crate::id::{Name, hash};
-use crate::order::Listed;
+use crate::order::WorkerInfo;
 use crate::workload::JobKey;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
     /// Deals these workers to cells of `size` workers or somewhat more: whole racks, each to the cell with the
     /// fewest processors of its service so far, so that a cell has its share of every large service and
     /// of every failure domain.
-    pub fn new(workers: &[Listed], size: NonZeroUsize) -> Self {
+    pub fn new(workers: &[WorkerInfo], size: NonZeroUsize) -> Self {
         let cells = (workers.len() / size).min(most_racks(workers)).max(1) as u32;
         if cells == 1 {
             return Self { cells, racks: BTreeMap::new() };
@@ -63,7 +63,7 @@
 
     /// The cell of a worker. Racks that came after the map was made are spread by their names, and
     /// workers without a rack by their own.
-    pub fn of_worker(&self, worker: &Listed) -> u32 {
+    pub fn of_worker(&self, worker: &WorkerInfo) -> u32 {
         let Some(rack) = worker.rack() else { return self.pick(worker.id.as_bytes()) };
         let known = self.racks.get(&(worker.domain.clone(), rack.clone()));
         known.copied().unwrap_or_else(|| self.pick(rack.as_bytes()))
@@ -99,7 +99,7 @@
 
 impl<'a> Dealer<'a> {
     /// A cell that gets workers of a service should get `least` of them.
-    fn new(workers: &'a [Listed], cells: u32, least: usize) -> Self {
+    fn new(workers: &'a [WorkerInfo], cells: u32, least: usize) -> Self {
         let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
         for worker in workers {
             *counts.entry(&worker.service).or_default() += 1;
@@ -108,12 +108,12 @@
         Self { cells, most: most.collect(), dealt: BTreeMap::new(), all: BTreeMap::new() }
     }
 
-    fn deal(mut self, workers: &'a [Listed]) -> BTreeMap<(Name, Name), u32> {
+    fn deal(mut self, workers: &'a [WorkerInfo]) -> BTreeMap<(Name, Name), u32> {
         let mut sizes: BTreeMap<(&Name, &Name, &Name), u64> = BTreeMap::new();
         for worker in workers {
             if let Some(rack) = worker.rack() {
                 let rack = (&worker.service, &worker.domain, rack);
-                *sizes.entry(rack).or_default() += worker.room.cpu;
+                *sizes.entry(rack).or_default() += worker.capacity.cpu;
             }
         }
         let mut racks = BTreeMap::new();
@@ -144,7 +144,7 @@
 /// The racks of the service that has the most: with more cells than that, one would have no worker at all.
 /// A worker without a rack counts as one. Jobs of a service that has fewer racks than there are cells run in
 /// the cells that have some.
-fn most_racks(workers: &[Listed]) -> usize {
+fn most_racks(workers: &[WorkerInfo]) -> usize {
     let mut racks: BTreeMap<&Name, BTreeSet<(&Name, &Name)>> = BTreeMap::new();
     for worker in workers {
         let rack = (&worker.domain, worker.rack().unwrap_or(&worker.id));
--- a/src/cell/placing/candidate.rs
+++ b/src/cell/placing/candidate.rs
@@ -5,14 +5,14 @@
 use crate::cell::workers::worker::Worker;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, Step, StepKey, TaskKey};
+use crate::workload::{Resources, Step, StepKey, TaskKey};
 use std::collections::BTreeSet;
 
 /// Whether a worker may run a step's tasks at all.
 pub(in crate::cell) fn is_suitable(worker: &Worker, service: &str, spec: &Step) -> bool {
     let listed = &worker.listed;
-    let label = spec.label.is_empty() || listed.labels.contains(&spec.label);
-    label && *listed.service == *service && listed.room.holds(&spec.charge())
+    let label = spec.required_label.is_empty() || listed.labels.contains(&spec.required_label);
+    label && *listed.service == *service && listed.capacity.can_fit(&spec.charged_resources())
 }
 
 /// How many runs of a step a worker has.
@@ -37,9 +37,9 @@
     pub name: Name,
     pub domain: Name,
     pub rack: Option<Name>,
-    pub free: Room,
+    pub free: Resources,
     /// What is taken beyond the room, since that shrank.
-    pub overcommitted: Room,
+    pub overcommitted: Resources,
     /// Runs of the step there, if that matters.
     pub step_runs: u32,
     /// All runs there.
@@ -60,7 +60,7 @@
             domain: worker.listed.domain.clone(),
             rack: worker.rack().cloned(),
             free: worker.free(),
-            overcommitted: worker.used.less(&worker.listed.room),
+            overcommitted: worker.used.saturating_sub(&worker.listed.capacity),
             step_runs: 0,
             total_runs: worker.runs.len(),
             is_healthy: worker.is_sound(),
@@ -71,22 +71,22 @@
     }
 
     /// What a run took is free again, unless the worker has too much taken.
-    pub fn release(&mut self, charge: &Room) {
-        self.free = self.free.plus(&charge.less(&self.overcommitted));
-        self.overcommitted = self.overcommitted.less(charge);
+    pub fn release(&mut self, charge: &Resources) {
+        self.free = self.free.plus(&charge.saturating_sub(&self.overcommitted));
+        self.overcommitted = self.overcommitted.saturating_sub(charge);
     }
 
     /// Whether one more task of a step may go there at all.
     pub fn is_below_limit(&self, spec: &Step) -> bool {
-        spec.apart == 0 || self.step_runs < spec.apart
+        spec.worker_limit == 0 || self.step_runs < spec.worker_limit
     }
 
     /// How many tasks of a step have room.
-    pub fn count_fitting(&self, spec: &Step, charge: &Room) -> usize {
+    pub fn count_fitting(&self, spec: &Step, charge: &Resources) -> usize {
         let mut candidate = self.clone();
         let mut count = 0;
         while count < spec.count as usize && candidate.has_room(spec, charge) {
-            candidate.free = candidate.free.less(charge);
+            candidate.free = candidate.free.saturating_sub(charge);
             candidate.step_runs += 1;
             count += 1;
         }
@@ -94,8 +94,8 @@
     }
 
     /// Whether one more task of a step has room.
-    pub fn has_room(&self, spec: &Step, charge: &Room) -> bool {
-        self.is_below_limit(spec) && self.free.holds(charge)
+    pub fn has_room(&self, spec: &Step, charge: &Resources) -> bool {
+        self.is_below_limit(spec) && self.free.can_fit(charge)
     }
 }
 
@@ -109,13 +109,13 @@
     home: Option<&Name>,
     task: &Task,
 ) -> Option<&'a mut Candidate> {
-    let charge = spec.charge();
+    let charge = spec.charged_resources();
     let score = |candidate: &Candidate| {
-        let far = !spec.near.is_empty() && candidate.rack.as_ref() != Some(&spec.near);
+        let far = !spec.data_rack.is_empty() && candidate.rack.as_ref() != Some(&spec.data_rack);
         let away = home.is_some_and(|home| candidate.domain != *home);
-        let free = candidate.free.less(&charge).cpu;
-        let cpu_score = if spec.filler { u64::MAX - free } else { free };
-        let beside_serving = spec.filler && candidate.serves_users;
+        let free = candidate.free.saturating_sub(&charge).cpu;
+        let cpu_score = if spec.best_effort { u64::MAX - free } else { free };
+        let beside_serving = spec.best_effort && candidate.serves_users;
         let penalties = (beside_serving, candidate.is_reserved, away, !candidate.is_healthy);
         let neighbors = if task.crashes.is_empty() { 0 } else { candidate.total_runs };
         (task.failed_workers.contains(&candidate.name), neighbors, far, penalties, cpu_score)
@@ -140,7 +140,7 @@
     {
         return Some(chosen);
     }
-    if spec.rack {
+    if spec.same_rack {
         let racks: BTreeSet<&Name> =
             candidates.iter().filter_map(|candidate| candidate.rack.as_ref()).collect();
         for rack in racks {
@@ -161,14 +161,14 @@
     spec: &Step,
     is_eligible: impl Fn(&Candidate) -> bool,
 ) -> Option<Vec<Name>> {
-    let charge = spec.charge();
+    let charge = spec.charged_resources();
     let mut candidates: Vec<Candidate> =
         candidates.iter().filter(|candidate| is_eligible(candidate)).cloned().collect();
     candidates.sort_by_key(|candidate| candidate.free.cpu);
     let mut chosen = Vec::with_capacity(spec.count as usize);
     for mut candidate in candidates {
         while chosen.len() < spec.count as usize && candidate.has_room(spec, &charge) {
-            candidate.free = candidate.free.less(&charge);
+            candidate.free = candidate.free.saturating_sub(&charge);
             candidate.step_runs += 1;
             chosen.push(candidate.name.clone());
         }
--- a/src/cell/placing/gang.rs
+++ b/src/cell/placing/gang.rs
@@ -10,7 +10,7 @@
 use crate::cell::placing::candidate::{Candidate, UnplacedTasks};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, Step, StepKey};
+use crate::workload::{Resources, Step, StepKey};
 
 /// No room is gathered before a gang's turn came so long ago: most find room by themselves before, and
 /// gathered room stands idle.
@@ -36,10 +36,10 @@
         let mine = queue_rank(job);
         let is_early = !job.has_waited(now, key, MIN_GANG_WAIT);
         let is_off = self.config.disabled.contains(Mechanism::GatherForGangs);
-        if !spec.gang || is_off || is_early || self.reservations.has_gang() {
+        if !spec.is_gang || is_off || is_early || self.reservations.has_gang() {
             return;
         }
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let candidates = self.cleared_candidates(now, key, spec);
         let mut capacities: Vec<GangCapacity> = candidates
             .iter()
@@ -61,7 +61,7 @@
         }
         log::info!("event=room-gathered step={key} tasks={unplaced} workers={}", chosen.len());
         for (worker, count) in chosen {
-            let room = (0..count).fold(Room::default(), |sum, _| sum.plus(&charge));
+            let room = (0..count).fold(Resources::default(), |sum, _| sum.plus(&charge));
             self.reservations.reserve_for_gang(&worker, key, mine, room, now + RESERVATION_TIME);
         }
     }
@@ -70,12 +70,12 @@
         &self,
         candidate: &Candidate,
         spec: &Step,
-        charge: &Room,
+        charge: &Resources,
     ) -> Option<GangCapacity> {
         let worker = self.workers.get(&candidate.name)?;
         let is_lasting = |task: &StepKey| {
             let job = self.jobs.get(&task.job);
-            job.and_then(|job| job.spec(task.step)).is_none_or(|spec| spec.lasting)
+            job.and_then(|job| job.spec(task.step)).is_none_or(|spec| spec.long_running)
         };
         let ending = worker.runs.iter().filter(|((task, _), _)| !is_lasting(&task.step));
         let mut after_ends = candidate.clone();
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -11,7 +11,7 @@
 use crate::cell::workers::worker::Phase;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, Step, TaskKey};
+use crate::workload::{Resources, Step, TaskKey};
 
 /// Nothing is stopped for a step before its turn came so long ago: a stop takes up to 900 ms, and room
 /// that small tasks leave by themselves is mostly there before.
@@ -25,7 +25,7 @@
 struct Victim {
     task: TaskKey,
     run: u64,
-    charge: Room,
+    charge: Resources,
 }
 
 /// What has to be stopped at one worker to start so many tasks there.
@@ -80,11 +80,12 @@
             left -= part.tasks;
             chosen.push(part);
         }
-        if spec.gang && left > 0 {
+        if spec.is_gang && left > 0 {
             return;
         }
         for PreemptionPlan { worker, tasks, victims } in chosen {
-            let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&spec.charge()));
+            let room =
+                (0..tasks).fold(Resources::default(), |sum, _| sum.plus(&spec.charged_resources()));
             self.reservations.reserve(&worker, key, mine, room, now + RESERVATION_TIME);
             for Victim { task, run, .. } in victims {
                 log::info!(
@@ -105,10 +106,10 @@
         if is_off || self.reservations.has_exclusive(key) || self.reservations.has_shared(key) {
             return;
         }
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let mut candidates = self.cleared_candidates(now, key, spec);
         candidates
-            .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.holds(&charge));
+            .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.can_fit(&charge));
         candidates
             .sort_by_key(|candidate| std::cmp::Reverse((candidate.free.gpu, candidate.free.cpu)));
         for candidate in candidates.into_iter().take(unplaced as usize) {
@@ -133,7 +134,7 @@
         let victims = self.victims(&candidate.name, priority);
         let mut after_stops = candidate.clone();
         victims.iter().for_each(|victim| after_stops.release(&victim.charge));
-        after_stops.has_room(spec, &spec.charge())
+        after_stops.has_room(spec, &spec.charged_resources())
     }
 
     /// Runs at a worker that may be stopped for a job of this priority, the least urgent first.
@@ -149,7 +150,7 @@
             .filter_map(|((task, no), run)| {
                 let job = self.jobs.get(&task.step.job)?;
                 let spec = job.spec(task.step.step)?;
-                let may_stop = job.priority() > priority && spec.can_stop();
+                let may_stop = job.priority() > priority && spec.is_preemptible();
                 let victim = Victim { task: *task, run: *no, charge: run.charge };
                 may_stop.then_some((queue_rank(job), victim))
             })
@@ -166,13 +167,13 @@
     most: u32,
     victims: Vec<Victim>,
 ) -> PreemptionPlan {
-    let charge = spec.charge();
+    let charge = spec.charged_resources();
     let mut candidate = candidate.clone();
     let (mut tasks, mut stopped, mut needed) = (0, 0, 0);
     while tasks < most {
         match victims.get(stopped) {
             _ if candidate.has_room(spec, &charge) => {
-                candidate.free = candidate.free.less(&charge);
+                candidate.free = candidate.free.saturating_sub(&charge);
                 candidate.step_runs += 1;
                 tasks += 1;
                 needed = stopped;
--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -8,7 +8,7 @@
 use crate::cell::jobs::job::Job;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, StepKey};
+use crate::workload::{Resources, StepKey};
 
 /// After so long without a worker, though half of the room is free, a step goes where it would not go otherwise. By the
 /// platform's contract a task with room for it waits for 3 s at the most.
@@ -47,18 +47,18 @@
         let (used, all) = self.service_usage(&job.queue.service);
         match used.plus(&used) {
             twice if twice.cpu >= all.cpu => Relaxation::None,
-            twice if all.holds(&twice) => Relaxation::Full,
+            twice if all.can_fit(&twice) => Relaxation::Full,
             _ => Relaxation::Partial,
         }
     }
 
     /// What of a service's room is in use, and all of it.
-    fn service_usage(&self, service: &Name) -> (Room, Room) {
+    fn service_usage(&self, service: &Name) -> (Resources, Resources) {
         let heard = self.workers.values().filter(|worker| worker.heard);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
-        let none = (Room::default(), Room::default());
+        let none = (Resources::default(), Resources::default());
         of_service.fold(none, |(used, all), worker| {
-            (used.plus(&worker.used), all.plus(&worker.listed.room))
+            (used.plus(&worker.used), all.plus(&worker.listed.capacity))
         })
     }
 }
--- a/src/cell/placing/reservation.rs
+++ b/src/cell/placing/reservation.rs
@@ -6,7 +6,7 @@
 use crate::cell::placing::relaxation::Relaxation;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, StepKey};
+use crate::workload::{Resources, StepKey};
 use std::collections::HashMap;
 
 /// The place of a job among those that wait: lower ones first.
@@ -17,7 +17,7 @@
 struct Reservation {
     step: StepKey,
     rank: Rank,
-    room: Room,
+    room: Resources,
     until: Millis,
     /// Tasks that can be stopped for the step may use the room meanwhile.
     is_shared: bool,
@@ -35,7 +35,14 @@
 
 impl Reservations {
     /// Keeps room at a worker for a step until a time, from all that are less urgent.
-    pub fn reserve(&mut self, worker: &Name, step: StepKey, rank: Rank, room: Room, until: Millis) {
+    pub fn reserve(
+        &mut self,
+        worker: &Name,
+        step: StepKey,
+        rank: Rank,
+        room: Resources,
+        until: Millis,
+    ) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: false });
         self.exclusive.insert(step, until);
     }
@@ -46,7 +53,7 @@
         worker: &Name,
         step: StepKey,
         rank: Rank,
-        room: Room,
+        room: Resources,
         until: Millis,
     ) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: true });
@@ -59,7 +66,7 @@
         worker: &Name,
         step: StepKey,
         rank: Rank,
-        room: Room,
+        room: Resources,
         until: Millis,
     ) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: false });
@@ -102,7 +109,7 @@
         rank: Rank,
         can_stop: bool,
         relaxation: Relaxation,
-    ) -> Room {
+    ) -> Resources {
         let reservations = self.by_worker.get(worker).map(Vec::as_slice).unwrap_or_default();
         let is_usable = |reservation: &&Reservation| {
             reservation.is_shared && can_stop && reservation.rank.0 < rank.0
@@ -118,7 +125,7 @@
             Relaxation::Full => false,
         };
         let others = others.filter(|reservation| !is_usable(reservation)).filter(is_blocked);
-        others.fold(Room::default(), |sum, reservation| sum.plus(&reservation.room))
+        others.fold(Resources::default(), |sum, reservation| sum.plus(&reservation.room))
     }
 
     /// A step needs no room any more.
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -14,7 +14,7 @@
 use crate::cell::{Action, Cell, RUN_BITS};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Start;
+use crate::order::StartOrder;
 use crate::workload::{JobKey, Step, StepKey, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -65,7 +65,7 @@
         };
         let waits_for_settled = self.retain_stable(key, &spec, &mut candidates);
         self.choose_home_domain(key, &candidates);
-        match spec.gang {
+        match spec.is_gang {
             true => self.place_gang(now, key, &spec, &candidates, waiting.len()),
             false => self.place_tasks(now, key, &spec, &mut candidates, &waiting),
         }
@@ -165,11 +165,11 @@
         let candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
             let unavailable =
-                self.reservations.unavailable(name, key, rank, spec.can_stop(), relaxation);
-            let step_runs = if spec.apart == 0 { 0 } else { count_step_runs(worker, key) };
+                self.reservations.unavailable(name, key, rank, spec.is_preemptible(), relaxation);
+            let step_runs = if spec.worker_limit == 0 { 0 } else { count_step_runs(worker, key) };
             let is_reserved = self.reservations.has_gang_at(name, key);
             Candidate {
-                free: candidate.free.less(&unavailable),
+                free: candidate.free.saturating_sub(&unavailable),
                 step_runs,
                 is_reserved,
                 ..candidate
@@ -203,7 +203,7 @@
         candidates: &mut [Candidate],
         waiting: &[u32],
     ) {
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         for index in waiting {
             let task = TaskKey { step: key, index: *index };
             let Some(job) = self.jobs.get(&key.job) else { return };
@@ -212,7 +212,7 @@
             if is_paused(&state.crashes) {
                 continue;
             }
-            let home = job.home_domain.as_ref().filter(|_| !spec.lasting);
+            let home = job.home_domain.as_ref().filter(|_| !spec.long_running);
             let needs_settled = needs_stable_worker(&state.crashes);
             let candidate = match pick_worker(candidates, spec, home, state) {
                 Some(candidate) => candidate,
@@ -220,7 +220,7 @@
                 None if needs_settled => continue,
                 None => return,
             };
-            candidate.free = candidate.free.less(&charge);
+            candidate.free = candidate.free.saturating_sub(&charge);
             candidate.step_runs += 1;
             candidate.total_runs += 1;
             let name = candidate.name.clone();
@@ -278,31 +278,39 @@
     }
 
     /// Takes the room for a run and has it started as soon as the store knows of it.
-    fn bind(&mut self, now: Millis, task: TaskKey, name: &Name, no: u64, spec: &Step, saved: &str) {
+    fn bind(
+        &mut self,
+        now: Millis,
+        task: TaskKey,
+        name: &Name,
+        no: u64,
+        spec: &Step,
+        checkpoint: &str,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut run = Run::bound(no, spec, Phase::Starting);
         run.since = now;
-        run.held = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
-        let times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
+        run.held = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
+        let times = self.run_times.get(&job.queue.name).filter(|_| !spec.long_running);
         run.limit = times.and_then(|times| times.limit(spec.estimate));
         worker.add(task, run);
         let age = now.since(job.known_since);
         job.was_placed = true;
-        let text = job.work.spec.clone();
+        let text = job.work.payload.clone();
         let Some(step) = job.step_mut(task.step) else { return };
         step.place(task.index, name.clone(), no);
         step.idle_since = None;
         let ticket = step.clearances.cleared.get(name).map(|ticket| ticket.text.clone());
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
         state.last_run = no;
-        let saved = match saved {
-            "" if !spec.gang => state.checkpoint.clone(),
-            saved => saved.into(),
+        let checkpoint = match checkpoint {
+            "" if !spec.is_gang => state.checkpoint.clone(),
+            checkpoint => checkpoint.into(),
         };
         log::info!("event=start task={task} run={no} worker={name} age_ms={age}");
         let ticket = ticket.unwrap_or_else(|| "".into());
-        let start = Start { task, run: no, spec: text, saved, ticket };
+        let start = StartOrder { task, run: no, payload: text, checkpoint, ticket };
         self.dirty_jobs.insert(task.step.job);
         if self.is_quarantined(task) {
             self.quarantine_worker(name, task);
@@ -319,7 +327,7 @@
     fn send_starts_if(&mut self, now: Millis, may_go: impl Fn(&Self, u64, TaskKey) -> bool) {
         let lease = self.config.lease;
         let unsent = std::mem::take(&mut self.unsent_starts);
-        let goes = |(batch, _, start): &(u64, Name, Start)| {
+        let goes = |(batch, _, start): &(u64, Name, StartOrder)| {
             self.is_accepted(start.task.step.job) && may_go(self, *batch, start.task)
         };
         let (ready, rest): (VecDeque<_>, VecDeque<_>) = unsent.into_iter().partition(goes);
@@ -330,7 +338,7 @@
             if run.is_none_or(|run| run.phase != Phase::Starting) {
                 continue;
             }
-            if worker.is_other(worker.listed.born) {
+            if worker.is_other(worker.listed.started_at) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -25,7 +25,7 @@
         let times = new.filter_map(|candidate| self.workers.get(&candidate.name)?.settles_at());
         self.next_settled = times.chain(self.next_settled).min();
         // A gang starts whole.
-        if all || (any && spec.gang) {
+        if all || (any && spec.is_gang) {
             let before = candidates.len();
             candidates.retain(|candidate| candidate.is_stable);
             return candidates.is_empty() && before > 0;
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -9,17 +9,17 @@
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
 use crate::id::Name;
-use crate::workload::{Room, Step};
+use crate::workload::{Resources, Step};
 use crate::workspace::{Workspace, Workspaces};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What one workspace has running. Clones are the same count.
 #[derive(Debug, Clone, Default)]
-struct Usage(Arc<Mutex<Room>>);
+struct Usage(Arc<Mutex<Resources>>);
 
 impl Usage {
-    fn room(&self) -> MutexGuard<'_, Room> {
+    fn room(&self) -> MutexGuard<'_, Resources> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -28,13 +28,13 @@
 #[derive(Debug)]
 pub struct UsageGuard {
     usage: Usage,
-    room: Room,
+    room: Resources,
 }
 
 impl Drop for UsageGuard {
     fn drop(&mut self) {
         let mut used = self.usage.room();
-        *used = used.less(&self.room);
+        *used = used.saturating_sub(&self.room);
     }
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Counts a run for its workspace.
-    pub fn acquire(&mut self, workspace: &Name, room: Room) -> UsageGuard {
+    pub fn acquire(&mut self, workspace: &Name, room: Resources) -> UsageGuard {
         let usage = self.by_workspace.entry(workspace.clone()).or_default().clone();
         let now = usage.room().plus(&room);
         *usage.room() = now;
@@ -60,19 +60,19 @@
     }
 
     /// What a workspace has running here.
-    pub fn used(&self, workspace: &Name) -> Room {
+    pub fn used(&self, workspace: &Name) -> Resources {
         match self.by_workspace.get(workspace) {
             Some(usage) => *usage.room(),
             // No run of it was counted here yet.
-            None => Room::default(),
+            None => Resources::default(),
         }
     }
 
     /// How many tasks of a size a workspace may start here, at most `most`. One task runs alone though it is larger
     /// than the bound: it would never run otherwise.
-    pub fn allowed_tasks(&self, workspace: &Workspace, room: &Room, max: usize) -> usize {
+    pub fn allowed_tasks(&self, workspace: &Workspace, room: &Resources, max: usize) -> usize {
         let used = self.used(&workspace.name);
-        let left = workspace.limit.less(&used);
+        let left = workspace.limit.saturating_sub(&used);
         let quotient = |left: u64, each: u64| match each {
             // A task that takes none of it fits any number of times.
             0 => u64::MAX,
@@ -81,7 +81,7 @@
         let count = quotient(left.cpu, room.cpu).min(quotient(left.mem, room.mem));
         let count = count.min(quotient(left.gpu, room.gpu)).min(max as u64) as usize;
         match count {
-            0 if used == Room::default() => max.min(1),
+            0 if used == Resources::default() => max.min(1),
             count => count,
         }
     }
@@ -98,8 +98,8 @@
     pub(in crate::cell) fn allowed_starts(&self, job: &Job, spec: &Step, max: usize) -> usize {
         let workspace = job.workspace.as_ref().and_then(|name| self.usages.workspace(name));
         let Some(workspace) = workspace else { return max };
-        match self.usages.allowed_tasks(workspace, &spec.room, max) {
-            count if spec.gang && count < spec.count as usize => 0,
+        match self.usages.allowed_tasks(workspace, &spec.resources, max) {
+            count if spec.is_gang && count < spec.count as usize => 0,
             count => count,
         }
     }
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -161,7 +161,7 @@
 
     fn worker_starts(&self) -> BTreeMap<Name, Millis> {
         let lives = self.workers.values().map(Worker::life);
-        lives.filter_map(|life| Some((life.id, life.born?))).collect()
+        lives.filter_map(|life| Some((life.id, life.started_at?))).collect()
     }
 
     fn worker_records(&self) -> Vec<WorkerRecord> {
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -3,7 +3,7 @@
 use crate::cell::jobs::restart_policy::Crash;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{JobKey, Queue, Work};
+use crate::workload::{JobDefinition, JobKey, Queue};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
         /// Its queue as it was then; a queue may be removed while its jobs are open.
         queue: Queue,
         /// What was asked for.
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
     },
     /// It ended.
     Closed {
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -5,44 +5,51 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Outcome, Refusal};
+use crate::order::{OrderOutcome, Refusal};
 use crate::workload::{JobKey, TaskKey};
 
 impl Cell {
     /// What became of an order to start a run.
-    pub fn started(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64, outcome: Outcome) {
-        if !matches!(outcome, Outcome::Done(_)) {
+    pub fn started(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        task: TaskKey,
+        run: u64,
+        outcome: OrderOutcome,
+    ) {
+        if !matches!(outcome, OrderOutcome::Done(_)) {
             log::info!(
                 "event=start-failed task={task} run={run} worker={name} outcome={outcome:?}"
             );
         }
         match outcome {
-            Outcome::Done(_) => self.confirm_start(now, name, task, run),
-            Outcome::Unknown => {
+            OrderOutcome::Done(_) => self.confirm_start(now, name, task, run),
+            OrderOutcome::Unknown => {
                 self.stop_run(name, task, run);
                 self.doubt(now, name);
             }
-            Outcome::Withheld => self.abandon_run(name, task, run),
-            Outcome::Unsent => {
+            OrderOutcome::Withheld => self.abandon_run(name, task, run),
+            OrderOutcome::Unsent => {
                 self.abandon_run(name, task, run);
                 self.mark_silent(now, name);
             }
-            Outcome::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
-            Outcome::Refused(Refusal::OtherLife) => {
+            OrderOutcome::Refused(Refusal::StaleFence) => self.actions.push(Action::Deposed),
+            OrderOutcome::Refused(Refusal::OtherIncarnation) => {
                 // This run surely never was at the life that is over.
                 self.abandon_run(name, task, run);
                 self.remove_worker(now, name, Over::Replaced);
             }
-            Outcome::Refused(Refusal::Late) => {
+            OrderOutcome::Refused(Refusal::LeaseExpired) => {
                 self.abandon_run(name, task, run);
                 self.mark_silent(now, name);
             }
-            Outcome::Refused(Refusal::Ticket) => {
+            OrderOutcome::Refused(Refusal::InvalidTicket) => {
                 self.drop_ticket(task.step, name);
                 self.abandon_run(name, task, run);
             }
-            Outcome::Refused(
-                Refusal::Unwell | Refusal::Room | Refusal::Malformed | Refusal::Old,
+            OrderOutcome::Refused(
+                Refusal::Unhealthy | Refusal::NoCapacity | Refusal::Malformed | Refusal::StaleRun,
             ) => {
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.set_aside(now);
@@ -70,10 +77,19 @@
     }
 
     /// What became of an order to stop a run.
-    pub fn stopped(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64, outcome: Outcome) {
+    pub fn stopped(
+        &mut self,
+        now: Millis,
+        name: &Name,
+        task: TaskKey,
+        run: u64,
+        outcome: OrderOutcome,
+    ) {
         match outcome {
-            Outcome::Refused(Refusal::Fence) => return self.actions.push(Action::Deposed),
-            Outcome::Refused(Refusal::OtherLife) => {
+            OrderOutcome::Refused(Refusal::StaleFence) => {
+                return self.actions.push(Action::Deposed);
+            }
+            OrderOutcome::Refused(Refusal::OtherIncarnation) => {
                 return self.remove_worker(now, name, Over::Replaced);
             }
             _ => {}
@@ -82,7 +98,7 @@
         let Some(known) = worker.runs.get_mut(&(task, run)) else { return };
         known.told = false;
         match outcome {
-            Outcome::Done(_) | Outcome::Refused(Refusal::Old) => {
+            OrderOutcome::Done(_) | OrderOutcome::Refused(Refusal::StaleRun) => {
                 known.phase = Phase::Stopping(Some(now));
                 if !known.seen {
                     // It may never have begun: then no end will be listed, and only the next
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -7,8 +7,8 @@
 use crate::cell::{Action, Cell, ReportCall};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{End, EndedRow, HoldError, Refusal, Report, RunningRow};
-use crate::workload::{Room, Step, TaskKey};
+use crate::order::{EndReason, EndedTask, Refusal, ReportError, RunningTask, WorkerReport};
+use crate::workload::{Resources, Step, TaskKey};
 use std::collections::BTreeSet;
 
 /// Fillers are slowed when a tail comes this close to its bound, in hundredths of it.
@@ -43,12 +43,14 @@
 
     /// A worker did not report; whether to pause before it is asked again. One report may be lost
     /// on the way: the worker is taken for silent when the next one is missing too.
-    pub fn unheld(&mut self, now: Millis, name: &Name, why: &HoldError) -> bool {
+    pub fn unheld(&mut self, now: Millis, name: &Name, why: &ReportError) -> bool {
         match why {
-            HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
-            HoldError::Refused(Refusal::OtherLife) => self.remove_worker(now, name, Over::Replaced),
-            HoldError::Refused(_) => self.mark_silent(now, name),
-            HoldError::Silent(err) => {
+            ReportError::Refused(Refusal::StaleFence) => self.actions.push(Action::Deposed),
+            ReportError::Refused(Refusal::OtherIncarnation) => {
+                self.remove_worker(now, name, Over::Replaced)
+            }
+            ReportError::Refused(_) => self.mark_silent(now, name),
+            ReportError::NoReply(err) => {
                 log::debug!("event=hold-failed worker={name} error={err:?}");
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.suspect();
@@ -68,8 +70,8 @@
     }
 
     /// A worker reported, when asked at `sent`.
-    pub fn held(&mut self, now: Millis, sent: Millis, name: &Name, report: &Report) {
-        if self.workers.get(name).is_some_and(|worker| worker.is_other(report.born)) {
+    pub fn held(&mut self, now: Millis, sent: Millis, name: &Name, report: &WorkerReport) {
+        if self.workers.get(name).is_some_and(|worker| worker.is_other(report.started_at)) {
             self.restart(now, sent, name, report);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -78,8 +80,8 @@
             log::info!(
                 "event=worker-heard worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
                  running={running} ended={ended}",
-                report.born,
-                worker.listed.born,
+                report.started_at,
+                worker.listed.started_at,
                 report.clock,
                 worker.confirmed()
             );
@@ -93,12 +95,12 @@
         worker.known = true;
         for row in &report.ended {
             let Some(worker) = self.workers.get_mut(name) else { return };
-            if worker.has_seen(row.no) {
+            if worker.has_seen(row.seq) {
                 continue;
             }
             let run = worker.remove(row.task, row.run);
             self.needs_placement = true;
-            if let Some(run) = run.filter(|run| row.end == End::Done && run.began.0 > 0) {
+            if let Some(run) = run.filter(|run| row.reason == EndReason::Done && run.began.0 > 0) {
                 self.learn(row.task, now.since(run.began));
             }
             self.end(now, name, row);
@@ -107,7 +109,7 @@
                 if self.dirty_jobs.is_empty() { self.open_batch - 1 } else { self.open_batch };
             let kept = self.stored_batch;
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.see(row.no, batch);
+                worker.see(row.seq, batch);
                 worker.keep(kept);
             }
         }
@@ -131,31 +133,31 @@
     /// A run that began here is done: how long it took against its estimate.
     fn learn(&mut self, task: TaskKey, took: Millis) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
-        let Some(spec) = job.spec(task.step.step).filter(|spec| !spec.lasting) else { return };
+        let Some(spec) = job.spec(task.step.step).filter(|spec| !spec.long_running) else { return };
         self.run_times.entry(job.queue.name.clone()).or_default().add(spec.estimate, took);
     }
 
-    fn end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
+    fn end(&mut self, now: Millis, name: &Name, row: &EndedTask) {
         let task = row.task;
-        log::info!("event=ended task={task} run={} worker={name} end={:?}", row.run, row.end);
+        log::info!("event=ended task={task} run={} worker={name} end={:?}", row.run, row.reason);
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
         let Some(spec) = job.spec(task.step.step) else { return };
-        let (lasting, gang, copies) = (spec.lasting, spec.gang, spec.copies);
+        let (lasting, gang, copies) = (spec.long_running, spec.is_gang, spec.allow_copies);
         (job.was_placed, job.has_run) = (true, true);
-        let attempts = job.queue.attempts;
+        let attempts = job.queue.max_attempts;
         let Some(step) = job.step_mut(task.step) else { return };
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
         if state.status == TaskStatus::Done || state.failed_runs.contains(&row.run) {
             return;
         }
-        if !row.saved.is_empty() {
-            state.checkpoint = row.saved.clone();
+        if !row.checkpoint.is_empty() {
+            state.checkpoint = row.checkpoint.clone();
         }
         self.dirty_jobs.insert(task.step.job);
-        match row.end {
-            End::Done if !lasting => {
+        match row.reason {
+            EndReason::Done if !lasting => {
                 let other = placed(&state.status, row.run);
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.succeed();
@@ -167,7 +169,7 @@
                 }
                 self.finish_task(now, task);
             }
-            End::Failed => {
+            EndReason::Failed => {
                 state.failed_workers.push(name.clone());
                 if !lasting {
                     state.failed_runs.push(row.run);
@@ -186,11 +188,15 @@
                     false => self.requeue_task(task, row.run),
                 }
             }
-            End::Done | End::Stopped | End::Lapsed | End::Broken | End::Alone => {
+            EndReason::Done
+            | EndReason::Stopped
+            | EndReason::LeaseExpired
+            | EndReason::GangBroken
+            | EndReason::GangIncomplete => {
                 log::info!(
                     "event=cut-short task={task} run={} worker={name} end={:?}",
                     row.run,
-                    row.end
+                    row.reason
                 );
                 self.requeue_task(task, row.run);
             }
@@ -205,14 +211,14 @@
     }
 
     /// A run goes on at a worker.
-    fn running(&mut self, now: Millis, name: &Name, row: &RunningRow) {
+    fn running(&mut self, now: Millis, name: &Name, row: &RunningTask) {
         let task = row.task;
-        let moved = !row.saved.is_empty() && self.save(task, row);
+        let moved = !row.checkpoint.is_empty() && self.save(task, row);
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(run) = worker.runs.get_mut(&(task, row.run)) else {
             return self.adopt(now, name, row);
         };
-        run.percent = row.percent;
+        run.percent = row.pace_percent;
         let is_new = !std::mem::replace(&mut run.seen, true);
         if run.phase == Phase::Starting {
             run.begin(now);
@@ -226,28 +232,30 @@
     }
 
     /// Takes in a run's saved progress; whether it is new.
-    fn save(&mut self, task: TaskKey, row: &RunningRow) -> bool {
+    fn save(&mut self, task: TaskKey, row: &RunningTask) -> bool {
         let job = self.jobs.get_mut(&task.step.job);
         let step = job.and_then(|job| job.step_mut(task.step));
         let state = step.and_then(|step| step.tasks.get_mut(task.index as usize));
-        let Some(state) = state.filter(|state| state.checkpoint != row.saved) else { return false };
-        state.checkpoint = row.saved.clone();
+        let Some(state) = state.filter(|state| state.checkpoint != row.checkpoint) else {
+            return false;
+        };
+        state.checkpoint = row.checkpoint.clone();
         true
     }
 
     /// A run that an earlier owner started goes on, or is stopped if it is not wanted.
-    fn adopt(&mut self, now: Millis, name: &Name, row: &RunningRow) {
+    fn adopt(&mut self, now: Millis, name: &Name, row: &RunningTask) {
         let task = row.task;
         let job = self.jobs.get_mut(&task.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(task.step.step)).cloned();
         let owner = job.as_ref().and_then(|job| job.workspace.as_ref());
         // The size of a run whose job is over is not known: it may fill the worker, whose room may have
         // been larger when it began.
-        let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
+        let unknown = Step { resources: Resources::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::bound(row.run, &spec, Phase::Running(now));
-        run.held = owner.map(|owner| self.usages.acquire(owner, spec.room));
-        (run.seen, run.is_sent, run.percent, run.since) = (true, true, row.percent, now);
+        run.held = owner.map(|owner| self.usages.acquire(owner, spec.resources));
+        (run.seen, run.is_sent, run.percent, run.since) = (true, true, row.pace_percent, now);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.add(task, run);
         }
@@ -264,7 +272,7 @@
             Some(step) => {
                 step.place(task.index, name.clone(), row.run);
                 if let Some(state) = step.tasks.get_mut(task.index as usize) {
-                    state.checkpoint = row.saved.clone();
+                    state.checkpoint = row.checkpoint.clone();
                 }
                 log::info!("event=adopted task={task} run={} worker={name}", row.run);
                 // It was over before the newer one began, or may be a copy.
@@ -280,7 +288,7 @@
     }
 
     /// Runs that the worker should have named and did not are over.
-    fn sweep(&mut self, sent: Millis, name: &Name, report: &Report) {
+    fn sweep(&mut self, sent: Millis, name: &Name, report: &WorkerReport) {
         let listed: BTreeSet<(TaskKey, u64)> =
             report.running.iter().map(|row| (row.task, row.run)).collect();
         let Some(worker) = self.workers.get(name) else { return };
@@ -297,7 +305,7 @@
             if matches!(phase, Phase::Running(_)) {
                 log::info!(
                     "event=run-vanished task={task} run={run} worker={name} born={:?} confirmed={confirmed}",
-                    report.born
+                    report.started_at
                 );
             }
             self.abandon_run(name, task, run);
@@ -305,7 +313,7 @@
     }
 
     /// Slows fillers where they come near to harming a task that serves, and lets them work again.
-    fn pace(&mut self, now: Millis, name: &Name, report: &Report) {
+    fn pace(&mut self, now: Millis, name: &Name, report: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let fillers: Vec<(TaskKey, u64, u32)> = worker
             .runs
@@ -316,7 +324,7 @@
         if fillers.is_empty() || now.since(worker.paced) < PACE_EVERY {
             return;
         }
-        let used = |row: &RunningRow| {
+        let used = |row: &RunningTask| {
             let run = worker.runs.get(&(row.task, row.run)).filter(|run| run.tail.0 > 0)?;
             row.gauge.map(|gauge| gauge * 100.0 / run.tail.0 as f64)
         };
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -9,7 +9,7 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Listed, Report};
+use crate::order::{WorkerInfo, WorkerReport};
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
         now: Millis,
         sent: Millis,
         name: &Name,
-        report: &Report,
+        report: &WorkerReport,
     ) {
         let named = named_runs(report);
         let left =
@@ -51,7 +51,7 @@
         let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
         let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut before = worker.restart(now, report.born, batch, lease_end);
+        let mut before = worker.restart(now, report.started_at, batch, lease_end);
         log::info!(
             "event=worker-restarted worker={name} life={} was={over} runs={} kept={}",
             worker.life(),
@@ -102,9 +102,10 @@
 
     /// The list tells of another life of a worker than the one that last reported: a later one, as those
     /// that are over are known. It is asked at once, and gets nothing new until it has reported.
-    pub(in crate::cell) fn expect_life(&mut self, now: Millis, listed: &Listed) {
+    pub(in crate::cell) fn expect_life(&mut self, now: Millis, listed: &WorkerInfo) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
-        let is_news = worker.is_other(listed.born) && worker.listed.born != listed.born;
+        let is_news =
+            worker.is_other(listed.started_at) && worker.listed.started_at != listed.started_at;
         if is_news {
             worker.doubt(now);
             self.actions.push(Action::PollNow(listed.id.clone()));
@@ -112,7 +113,7 @@
     }
 }
 
-fn named_runs(report: &Report) -> BTreeSet<(TaskKey, u64)> {
+fn named_runs(report: &WorkerReport) -> BTreeSet<(TaskKey, u64)> {
     let running = report.running.iter().map(|row| (row.task, row.run));
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -6,7 +6,7 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed};
+use crate::order::{Incarnation, WorkerInfo};
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
@@ -87,7 +87,7 @@
             return;
         }
         let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-        if spec.is_some_and(|spec| spec.copies && !spec.gang)
+        if spec.is_some_and(|spec| spec.allow_copies && !spec.is_gang)
             && !self.may_have_crashed_workers(task, run)
         {
             self.record_possible_crash(now, name, task);
@@ -119,7 +119,7 @@
             self.resolve_crash(&life, CrashResolution::Ended);
             self.ended_lives.insert(life, now);
         }
-        let (why, is_leaving) = (why.name(), worker.listed.leaving.is_some());
+        let (why, is_leaving) = (why.name(), worker.listed.leaves_in.is_some());
         log::info!(
             "event=worker-gone worker={name} why={why} leaving={is_leaving} runs={}",
             worker.runs.len()
@@ -134,9 +134,9 @@
     }
 
     /// The workers that are listed now, of every service.
-    pub fn set_workers(&mut self, now: Millis, listed: Vec<Listed>) {
+    pub fn set_workers(&mut self, now: Millis, listed: Vec<WorkerInfo>) {
         let ids: BTreeSet<Name> = listed.iter().map(|one| one.id.clone()).collect();
-        let lives: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
+        let lives: BTreeSet<Incarnation> = listed.iter().map(WorkerInfo::incarnation).collect();
         self.ended_lives.retain(|life, _| lives.contains(life));
         for worker in self.workers.values_mut() {
             worker.present = ids.contains(&worker.listed.id);
@@ -148,8 +148,8 @@
         self.needs_placement = true;
     }
 
-    fn set_worker(&mut self, now: Millis, listed: Listed) {
-        let (name, life) = (listed.id.clone(), listed.life());
+    fn set_worker(&mut self, now: Millis, listed: WorkerInfo) {
+        let (name, life) = (listed.id.clone(), listed.incarnation());
         if self.ended_lives.contains_key(&life) {
             return;
         }
@@ -157,7 +157,7 @@
         self.expect_life(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
-                let leaves = listed.leaving.is_some() && worker.listed.leaving.is_none();
+                let leaves = listed.leaves_in.is_some() && worker.listed.leaves_in.is_none();
                 worker.listed = listed;
                 if leaves {
                     self.evacuate(&name);
@@ -168,7 +168,7 @@
                     "event=worker-listed worker={name} service={} addr={} cpu={} labels={}",
                     listed.service,
                     listed.addr,
-                    listed.room.cpu,
+                    listed.capacity.cpu,
                     listed.labels.join(",")
                 );
                 self.actions.push(Action::Watch(listed.clone()));
@@ -181,11 +181,11 @@
     /// A worker leaves: what would not end there in time is moved.
     fn evacuate(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else { return };
-        let left = worker.listed.leaving.unwrap_or_default();
+        let left = worker.listed.leaves_in.unwrap_or_default();
         log::info!("event=worker-leaving worker={name} left_ms={left} runs={}", worker.runs.len());
         let stays = |task: &TaskKey| {
             let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-            spec.is_some_and(|spec| !spec.lasting && spec.estimate < left)
+            spec.is_some_and(|spec| !spec.long_running && spec.estimate < left)
         };
         let moved: Vec<(TaskKey, u64)> =
             worker.runs.keys().filter(|(task, _)| !stays(task)).copied().collect();
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -3,8 +3,8 @@
 use crate::cell::placing::usage::UsageGuard;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed, Report, differ};
-use crate::workload::{JobKey, Room, Step, TaskKey};
+use crate::order::{Incarnation, WorkerInfo, WorkerReport, start_times_differ};
+use crate::workload::{JobKey, Resources, Step, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A lease is counted as over this much later, in thousandths of its length: a worker's clock may
@@ -48,7 +48,7 @@
     /// The number of the start.
     pub run: u64,
     /// What it takes.
-    pub charge: Room,
+    pub charge: Resources,
     /// Its part of what its workspace has running.
     pub held: Option<UsageGuard>,
     /// Where it stands.
@@ -86,7 +86,7 @@
     pub fn bound(run: u64, spec: &Step, phase: Phase) -> Self {
         Self {
             run,
-            charge: spec.charge(),
+            charge: spec.charged_resources(),
             held: None,
             phase,
             told: false,
@@ -95,9 +95,9 @@
             since: Millis(0),
             seen: false,
             percent: 100,
-            filler: spec.filler,
-            tail: spec.tail,
-            saves: spec.saves,
+            filler: spec.best_effort,
+            tail: spec.latency_bound,
+            saves: spec.has_checkpoints,
             began: Millis(0),
             moved: Millis(0),
             limit: None,
@@ -127,7 +127,7 @@
 #[derive(Debug)]
 pub struct Worker {
     /// As it lists itself.
-    pub listed: Listed,
+    pub listed: WorkerInfo,
     /// When the process started that reports, or whose runs an earlier owner left.
     born: Option<Millis>,
     /// When it was last found to be another life.
@@ -147,7 +147,7 @@
     /// What runs or may run there. A task can have two runs for a moment, one of them ending.
     pub runs: BTreeMap<(TaskKey, u64), Run>,
     /// The room taken by `runs`.
-    pub used: Room,
+    pub used: Resources,
     /// An order or a report asked for at this time was not answered, and no later one was either.
     doubted: Option<Millis>,
     /// Reports in a row that did not come.
@@ -176,9 +176,9 @@
 
 impl Worker {
     /// A worker that has not answered yet.
-    pub fn new(listed: Listed, batch: u64, lease_end: Millis) -> Self {
+    pub fn new(listed: WorkerInfo, batch: u64, lease_end: Millis) -> Self {
         Self {
-            born: listed.born,
+            born: listed.started_at,
             restarted: Millis(0),
             unsure: false,
             listed,
@@ -188,7 +188,7 @@
             known: false,
             first_heard: None,
             runs: BTreeMap::new(),
-            used: Room::default(),
+            used: Resources::default(),
             doubted: None,
             misses: 0,
             clock: None,
@@ -207,13 +207,13 @@
     }
 
     /// The life that is known here.
-    pub fn life(&self) -> Life {
-        Life { id: self.listed.id.clone(), born: self.born }
+    pub fn life(&self) -> Incarnation {
+        Incarnation { id: self.listed.id.clone(), started_at: self.born }
     }
 
     /// Whether a process that started at `born` is another life than the one known here.
     pub fn is_other(&self, born: Option<Millis>) -> bool {
-        differ(self.born, born)
+        start_times_differ(self.born, born)
     }
 
     /// The life that reports from now on: it holds nothing of the one before, and its numbers of ends and
@@ -242,13 +242,13 @@
     }
 
     /// The room that is free.
-    pub fn free(&self) -> Room {
-        self.listed.room.less(&self.used)
+    pub fn free(&self) -> Resources {
+        self.listed.capacity.saturating_sub(&self.used)
     }
 
     /// Whether more is taken than there is, since its room shrank.
     pub fn is_overfull(&self) -> bool {
-        !self.listed.room.holds(&self.used)
+        !self.listed.capacity.can_fit(&self.used)
     }
 
     /// Its rack.
@@ -265,7 +265,7 @@
     /// Frees the room of a run.
     pub fn remove(&mut self, task: TaskKey, run: u64) -> Option<Run> {
         let run = self.runs.remove(&(task, run))?;
-        self.used = self.used.less(&run.charge);
+        self.used = self.used.saturating_sub(&run.charge);
         Some(run)
     }
 
@@ -290,7 +290,7 @@
 
     /// The worker answered what was asked at `sent`, and told its clock; whether it is known only now when
     /// it started.
-    pub fn hear(&mut self, now: Millis, sent: Millis, report: &Report) -> bool {
+    pub fn hear(&mut self, now: Millis, sent: Millis, report: &WorkerReport) -> bool {
         if self.doubted.is_some_and(|doubted| sent >= doubted) {
             self.doubted = None;
         }
@@ -299,8 +299,8 @@
         self.heard = true;
         self.first_heard.get_or_insert(now);
         self.misses = 0;
-        let is_news = self.born.is_none() && report.born.is_some();
-        self.born = self.born.or(report.born);
+        let is_news = self.born.is_none() && report.started_at.is_some();
+        self.born = self.born.or(report.started_at);
         is_news
     }
 
@@ -417,7 +417,7 @@
     pub fn is_open(&self, kept: u64) -> bool {
         let answers = self.known && self.heard && self.doubted.is_none();
         let known =
-            self.present && answers && self.batch <= kept && !self.is_other(self.listed.born);
-        known && self.listed.leaving.is_none() && self.clock.is_some()
+            self.present && answers && self.batch <= kept && !self.is_other(self.listed.started_at);
+        known && self.listed.leaves_in.is_none() && self.clock.is_some()
     }
 }
--- a/src/node/job_call.rs
+++ b/src/node/job_call.rs
@@ -11,7 +11,7 @@
 use crate::platform::config::{Policy, Route};
 use crate::platform::front::Reply;
 use crate::platform::submit;
-use crate::workload::{JobKey, Work};
+use crate::workload::{JobDefinition, JobKey};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
@@ -78,7 +78,7 @@
     }
 
     /// The job in a request; an error says what is wrong with it.
-    async fn read_job(&self, request: Request<Incoming>) -> Result<Work, String> {
+    async fn read_job(&self, request: Request<Incoming>) -> Result<JobDefinition, String> {
         let body = Limited::new(request.into_body(), self.policy.limits.body_bytes).collect();
         let remaining = self.deadline - self.view.now();
         let body = match tokio::time::timeout(remaining.duration(), body).await {
@@ -86,7 +86,7 @@
             Err(_) => return Err("the body did not come in time".to_string()),
         };
         let work = submit::parse(&body).map_err(|err| err.to_string())?;
-        work.check().map_err(|err| err.to_string())?;
+        work.validate().map_err(|err| err.to_string())?;
         Ok(work)
     }
 
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::CellStats;
 use crate::clock::Millis;
-use crate::order::Outcome;
+use crate::order::OrderOutcome;
 use crate::registry;
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
@@ -96,13 +96,13 @@
     }
 
     /// An order to a worker came to an end.
-    pub fn observe_order(&self, is_start: bool, outcome: &Outcome, took: Millis) {
+    pub fn observe_order(&self, is_start: bool, outcome: &OrderOutcome, took: Millis) {
         let outcome = match outcome {
-            Outcome::Done(_) => "done",
-            Outcome::Refused(_) => "refused",
-            Outcome::Unsent => "unsent",
-            Outcome::Withheld => "withheld",
-            Outcome::Unknown => "unknown",
+            OrderOutcome::Done(_) => "done",
+            OrderOutcome::Refused(_) => "refused",
+            OrderOutcome::Unsent => "unsent",
+            OrderOutcome::Withheld => "withheld",
+            OrderOutcome::Unknown => "unknown",
         };
         let order = if is_start { "start" } else { "stop" };
         self.orders.with_label_values(&[order, outcome]).inc();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::cell::owner::witness::History;
 use crate::clock::{Clock, Millis};
 use crate::id::{EntryId, Name};
-use crate::order::Cleared;
+use crate::order::ClearedWorkers;
 use crate::platform::advice::AdviceClient;
 use crate::platform::config::Policy;
 use crate::platform::http::HttpClient;
@@ -184,7 +184,12 @@
     }
 
     /// Asks the advice service for the owner.
-    async fn advise(&self, step: StepKey, workers: &[Name], cost: Millis) -> Option<Cleared> {
+    async fn advise(
+        &self,
+        step: StepKey,
+        workers: &[Name],
+        cost: Millis,
+    ) -> Option<ClearedWorkers> {
         let adviser = self.adviser.as_ref()?;
         let started = self.now();
         let timeout = cost + cost + ADVICE_MARGIN;
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -5,8 +5,8 @@
 use crate::cell::owner::witness::Word;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Cleared;
-use crate::workload::{JobKey, StepKey, Work};
+use crate::order::ClearedWorkers;
+use crate::workload::{JobDefinition, JobKey, StepKey};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     Submit {
         job: JobKey,
         queue: Name,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
         workspace: Option<Name>,
         is_forwarded: bool,
     },
@@ -41,7 +41,7 @@
     /// Whether the sender could read the platform's log when it was asked to.
     LogProbed { readable: bool },
     /// The advice service answered, or did not.
-    Advice { step: StepKey, candidates: Vec<Name>, answer: Option<Cleared> },
+    Advice { step: StepKey, candidates: Vec<Name>, answer: Option<ClearedWorkers> },
 }
 
 impl EntryMessage {
--- a/src/node/owner/forward.rs
+++ b/src/node/owner/forward.rs
@@ -7,7 +7,7 @@
 use crate::node::lock;
 use crate::node::msg::{EntryMessage, RefusalReason};
 use crate::node::owner::Owner;
-use crate::workload::{JobKey, Work};
+use crate::workload::{JobDefinition, JobKey};
 use std::sync::Arc;
 
 /// How long the home of a forgotten job is asked to forget it too. Without an answer its record stays
@@ -31,7 +31,7 @@
         &self,
         job: JobKey,
         queue: &str,
-        work: &Work,
+        work: &JobDefinition,
         workspace: Option<&Name>,
     ) -> Result<(), RefusalReason> {
         if self.view.cell_count == 1 || !self.is_serving() || lock(&self.cell).knows(job) {
@@ -65,9 +65,9 @@
     }
 
     /// The cell with the rack that most of a job's tasks want to be on.
-    fn cell_near_data(&self, cells: &Cells, work: &Work) -> Option<u32> {
-        let steps = work.steps.iter().filter(|step| !step.near.is_empty());
-        let rack = &steps.max_by_key(|step| step.count)?.near;
+    fn cell_near_data(&self, cells: &Cells, work: &JobDefinition) -> Option<u32> {
+        let steps = work.steps.iter().filter(|step| !step.data_rack.is_empty());
+        let rack = &steps.max_by_key(|step| step.count)?.data_rack;
         let target = cells.map.of_rack(rack)?;
         cells.get(target).filter(|view| view.accepts_jobs())?;
         Some(target)
@@ -88,12 +88,12 @@
         balance::choose(own_share, &others, job)
     }
 
-    fn add_forwarded_load(&self, cells: &Cells, target: u32, service: &Name, work: &Work) {
+    fn add_forwarded_load(&self, cells: &Cells, target: u32, service: &Name, work: &JobDefinition) {
         let cpu: u64 = work
             .steps
             .iter()
-            .filter(|step| step.after.is_empty())
-            .map(|step| step.charge().cpu * u64::from(step.count))
+            .filter(|step| step.dependencies.is_empty())
+            .map(|step| step.charged_resources().cpu * u64::from(step.count))
             .sum();
         let capacity = lock(&self.cell).processors(service).max(1);
         if let Some(view) = cells.get(target) {
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -20,7 +20,7 @@
 use crate::node::msg::{EntryMessage, OwnerMessage, RefusalReason};
 use crate::node::view::CellView;
 use crate::node::{Node, lock};
-use crate::workload::{JobKey, Work};
+use crate::workload::{JobDefinition, JobKey};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -428,7 +428,7 @@
         self: &Arc<Self>,
         job: JobKey,
         queue: &str,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
         workspace: Option<Name>,
     ) -> OwnerMessage {
         let batch = {
--- a/src/node/owner/store.rs
+++ b/src/node/owner/store.rs
@@ -5,7 +5,7 @@
 use crate::node::owner::Owner;
 use crate::node::view::CellView;
 use crate::node::{STORE_RETRY_DELAY, lock};
-use crate::order::Listed;
+use crate::order::WorkerInfo;
 use crate::platform::store::{Precondition, StoreError, encode_keyed};
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 
 impl CellView {
     /// Fences earlier owners off the store, and reads what it holds; `None`: deposed meanwhile.
-    pub(super) async fn recover(&self, epoch: u64) -> Option<(Snapshot, Vec<Listed>)> {
+    pub(super) async fn recover(&self, epoch: u64) -> Option<(Snapshot, Vec<WorkerInfo>)> {
         loop {
             if !self.is_leader(epoch) {
                 return None;
@@ -67,7 +67,7 @@
         }
     }
 
-    async fn try_recover(&self, epoch: u64) -> Result<(Snapshot, Vec<Listed>), StoreError> {
+    async fn try_recover(&self, epoch: u64) -> Result<(Snapshot, Vec<WorkerInfo>), StoreError> {
         let guard = Precondition::Producer { name: PRODUCER, epoch, seq: 0 };
         let mut topic = TOPIC.to_string();
         let part = self.partition(&mut topic);
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -7,7 +7,7 @@
 use crate::node::owner::store::READ_TIMEOUT;
 use crate::node::view::CellView;
 use crate::node::{Node, lock};
-use crate::order::{Listed, Outcome};
+use crate::order::{OrderOutcome, WorkerInfo};
 use crate::platform::store::{Partition, StoreError, decode_keyed};
 use crate::platform::worker::{self, WorkerClient};
 use std::collections::HashMap;
@@ -42,14 +42,14 @@
 
 impl Node {
     /// Reads the whole list of workers, and where it ends.
-    pub(in crate::node) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
+    pub(in crate::node) async fn list_workers(&self) -> Result<(Vec<WorkerInfo>, u64), StoreError> {
         let (items, end) = self.store.latest_all(WORKERS_PART, READ_TIMEOUT).await?;
         let items = items.into_iter().filter(|item| !item.value.is_empty());
         Ok((items.filter_map(|item| parse_worker(item.key, &item.value)).collect(), end))
     }
 }
 
-fn parse_worker(id: Name, value: &[u8]) -> Option<Listed> {
+fn parse_worker(id: Name, value: &[u8]) -> Option<WorkerInfo> {
     match worker::parse_worker_entry(id.clone(), value) {
         Ok(listed) => Some(listed),
         Err(err) => {
@@ -61,14 +61,14 @@
 
 impl CellView {
     /// As [`Node::list_workers`], but only the workers of this cell.
-    pub(super) async fn list_workers(&self) -> Result<(Vec<Listed>, u64), StoreError> {
+    pub(super) async fn list_workers(&self) -> Result<(Vec<WorkerInfo>, u64), StoreError> {
         let (mut listed, end) = self.node.list_workers().await?;
         listed.retain(|worker| self.contains(worker));
         Ok((listed, end))
     }
 
     /// Whether a worker belongs to the cell, and to a service that the policy names.
-    fn contains(&self, worker: &Listed) -> bool {
+    fn contains(&self, worker: &WorkerInfo) -> bool {
         let is_named = self.node.policy.borrow().services.contains(&worker.service);
         let cells = self.node.cells();
         is_named && cells.is_none_or(|cells| cells.map.of_worker(worker) == self.cell)
@@ -104,7 +104,7 @@
         let (task, run, outcome) = match &action {
             Action::Start { start, .. } if is_withheld => {
                 log::info!("event=start-withheld task={} worker={name}", start.task);
-                (start.task, start.run, Outcome::Withheld)
+                (start.task, start.run, OrderOutcome::Withheld)
             }
             Action::Start { start, until, .. } => {
                 (start.task, start.run, client.start(start, *until, timeout).await)
@@ -114,7 +114,7 @@
             }
             Action::Pace { task, run, percent, .. } => {
                 let outcome = client.pace(*task, *run, *percent, timeout).await;
-                if !matches!(outcome, Outcome::Done(_)) {
+                if !matches!(outcome, OrderOutcome::Done(_)) {
                     log::info!("event=pace-failed task={task} worker={name} outcome={outcome:?}");
                 }
                 return;
@@ -125,7 +125,7 @@
         let is_start = matches!(action, Action::Start { .. });
         self.node.metrics.observe_order(is_start, &outcome, now.since(sent));
         // Which of the two lives answered is not known.
-        let outcome = if has_restarted() { Outcome::Unknown } else { outcome };
+        let outcome = if has_restarted() { OrderOutcome::Unknown } else { outcome };
         {
             let mut cell = lock(&self.cell);
             match is_start {
@@ -142,7 +142,7 @@
     }
 
     /// Asks a worker for reports as long as the cell knows it.
-    pub(super) async fn watch_worker(self: Arc<Self>, listed: Listed) {
+    pub(super) async fn watch_worker(self: Arc<Self>, listed: WorkerInfo) {
         let name = listed.id;
         let report_wake = lock(&self.report_wakes).entry(name.clone()).or_default().clone();
         // The first report only tells what runs, and the clock: the lease needs that.
@@ -195,7 +195,7 @@
 
     /// Follows the list of workers.
     pub(super) async fn follow_workers(self: Arc<Self>) {
-        let mut known: HashMap<Name, Listed> = HashMap::new();
+        let mut known: HashMap<Name, WorkerInfo> = HashMap::new();
         let mut next_offset = 0;
         let mut read_all_at = Millis(0);
         loop {
@@ -236,7 +236,7 @@
     /// Reads what workers wrote since; whether it changes anything.
     async fn read_changes(
         &self,
-        known: &mut HashMap<Name, Listed>,
+        known: &mut HashMap<Name, WorkerInfo>,
         next_offset: &mut u64,
     ) -> Result<bool, StoreError> {
         let read =
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Cleared;
+use crate::order::ClearedWorkers;
 use crate::platform::http::{HttpClient, HttpError, uri};
 use crate::workload::StepKey;
 use bytes::Bytes;
@@ -51,7 +51,7 @@
         step: StepKey,
         workers: &[Name],
         limit: Millis,
-    ) -> Result<Cleared, HttpError> {
+    ) -> Result<ClearedWorkers, HttpError> {
         let malformed = |err: &dyn std::fmt::Display| {
             HttpError::Malformed(self.addr.to_string(), err.to_string())
         };
@@ -68,7 +68,7 @@
             return Err(HttpError::Status(self.addr.to_string(), answer.status));
         }
         let raw: RawAnswer = serde_json::from_slice(&answer.body).map_err(|err| malformed(&err))?;
-        let valid = raw.valid_ms.map(|ms| Millis(ms.max(0.0) as u64));
-        Ok(Cleared { rows: raw.healthy, valid })
+        let valid_for = raw.valid_ms.map(|ms| Millis(ms.max(0.0) as u64));
+        Ok(ClearedWorkers { tickets: raw.healthy, valid_for })
     }
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Advice, Queue, Room};
+use crate::workload::{AdviceConfig, Queue, Resources};
 use crate::workspace::{Workspace, Workspaces};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -186,16 +186,16 @@
     }
 
     fn add_route(&mut self, raw: RawRoute) {
-        let advice = raw.advice.map(|advice| Advice {
-            base: Millis(advice.decide_ms.max(0.0) as u64),
-            each: (advice.period_ms.max(0.0) * 1_000.0) as u64,
-            valid: Millis(advice.valid_ms.max(0.0) as u64),
+        let advice = raw.advice.map(|advice| AdviceConfig {
+            base_latency: Millis(advice.decide_ms.max(0.0) as u64),
+            worker_micros: (advice.period_ms.max(0.0) * 1_000.0) as u64,
+            ticket_validity: Millis(advice.valid_ms.max(0.0) as u64),
         });
         let queue = Arc::new(Queue {
             name: raw.name.clone(),
             service: raw.service,
             priority: raw.priority,
-            attempts: raw.max_attempts.max(1),
+            max_attempts: raw.max_attempts.max(1),
             stretch: (raw.extension.max(1.0) * 1_000.0) as u64,
             target: Millis(raw.target_latency_ms.max(0.0) as u64),
             advice,
@@ -222,13 +222,13 @@
 
 fn parse_workspaces(raw: Vec<RawTenant>) -> Workspaces {
     let or = |bound: u64, none: u64| if bound == 0 { none } else { bound };
-    let none = Room::UNLIMITED;
+    let none = Resources::UNLIMITED;
     let mut all = Workspaces::default();
     for RawTenant { name, api_keys, weight, upper_bound: RawResourceLimit { cpu, mem_mb, gpu } } in
         raw
     {
         let limit =
-            Room { cpu: or(cpu, none.cpu), mem: or(mem_mb, none.mem), gpu: or(gpu, none.gpu) };
+            Resources { cpu: or(cpu, none.cpu), mem: or(mem_mb, none.mem), gpu: or(gpu, none.gpu) };
         all.add(Workspace { name, weight, limit }, api_keys);
     }
     all
--- a/src/platform/submit.rs
+++ b/src/platform/submit.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, Step, Work};
+use crate::workload::{JobDefinition, Resources, Step};
 use serde::{Deserialize, Deserializer};
 
 /// A yes or no that some callers send as a number.
@@ -82,21 +82,21 @@
     fn from(raw: RawStep) -> Self {
         Self {
             count: raw.count,
-            room: Room { cpu: raw.cpu, mem: raw.mem_mb, gpu: raw.gpu },
+            resources: Resources { cpu: raw.cpu, mem: raw.mem_mb, gpu: raw.gpu },
             estimate: Millis(raw.estimate_ms.max(0.0) as u64),
-            after: raw.depends_on,
-            gang: raw.gang,
-            rack: raw.rack_local,
-            label: raw.requires,
-            near: raw.affinity,
-            apart: raw.anti_affinity,
-            copies: raw.concurrent,
-            saves: raw.checkpointing,
-            lasting: raw.long_running,
+            dependencies: raw.depends_on,
+            is_gang: raw.gang,
+            same_rack: raw.rack_local,
+            required_label: raw.requires,
+            data_rack: raw.affinity,
+            worker_limit: raw.anti_affinity,
+            allow_copies: raw.concurrent,
+            has_checkpoints: raw.checkpointing,
+            long_running: raw.long_running,
             image: raw.image,
-            tail: Millis(raw.target_ms.max(0.0) as u64),
-            filler: raw.fill_count,
-            spare: raw.may_miss,
+            latency_bound: Millis(raw.target_ms.max(0.0) as u64),
+            best_effort: raw.fill_count,
+            max_unavailable: raw.may_miss,
         }
     }
 }
@@ -105,13 +105,13 @@
 ///
 /// # Errors
 /// The body is not JSON or not a job.
-pub fn parse(body: &[u8]) -> Result<Work, serde_json::Error> {
+pub fn parse(body: &[u8]) -> Result<JobDefinition, serde_json::Error> {
     let raw: RawJob = serde_json::from_slice(body)?;
-    Ok(Work {
-        spec: raw.spec,
+    Ok(JobDefinition {
+        payload: raw.spec,
         steps: raw.steps.into_iter().map(Step::from).collect(),
-        times: raw.repeat_count.max(1),
-        first: Millis(raw.start_at_ms),
-        every: Millis(raw.interval_ms),
+        repetitions: raw.repeat_count.max(1),
+        first_due: Millis(raw.start_at_ms),
+        interval: Millis(raw.interval_ms),
     })
 }
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -2,9 +2,12 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{End, EndedRow, HoldError, Listed, Outcome, Refusal, Report, RunningRow, Start};
+use crate::order::{
+    EndReason, EndedTask, OrderOutcome, Refusal, ReportError, RunningTask, StartOrder, WorkerInfo,
+    WorkerReport,
+};
 use crate::platform::http::{HttpClient, HttpError, HttpResponse, uri};
-use crate::workload::{KeyError, Room, TaskKey};
+use crate::workload::{ParseKeyError, Resources, TaskKey};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::CONTENT_TYPE;
@@ -68,7 +71,7 @@
 ///
 /// # Errors
 /// See [`ListedError`].
-pub fn parse_worker_entry(id: Name, text: &[u8]) -> Result<Listed, WorkerEntryError> {
+pub fn parse_worker_entry(id: Name, text: &[u8]) -> Result<WorkerInfo, WorkerEntryError> {
     let raw: RawWorker = serde_json::from_slice(text)?;
     if raw.address.parse::<SocketAddr>().is_err() {
         return Err(WorkerEntryError::Address(raw.address));
@@ -84,15 +87,15 @@
     }
     let left = Millis(raw.remaining_ms.unwrap_or(0.0).max(0.0) as u64);
     let RawCapacity { cpu, mem_mb, gpu } = raw.capacity;
-    Ok(Listed {
+    Ok(WorkerInfo {
         id,
-        born: raw.born,
+        started_at: raw.born,
         service: raw.service,
         addr: raw.address,
         domain: raw.zone,
-        room: Room { cpu, mem: mem_mb, gpu },
+        capacity: Resources { cpu, mem: mem_mb, gpu },
         labels: raw.labels,
-        leaving: leaves.then_some(left),
+        leaves_in: leaves.then_some(left),
     })
 }
 
@@ -204,39 +207,44 @@
         self.http.send(&self.addr, request, limit).await
     }
 
-    async fn send_order<P: Serialize>(&self, path: &str, payload: &P, limit: Millis) -> Outcome {
+    async fn send_order<P: Serialize>(
+        &self,
+        path: &str,
+        payload: &P,
+        limit: Millis,
+    ) -> OrderOutcome {
         match self.call(path, payload, limit).await {
             Ok(answer) => parse_outcome(&answer),
-            Err(err) if err.is_unsent() => Outcome::Unsent,
+            Err(err) if err.is_unsent() => OrderOutcome::Unsent,
             Err(err) => {
                 log::debug!("event=order-unanswered worker={} path={path} error={err:?}", self.id);
-                Outcome::Unknown
+                OrderOutcome::Unknown
             }
         }
     }
 
     /// Starts a run that ends by itself at `until` on the worker's clock unless it is renewed.
-    pub async fn start(&self, start: &Start, until: u64, limit: Millis) -> Outcome {
+    pub async fn start(&self, start: &StartOrder, until: u64, limit: Millis) -> OrderOutcome {
         let payload = RawStart {
             task: start.task.to_string(),
             run: start.run,
-            spec: &start.spec,
+            spec: &start.payload,
             until_ms: until,
             fence: self.fence,
-            checkpoint: &start.saved,
+            checkpoint: &start.checkpoint,
             ticket: &start.ticket,
         };
         self.send_order("/run-start", &payload, limit).await
     }
 
     /// Stops a run; one that has not begun never will.
-    pub async fn stop(&self, task: TaskKey, run: u64, limit: Millis) -> Outcome {
+    pub async fn stop(&self, task: TaskKey, run: u64, limit: Millis) -> OrderOutcome {
         let payload = RawStop { task: task.to_string(), run, fence: self.fence };
         self.send_order("/run-stop", &payload, limit).await
     }
 
     /// Lets a run work at a share of its speed, in hundredths.
-    pub async fn pace(&self, task: TaskKey, run: u64, percent: u32, limit: Millis) -> Outcome {
+    pub async fn pace(&self, task: TaskKey, run: u64, percent: u32, limit: Millis) -> OrderOutcome {
         let payload = RawPace { task: task.to_string(), run, percent, fence: self.fence };
         self.send_order("/pace", &payload, limit).await
     }
@@ -245,61 +253,61 @@
     /// for another one.
     ///
     /// # Errors
-    /// See [`HoldError`].
+    /// See [`ReportError`].
     pub async fn renew(
         &self,
         seen: u64,
         until: Option<u64>,
         wait: Millis,
         limit: Millis,
-    ) -> Result<Report, HoldError> {
+    ) -> Result<WorkerReport, ReportError> {
         let wait_ms = (wait.0 > 0).then_some(wait.0);
         let payload = RawHold { fence: self.fence, last_seen: seen, until_ms: until, wait_ms };
         let answer = self.call("/hold", &payload, limit).await;
-        let answer = answer.map_err(|err| HoldError::Silent(err.to_string()))?;
+        let answer = answer.map_err(|err| ReportError::NoReply(err.to_string()))?;
         match parse_outcome(&answer) {
-            Outcome::Done(_) => parse_report(&answer.body).map_err(HoldError::Silent),
-            Outcome::Refused(why) => Err(HoldError::Refused(why)),
-            other => Err(HoldError::Silent(format!("{other:?} {}", answer.status))),
+            OrderOutcome::Done(_) => parse_report(&answer.body).map_err(ReportError::NoReply),
+            OrderOutcome::Refused(why) => Err(ReportError::Refused(why)),
+            other => Err(ReportError::NoReply(format!("{other:?} {}", answer.status))),
         }
     }
 }
 
-fn parse_outcome(answer: &HttpResponse) -> Outcome {
+fn parse_outcome(answer: &HttpResponse) -> OrderOutcome {
     let raw: RawAnswer = answer.json_or_default();
     match (answer.status, raw.reason.as_str()) {
-        (status, _) if status.is_success() => Outcome::Done(raw.clock_ms.map(|ms| ms as u64)),
-        (StatusCode::CONFLICT, "fence") => Outcome::Refused(Refusal::Fence),
-        (StatusCode::CONFLICT, "old") => Outcome::Refused(Refusal::Old),
-        (StatusCode::CONFLICT, "late") => Outcome::Refused(Refusal::Late),
-        (StatusCode::CONFLICT, "room") => Outcome::Refused(Refusal::Room),
-        (StatusCode::CONFLICT, "ticket") => Outcome::Refused(Refusal::Ticket),
-        (StatusCode::MISDIRECTED_REQUEST, _) => Outcome::Refused(Refusal::OtherLife),
+        (status, _) if status.is_success() => OrderOutcome::Done(raw.clock_ms.map(|ms| ms as u64)),
+        (StatusCode::CONFLICT, "fence") => OrderOutcome::Refused(Refusal::StaleFence),
+        (StatusCode::CONFLICT, "old") => OrderOutcome::Refused(Refusal::StaleRun),
+        (StatusCode::CONFLICT, "late") => OrderOutcome::Refused(Refusal::LeaseExpired),
+        (StatusCode::CONFLICT, "room") => OrderOutcome::Refused(Refusal::NoCapacity),
+        (StatusCode::CONFLICT, "ticket") => OrderOutcome::Refused(Refusal::InvalidTicket),
+        (StatusCode::MISDIRECTED_REQUEST, _) => OrderOutcome::Refused(Refusal::OtherIncarnation),
         (StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _) => {
-            Outcome::Refused(Refusal::Unwell)
+            OrderOutcome::Refused(Refusal::Unhealthy)
         }
-        (status, _) if status.is_client_error() => Outcome::Refused(Refusal::Malformed),
-        _ => Outcome::Unknown,
+        (status, _) if status.is_client_error() => OrderOutcome::Refused(Refusal::Malformed),
+        _ => OrderOutcome::Unknown,
     }
 }
 
-fn parse_report(body: &[u8]) -> Result<Report, String> {
+fn parse_report(body: &[u8]) -> Result<WorkerReport, String> {
     let raw: RawReport<'_> = serde_json::from_slice(body).map_err(|err| err.to_string())?;
-    Ok(Report {
-        born: raw.born,
+    Ok(WorkerReport {
+        started_at: raw.born,
         clock: raw.clock_ms as u64,
         running: raw.running.iter().map(parse_running).collect::<Result<_, _>>()?,
         ended: raw.ended.iter().map(parse_ended).collect::<Result<_, _>>()?,
     })
 }
 
-fn parse_running(row: &RawRunning<'_>) -> Result<RunningRow, String> {
+fn parse_running(row: &RawRunning<'_>) -> Result<RunningTask, String> {
     let RawRunning(task, run, saved, percent, gauge) = row;
-    Ok(RunningRow {
+    Ok(RunningTask {
         task: parse_task_key(task)?,
         run: *run,
-        saved: shared_name(saved),
-        percent: *percent as u32,
+        checkpoint: shared_name(saved),
+        pace_percent: *percent as u32,
         gauge: *gauge,
     })
 }
@@ -313,20 +321,26 @@
     }
 }
 
-fn parse_ended(row: &RawEnded<'_>) -> Result<EndedRow, String> {
+fn parse_ended(row: &RawEnded<'_>) -> Result<EndedTask, String> {
     let RawEnded(no, task, run, how, saved) = row;
-    let end = match how.as_ref() {
-        "done" => End::Done,
-        "failed" => End::Failed,
-        "stopped" => End::Stopped,
-        "lapsed" => End::Lapsed,
-        "broken" => End::Broken,
-        "alone" => End::Alone,
+    let reason = match how.as_ref() {
+        "done" => EndReason::Done,
+        "failed" => EndReason::Failed,
+        "stopped" => EndReason::Stopped,
+        "lapsed" => EndReason::LeaseExpired,
+        "broken" => EndReason::GangBroken,
+        "alone" => EndReason::GangIncomplete,
         other => return Err(format!("{other:?} is not an end of {task}")),
     };
-    Ok(EndedRow { no: *no, task: parse_task_key(task)?, run: *run, end, saved: shared_name(saved) })
+    Ok(EndedTask {
+        seq: *no,
+        task: parse_task_key(task)?,
+        run: *run,
+        reason,
+        checkpoint: shared_name(saved),
+    })
 }
 
 fn parse_task_key(text: &str) -> Result<TaskKey, String> {
-    text.parse().map_err(|err: KeyError| err.to_string())
+    text.parse().map_err(|err: ParseKeyError| err.to_string())
 }
--- a/src/workspace.rs
+++ b/src/workspace.rs
@@ -1,7 +1,7 @@
 //! Workspaces: the teams that callers belong to, each with keys, a share, and a bound on what it runs.
 
 use crate::id::Name;
-use crate::workload::Room;
+use crate::workload::Resources;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
     /// Its share when everything is full, as jobs a second.
     pub weight: u32,
     /// The most that it may have running over all workers.
-    pub limit: Room,
+    pub limit: Resources,
 }
 
 impl Workspace {
     /// Whether there is a bound on what it has running.
     pub fn is_bounded(&self) -> bool {
-        self.limit != Room::UNLIMITED
+        self.limit != Resources::UNLIMITED
     }
 }
 
--- a/tests/accepting.rs
+++ b/tests/accepting.rs
@@ -9,12 +9,18 @@
 use sprucerudder::cell::Action;
 use sprucerudder::cell::records::journal;
 use sprucerudder::clock::Millis;
-use sprucerudder::workload::{JobKey, Room, Step, Work};
+use sprucerudder::workload::{JobDefinition, JobKey, Resources, Step};
 use std::sync::Arc;
 
 fn submit(site: &mut Cluster, key: JobKey, step: Step) {
-    let (first, every) = (Millis(0), Millis(0));
-    let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
+    let (first_due, interval) = (Millis(0), Millis(0));
+    let work = JobDefinition {
+        payload: "text".into(),
+        steps: vec![step],
+        repetitions: 1,
+        first_due,
+        interval,
+    };
     assert!(site.cell.submit(Millis(site.now), key, "q", Arc::new(work)).is_some());
 }
 
@@ -40,7 +46,7 @@
 #[test]
 fn a_job_that_is_given_back_never_starts_and_leaves_its_room() {
     let mut site = Cluster::new(1);
-    let whole = Step { room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
+    let whole = Step { resources: Resources { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
     submit(&mut site, job(1), whole.clone());
     assert_eq!(starts(&mut site), 0);
     let now = Millis(site.now);
@@ -95,7 +101,11 @@
 #[test]
 fn a_job_that_is_not_accepted_stops_nothing() {
     let mut site = Cluster::new(1);
-    let saves = Step { saves: true, room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
+    let saves = Step {
+        has_checkpoints: true,
+        resources: Resources { cpu: 4_000, mem: 4_000, gpu: 0 },
+        ..step()
+    };
     site.submit_step(job(1), Step { estimate: Millis(60_000), ..saves.clone() });
     site.run_for(40);
     submit(&mut site, job(2), saves);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use sprucerudder::cell::owner::admission::{LEAST, retry_after};
 use sprucerudder::clock::Millis;
-use sprucerudder::workload::{JobKey, Queue, Step, Work};
+use sprucerudder::workload::{JobDefinition, JobKey, Queue, Step};
 
 /// A caller's tries after the first one, in tenths of the wait that it was told: read off callers
 /// that were told one second.
@@ -15,16 +15,22 @@
         name: "q".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 1,
+        max_attempts: 1,
         stretch,
         target: Millis(target),
         advice: None,
     }
 }
 
-fn work(estimate: u64) -> Work {
+fn work(estimate: u64) -> JobDefinition {
     let step = Step { count: 1, estimate: Millis(estimate), ..Step::default() };
-    Work { spec: "".into(), steps: vec![step], times: 1, first: Millis(0), every: Millis(0) }
+    JobDefinition {
+        payload: "".into(),
+        steps: vec![step],
+        repetitions: 1,
+        first_due: Millis(0),
+        interval: Millis(0),
+    }
 }
 
 /// When a job that first came `at` into the outage is taken, if it is.
@@ -34,8 +40,8 @@
 }
 
 /// How many of 100 jobs spread over an outage can still be on time.
-fn on_time(queue: &Queue, work: &Work, after: impl Fn(JobKey) -> u64) -> usize {
-    let slack = (queue.objective(work) - work.chain()).0;
+fn on_time(queue: &Queue, work: &JobDefinition, after: impl Fn(JobKey) -> u64) -> usize {
+    let slack = (queue.objective(work) - work.critical_path()).0;
     let in_time = |no: &u64| {
         let at = no * OUTAGE / 100;
         taken(at, after(JobKey(*no))).is_some_and(|time| time - at <= slack)
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -13,9 +13,12 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{
-    End, EndedRow, HoldError, Life, Listed, Outcome, Refusal, Report, RunningRow, Start,
+    EndReason, EndedTask, Incarnation, OrderOutcome, Refusal, ReportError, RunningTask, StartOrder,
+    WorkerInfo, WorkerReport,
+};
+use sprucerudder::workload::{
+    AdviceConfig, JobDefinition, JobKey, Queue, Resources, Step, StepKey, TaskKey,
 };
-use sprucerudder::workload::{Advice, JobKey, Queue, Room, Step, StepKey, TaskKey, Work};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -26,37 +29,43 @@
         name: name.into(),
         service: "s".into(),
         priority,
-        attempts: 2,
+        max_attempts: 2,
         stretch: 1_500,
         target: Millis(250),
         advice: None,
     })
 }
 
-fn list_entry(id: &str, domain: &str) -> Listed {
-    Listed {
+fn list_entry(id: &str, domain: &str) -> WorkerInfo {
+    WorkerInfo {
         id: id.into(),
-        born: None,
+        started_at: None,
         service: "s".into(),
         addr: id.into(),
         domain: domain.into(),
-        room: Room { cpu: 4_000, mem: 4_000, gpu: 0 },
+        capacity: Resources { cpu: 4_000, mem: 4_000, gpu: 0 },
         labels: vec!["a".into(), "r1".into()],
-        leaving: None,
+        leaves_in: None,
     }
 }
 
 fn step(count: u32) -> Step {
-    let room = Room { cpu: 1_000, mem: 1_000, gpu: 0 };
-    Step { count, room, estimate: Millis(1_000), ..Step::default() }
+    let resources = Resources { cpu: 1_000, mem: 1_000, gpu: 0 };
+    Step { count, resources, estimate: Millis(1_000), ..Step::default() }
 }
 
-fn work(steps: Vec<Step>) -> Arc<Work> {
-    Arc::new(Work { spec: "t".into(), steps, times: 1, first: Millis(0), every: Millis(0) })
+fn work(steps: Vec<Step>) -> Arc<JobDefinition> {
+    Arc::new(JobDefinition {
+        payload: "t".into(),
+        steps,
+        repetitions: 1,
+        first_due: Millis(0),
+        interval: Millis(0),
+    })
 }
 
 /// A cell whose workers have reported once.
-fn cell(workers: &[Listed]) -> Cell {
+fn cell(workers: &[WorkerInfo]) -> Cell {
     let bounds = CellConfig {
         lease: LEASE,
         max_lease: LEASE,
@@ -69,7 +78,12 @@
     write_batches(&mut cell, 1);
     for worker in workers {
         cell.hold(Millis(1), &worker.id, true);
-        cell.held(Millis(2), Millis(1), &worker.id, &Report { clock: 1_000, ..Report::default() });
+        cell.held(
+            Millis(2),
+            Millis(1),
+            &worker.id,
+            &WorkerReport { clock: 1_000, ..WorkerReport::default() },
+        );
     }
     cell.tick(Millis(3), Millis(3));
     cell.take_actions();
@@ -84,7 +98,7 @@
 }
 
 /// Runs the scheduler and returns the starts that it decides on.
-fn starts(cell: &mut Cell, now: u64) -> Vec<(Name, Start)> {
+fn starts(cell: &mut Cell, now: u64) -> Vec<(Name, StartOrder)> {
     cell.schedule(Millis(now));
     write_batches(cell, now);
     let actions = cell.take_actions().into_iter();
@@ -102,15 +116,15 @@
     key
 }
 
-fn confirm_starts(cell: &mut Cell, now: u64, started: &[(Name, Start)]) {
+fn confirm_starts(cell: &mut Cell, now: u64, started: &[(Name, StartOrder)]) {
     for (worker, start) in started {
-        cell.started(Millis(now), worker, start.task, start.run, Outcome::Done(None));
+        cell.started(Millis(now), worker, start.task, start.run, OrderOutcome::Done(None));
     }
 }
 
-fn end_report(no: u64, task: TaskKey, run: u64, end: End) -> Report {
-    let row = EndedRow { no, task, run, end, saved: "".into() };
-    Report { clock: 1_000, running: Vec::new(), ended: vec![row], ..Report::default() }
+fn end_report(seq: u64, task: TaskKey, run: u64, reason: EndReason) -> WorkerReport {
+    let row = EndedTask { seq, task, run, reason, checkpoint: "".into() };
+    WorkerReport { clock: 1_000, running: Vec::new(), ended: vec![row], ..WorkerReport::default() }
 }
 
 #[test]
@@ -145,21 +159,21 @@
 #[test]
 fn a_dependent_step_starts_after_all_tasks_before_it_and_the_job_ends_in_the_store() {
     let mut cell = cell(&[list_entry("w1", "a")]);
-    let second = Step { after: vec![0], ..step(1) };
+    let second = Step { dependencies: vec![0], ..step(1) };
     let key = submit(&mut cell, 10, 1, "q", vec![step(2), second]);
     let first = starts(&mut cell, 11);
     assert_eq!(first.len(), 2);
     confirm_starts(&mut cell, 12, &first);
-    let one = end_report(1, first[0].1.task, first[0].1.run, End::Done);
+    let one = end_report(1, first[0].1.task, first[0].1.run, EndReason::Done);
     let running = vec![running_row(first[1].1.task, first[1].1.run)];
-    cell.held(Millis(20), Millis(15), &"w1".into(), &Report { running, ..one });
+    cell.held(Millis(20), Millis(15), &"w1".into(), &WorkerReport { running, ..one });
     assert_eq!(starts(&mut cell, 21), Vec::new());
-    let other = end_report(2, first[1].1.task, first[1].1.run, End::Done);
+    let other = end_report(2, first[1].1.task, first[1].1.run, EndReason::Done);
     cell.held(Millis(30), Millis(25), &"w1".into(), &other);
     let second = starts(&mut cell, 31);
     assert_eq!(second.len(), 1);
     confirm_starts(&mut cell, 32, &second);
-    let last = end_report(3, second[0].1.task, second[0].1.run, End::Done);
+    let last = end_report(3, second[0].1.task, second[0].1.run, EndReason::Done);
     cell.held(Millis(40), Millis(35), &"w1".into(), &last);
     assert_eq!(cell.job_state(key), Some(JobState::Active), "the end is not in the store yet");
     write_batches(&mut cell, 41);
@@ -172,7 +186,7 @@
     submit(&mut cell, 10, 1, "q", vec![step(2)]);
     let first = starts(&mut cell, 11);
     confirm_starts(&mut cell, 12, &first);
-    let one = end_report(7, first[0].1.task, first[0].1.run, End::Done);
+    let one = end_report(7, first[0].1.task, first[0].1.run, EndReason::Done);
     cell.held(Millis(20), Millis(15), &"w1".into(), &one);
     assert_eq!(cell.hold(Millis(21), &"w1".into(), true).map(|hold| hold.confirmed), Some(0));
     write_batches(&mut cell, 22);
@@ -186,7 +200,7 @@
     let first = starts(&mut cell, 11);
     confirm_starts(&mut cell, 12, &first);
     let name = first[0].0.clone();
-    let silent = HoldError::Silent("no answer".to_string());
+    let silent = ReportError::NoReply("no answer".to_string());
     let mut retried = Vec::new();
     for now in (100..9_000).step_by(100) {
         let hold = cell.hold(Millis(now), &name, true);
@@ -205,12 +219,12 @@
 #[test]
 fn a_task_whose_copies_may_run_starts_elsewhere_as_soon_as_its_worker_is_silent() {
     let mut cell = cell(&[list_entry("w1", "a"), list_entry("w2", "b")]);
-    let copies = Step { copies: true, ..step(1) };
+    let copies = Step { allow_copies: true, ..step(1) };
     let key = submit(&mut cell, 10, 1, "q", vec![copies]);
     let first = starts(&mut cell, 11);
     confirm_starts(&mut cell, 12, &first);
     let name = first[0].0.clone();
-    let silent = HoldError::Silent("no answer".to_string());
+    let silent = ReportError::NoReply("no answer".to_string());
     assert!(!cell.unheld(Millis(0), &name, &silent));
     assert!(cell.unheld(Millis(0), &name, &silent));
     let retried = starts(&mut cell, 300);
@@ -218,7 +232,7 @@
     assert_ne!(retried[0].0, name);
     // The first end counts, and the other run is stopped.
     confirm_starts(&mut cell, 301, &retried);
-    let done = end_report(1, first[0].1.task, first[0].1.run, End::Done);
+    let done = end_report(1, first[0].1.task, first[0].1.run, EndReason::Done);
     cell.held(Millis(400), Millis(399), &name, &done);
     write_batches(&mut cell, 401);
     assert!(matches!(cell.job_state(key), Some(JobState::Closed(_))));
@@ -237,13 +251,14 @@
     let first = starts(&mut cell, 11);
     confirm_starts(&mut cell, 12, &first[1..]);
     let (worker, lost) = first[0].clone();
-    cell.started(Millis(300), &worker, lost.task, lost.run, Outcome::Unknown);
+    cell.started(Millis(300), &worker, lost.task, lost.run, OrderOutcome::Unknown);
     let stop = Action::Stop { worker: worker.clone(), task: lost.task, run: lost.run };
     assert!(cell.take_actions().contains(&stop));
-    cell.stopped(Millis(302), &worker, lost.task, lost.run, Outcome::Done(None));
+    cell.stopped(Millis(302), &worker, lost.task, lost.run, OrderOutcome::Done(None));
     assert_eq!(starts(&mut cell, 303), Vec::new(), "nothing shows yet that it never began");
     let running = first[1..].iter().map(|(_, start)| running_row(start.task, start.run)).collect();
-    let report = Report { clock: 1_310, running, ended: Vec::new(), ..Report::default() };
+    let report =
+        WorkerReport { clock: 1_310, running, ended: Vec::new(), ..WorkerReport::default() };
     cell.held(Millis(310), Millis(305), &worker, &report);
     let retried = starts(&mut cell, 311);
     assert_eq!(retried.len(), 1);
@@ -260,7 +275,7 @@
         assert_eq!(started.len(), 1);
         confirm_starts(&mut cell, now + 1, &started);
         let (worker, start) = started[0].clone();
-        let report = end_report(attempt, start.task, start.run, End::Failed);
+        let report = end_report(attempt, start.task, start.run, EndReason::Failed);
         cell.held(Millis(now + 20), Millis(now + 10), &worker, &report);
     }
     write_batches(&mut cell, 300);
@@ -278,13 +293,13 @@
     let other = starts(&mut cell, 11);
     assert_eq!(other.len(), 3);
     confirm_starts(&mut cell, 12, &other);
-    let gang = Step { gang: true, ..step(6) };
+    let gang = Step { is_gang: true, ..step(6) };
     submit(&mut cell, 20, 2, "q", vec![gang]);
     assert_eq!(starts(&mut cell, 21), Vec::new());
     let (worker, start) = other[0].clone();
-    let report = end_report(1, start.task, start.run, End::Done);
+    let report = end_report(1, start.task, start.run, EndReason::Done);
     let running = other[1..].iter().map(|(_, start)| running_row(start.task, start.run)).collect();
-    cell.held(Millis(30), Millis(25), &worker, &Report { running, ..report });
+    cell.held(Millis(30), Millis(25), &worker, &WorkerReport { running, ..report });
     let whole = starts(&mut cell, 31);
     assert_eq!(whole.len(), 6);
     assert!(whole.iter().all(|(_, start)| start.run == whole[0].1.run));
@@ -349,12 +364,22 @@
     for id in ["w1", "w2"] {
         let id = id.into();
         new.hold(Millis(102), &id, true);
-        new.held(Millis(103), Millis(102), &id, &Report { clock: 1_000, ..Report::default() });
+        new.held(
+            Millis(103),
+            Millis(102),
+            &id,
+            &WorkerReport { clock: 1_000, ..WorkerReport::default() },
+        );
     }
     new.tick(Millis(110), Millis(110));
     assert_eq!(starts(&mut new, 111), Vec::new(), "the task may run on the third worker");
     new.hold(Millis(120), &"w3".into(), true);
-    new.held(Millis(121), Millis(120), &"w3".into(), &Report { clock: 1_000, ..Report::default() });
+    new.held(
+        Millis(121),
+        Millis(120),
+        &"w3".into(),
+        &WorkerReport { clock: 1_000, ..WorkerReport::default() },
+    );
     new.tick(Millis(130), Millis(130));
     assert_eq!(starts(&mut new, 131).len(), 1);
 }
@@ -372,7 +397,7 @@
         Millis(20),
         Millis(15),
         &"w1".into(),
-        &end_report(1, start.task, start.run, End::Stopped),
+        &end_report(1, start.task, start.run, EndReason::Stopped),
     );
     assert_eq!(cell.take_batch(Millis(21)), None);
     assert_eq!(cell.hold(Millis(22), &"w1".into(), true).map(|hold| hold.confirmed), Some(1));
@@ -399,8 +424,8 @@
     let mut new = Cell::new(2, bounds, queues, snapshot, true, Millis(12));
     new.set_workers(Millis(12), vec![list_entry("w1", "a")]);
     write_batches(&mut new, 13);
-    let task = TaskKey { step: StepKey { job: key, time: 0, step: 0 }, index: 0 };
-    new.held(Millis(20), Millis(15), &"w1".into(), &end_report(1, task, 1_025, End::Stopped));
+    let task = TaskKey { step: StepKey { job: key, repetition: 0, step: 0 }, index: 0 };
+    new.held(Millis(20), Millis(15), &"w1".into(), &end_report(1, task, 1_025, EndReason::Stopped));
     assert_eq!(new.take_batch(Millis(21)), None);
     assert!(!new.has_unstored());
 }
@@ -416,7 +441,7 @@
         Millis(20),
         Millis(15),
         &"w1".into(),
-        &end_report(1, start.task, start.run, End::Stopped),
+        &end_report(1, start.task, start.run, EndReason::Stopped),
     );
     let batch = cell.take_batch(Millis(21)).expect("the job's progress");
     let mut snapshot = Snapshot::default();
@@ -432,14 +457,18 @@
 fn a_run_of_unknown_size_takes_the_whole_worker_until_it_has_ended() {
     // The run's job ended under an earlier owner, which told the run to stop.
     let mut cell = cell(&[list_entry("w1", "a")]);
-    let step_key = sprucerudder::workload::StepKey { job: JobKey(9), time: 0, step: 0 };
+    let step_key = sprucerudder::workload::StepKey { job: JobKey(9), repetition: 0, step: 0 };
     let old = running_row(TaskKey { step: step_key, index: 0 }, 7);
-    let report =
-        Report { clock: 1_010, running: vec![old], ended: Vec::new(), ..Report::default() };
+    let report = WorkerReport {
+        clock: 1_010,
+        running: vec![old],
+        ended: Vec::new(),
+        ..WorkerReport::default()
+    };
     cell.held(Millis(10), Millis(9), &"w1".into(), &report);
     submit(&mut cell, 20, 1, "q", vec![step(1)]);
     assert_eq!(starts(&mut cell, 21), Vec::new());
-    let gone = end_report(1, TaskKey { step: step_key, index: 0 }, 7, End::Stopped);
+    let gone = end_report(1, TaskKey { step: step_key, index: 0 }, 7, EndReason::Stopped);
     cell.held(Millis(30), Millis(25), &"w1".into(), &gone);
     assert_eq!(starts(&mut cell, 31).len(), 1);
 }
@@ -449,7 +478,7 @@
     let mut cell = cell(&[list_entry("w1", "a"), list_entry("w2", "a")]);
     cell.hold(Millis(5), &"w1".into(), true);
     cell.set_workers(Millis(0), vec![list_entry("w2", "a")]);
-    let silent = HoldError::Silent("refused".to_string());
+    let silent = ReportError::NoReply("refused".to_string());
     cell.unheld(Millis(0), &"w1".into(), &silent);
     cell.unheld(Millis(0), &"w1".into(), &silent);
     cell.tick(Millis(600), Millis(600));
@@ -477,7 +506,12 @@
         Millis(0),
         vec![list_entry("w1", "a"), list_entry("w2", "b"), list_entry("w3", "b")],
     );
-    old.submit(Millis(10), JobKey(1), "q", work(vec![step(1), Step { after: vec![0], ..step(1) }]));
+    old.submit(
+        Millis(10),
+        JobKey(1),
+        "q",
+        work(vec![step(1), Step { dependencies: vec![0], ..step(1) }]),
+    );
     old.submit(Millis(10), JobKey(2), "q", work(vec![step(12)]));
     for _ in 0..4 {
         while let Some(batch) = old.take_batch(Millis(11)) {
@@ -506,7 +540,12 @@
     // none.
     let w1: Name = "w1".into();
     new.hold(Millis(102), &w1, true);
-    new.held(Millis(103), Millis(102), &w1, &Report { clock: 1_000, ..Report::default() });
+    new.held(
+        Millis(103),
+        Millis(102),
+        &w1,
+        &WorkerReport { clock: 1_000, ..WorkerReport::default() },
+    );
     new.tick(Millis(110), Millis(110));
     let first = starts(&mut new, 111);
     assert_eq!(
@@ -520,23 +559,23 @@
 }
 
 /// A report that lists these runs, each with its saved progress.
-fn running_report(rows: &[(TaskKey, u64, &str)]) -> Report {
-    let row = |(task, run, saved): &(TaskKey, u64, &str)| RunningRow {
-        saved: (*saved).into(),
+fn running_report(rows: &[(TaskKey, u64, &str)]) -> WorkerReport {
+    let row = |(task, run, saved): &(TaskKey, u64, &str)| RunningTask {
+        checkpoint: (*saved).into(),
         ..running_row(*task, *run)
     };
-    Report {
+    WorkerReport {
         clock: 1_000,
         running: rows.iter().map(row).collect(),
         ended: Vec::new(),
-        ..Report::default()
+        ..WorkerReport::default()
     }
 }
 
 #[test]
 fn a_worker_on_which_a_run_makes_no_progress_gets_no_new_tasks() {
     let mut cell = cell(&[list_entry("w1", "a"), list_entry("w2", "a")]);
-    let saves = Step { saves: true, ..step(1) };
+    let saves = Step { has_checkpoints: true, ..step(1) };
     submit(&mut cell, 10, 1, "q", vec![saves]);
     let first = starts(&mut cell, 11);
     confirm_starts(&mut cell, 12, &first);
@@ -570,7 +609,7 @@
         confirm_starts(&mut cell, now, &started);
         let (name, start) = &started[0];
         now += 950 + key % 3 * 50;
-        let done = end_report(key, start.task, start.run, End::Done);
+        let done = end_report(key, start.task, start.run, EndReason::Done);
         cell.held(Millis(now), Millis(now - 5), name, &done);
         write_batches(&mut cell, now);
     }
@@ -601,7 +640,7 @@
 #[test]
 fn a_late_task_gets_a_copy_and_the_first_one_done_counts() {
     let (mut cell, from) = cell_with_known_run_times();
-    let key = submit(&mut cell, from, 1, "q", vec![Step { copies: true, ..step(1) }]);
+    let key = submit(&mut cell, from, 1, "q", vec![Step { allow_copies: true, ..step(1) }]);
     let first = starts(&mut cell, from);
     confirm_starts(&mut cell, from, &first);
     let (name, start) = first[0].clone();
@@ -612,7 +651,7 @@
     assert_eq!(copy.len(), 1);
     confirm_starts(&mut cell, late, &copy);
     let (other, retried) = copy[0].clone();
-    let done = end_report(200, retried.task, retried.run, End::Done);
+    let done = end_report(200, retried.task, retried.run, EndReason::Done);
     cell.held(Millis(late + 900), Millis(late + 895), &other, &done);
     write_batches(&mut cell, late + 900);
     assert!(matches!(cell.job_state(key), Some(JobState::Closed(_))));
@@ -622,7 +661,11 @@
 
 #[test]
 fn a_question_is_asked_again_when_its_entry_reconnects() {
-    let advice = Advice { base: Millis(20), each: 300, valid: Millis(2_500) };
+    let advice = AdviceConfig {
+        base_latency: Millis(20),
+        worker_micros: 300,
+        ticket_validity: Millis(2_500),
+    };
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("q", 0)).clone() });
     let mut cell = cell(&[list_entry("w1", "a")]);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
@@ -654,7 +697,11 @@
 
 #[test]
 fn busy_workers_are_asked_about_once_and_then_only_cleared_ones_with_room() {
-    let advice = Advice { base: Millis(400), each: 7_000, valid: Millis(2_000) };
+    let advice = AdviceConfig {
+        base_latency: Millis(400),
+        worker_micros: 7_000,
+        ticket_validity: Millis(2_000),
+    };
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("adv", 0)).clone() });
     let mut cell = cell(&[list_entry("w1", "a"), list_entry("w2", "a"), list_entry("w3", "a")]);
     let queues = [("q".into(), queue("q", 0)), ("adv".into(), advised)];
@@ -668,30 +715,36 @@
     confirm_starts(&mut cell, 12, &first);
     let full: Vec<Name> = first.iter().map(|(name, _)| name.clone()).collect();
     let key = submit(&mut cell, 20, 2, "adv", vec![step(4)]);
-    let step_key = sprucerudder::workload::StepKey { job: key, time: 0, step: 0 };
+    let step_key = sprucerudder::workload::StepKey { job: key, repetition: 0, step: 0 };
     let all = asked_workers(&mut cell, 21);
     assert_eq!(all.len(), 3, "busy workers are asked about, too: {all:?}");
     // Only a full worker is cleared: nothing more is asked while it has no room, however long that
     // takes.
     let cleared = full[0].clone();
-    let rows = vec![(cleared.clone(), "ticket".into())];
-    let answer = sprucerudder::order::Cleared { rows, valid: None };
+    let tickets = vec![(cleared.clone(), "ticket".into())];
+    let answer = sprucerudder::order::ClearedWorkers { tickets, valid_for: None };
     cell.advised(Millis(500), &"e".into(), step_key, &all, Some(answer));
     for now in (600..6_000).step_by(100) {
         cell.tick(Millis(now), Millis(now));
         assert_eq!(asked_workers(&mut cell, now), Vec::<Name>::new(), "at {now}");
     }
     // Its ticket has expired; it is asked about again once it has room.
-    let end_row = |no: u64, start: &Start| EndedRow {
-        no,
+    let end_row = |seq: u64, start: &StartOrder| EndedTask {
+        seq,
         task: start.task,
         run: start.run,
-        end: End::Done,
-        saved: "".into(),
+        reason: EndReason::Done,
+        checkpoint: "".into(),
     };
     let cleared_starts = first.iter().filter(|(name, _)| *name == cleared).enumerate();
-    let rows = cleared_starts.map(|(index, (_, start))| end_row(index as u64 + 1, start)).collect();
-    let report = Report { clock: 9_000, running: Vec::new(), ended: rows, ..Report::default() };
+    let tickets =
+        cleared_starts.map(|(index, (_, start))| end_row(index as u64 + 1, start)).collect();
+    let report = WorkerReport {
+        clock: 9_000,
+        running: Vec::new(),
+        ended: tickets,
+        ..WorkerReport::default()
+    };
     cell.held(Millis(6_000), Millis(5_900), &cleared, &report);
     assert_eq!(asked_workers(&mut cell, 6_001), vec![cleared]);
 }
@@ -707,15 +760,21 @@
     let mut cell = cell(&workers);
     let domain = |name: &Name| workers.iter().find(|one| one.id == *name).unwrap().domain.clone();
     // Jobs arrive all the time; orders into domain `a` are lost from the first one on.
-    let mut lost: Vec<(u64, Name, Start)> = Vec::new();
+    let mut lost: Vec<(u64, Name, StartOrder)> = Vec::new();
     let mut late_starts: Vec<u64> = Vec::new();
     for (index, now) in (100..700).step_by(50).enumerate() {
-        let room = Room { cpu: 100, mem: 100, gpu: 0 };
-        let spread = Step { apart: 1, room, ..step(2) };
+        let resources = Resources { cpu: 100, mem: 100, gpu: 0 };
+        let spread = Step { worker_limit: 1, resources, ..step(2) };
         submit(&mut cell, now, index as u64 + 1, "q", vec![spread]);
         for (name, start) in starts(&mut cell, now + 1) {
             if *domain(&name) == *"b" {
-                cell.started(Millis(now + 3), &name, start.task, start.run, Outcome::Done(None));
+                cell.started(
+                    Millis(now + 3),
+                    &name,
+                    start.task,
+                    start.run,
+                    OrderOutcome::Done(None),
+                );
                 continue;
             }
             lost.push((now + 300, name, start));
@@ -727,7 +786,7 @@
             lost.into_iter().partition(|(due, ..)| *due <= now + 50);
         lost = rest;
         for (_, name, start) in due {
-            cell.started(Millis(now + 50), &name, start.task, start.run, Outcome::Unknown);
+            cell.started(Millis(now + 50), &name, start.task, start.run, OrderOutcome::Unknown);
         }
     }
     assert_eq!(
@@ -736,7 +795,12 @@
         "starts into the domain after two were not answered"
     );
     // A worker that reports gets tasks again.
-    cell.held(Millis(800), Millis(790), &"w3".into(), &Report { clock: 9, ..Report::default() });
+    cell.held(
+        Millis(800),
+        Millis(790),
+        &"w3".into(),
+        &WorkerReport { clock: 9, ..WorkerReport::default() },
+    );
     submit(&mut cell, 801, 99, "q", vec![step(4)]);
     assert!(starts(&mut cell, 802).iter().any(|(name, _)| **name == *"w3"));
 }
@@ -744,35 +808,39 @@
 #[test]
 fn an_owner_that_a_worker_refuses_for_a_higher_fence_is_deposed_at_once() {
     let deposed = |cell: &mut Cell| cell.take_actions().contains(&Action::Deposed);
-    let fence = Refusal::Fence;
+    let fence = Refusal::StaleFence;
     let mut by_report = cell(&[list_entry("w1", "a")]);
-    by_report.unheld(Millis(10), &"w1".into(), &HoldError::Refused(fence));
+    by_report.unheld(Millis(10), &"w1".into(), &ReportError::Refused(fence));
     assert!(deposed(&mut by_report));
     let mut by_start = cell(&[list_entry("w1", "a")]);
     submit(&mut by_start, 10, 1, "q", vec![step(1)]);
     let (name, start) = starts(&mut by_start, 11).remove(0);
-    by_start.started(Millis(12), &name, start.task, start.run, Outcome::Refused(fence));
+    by_start.started(Millis(12), &name, start.task, start.run, OrderOutcome::Refused(fence));
     assert!(deposed(&mut by_start));
     let mut by_stop = cell(&[list_entry("w1", "a")]);
-    by_stop.stopped(Millis(12), &name, start.task, start.run, Outcome::Refused(fence));
+    by_stop.stopped(Millis(12), &name, start.task, start.run, OrderOutcome::Refused(fence));
     assert!(deposed(&mut by_stop));
 }
 
 #[test]
 fn workers_that_already_run_the_step_do_not_keep_others_from_being_asked_about() {
-    let advice = Advice { base: Millis(20), each: 10_000, valid: Millis(2_000) };
+    let advice = AdviceConfig {
+        base_latency: Millis(20),
+        worker_micros: 10_000,
+        ticket_validity: Millis(2_000),
+    };
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("q", 0)).clone() });
     let mut cell = cell(&[list_entry("w1", "a"), list_entry("w2", "a"), list_entry("w3", "a")]);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
     cell.add_entry("e".into(), true);
-    let apart = Step { apart: 1, lasting: true, ..step(2) };
+    let apart = Step { worker_limit: 1, long_running: true, ..step(2) };
     let key = submit(&mut cell, 10, 1, "q", vec![apart]);
-    let step_key = sprucerudder::workload::StepKey { job: key, time: 0, step: 0 };
+    let step_key = sprucerudder::workload::StepKey { job: key, repetition: 0, step: 0 };
     assert_eq!(asked_workers(&mut cell, 11).len(), 3);
     // Two are cleared and run a task each; nothing is known of the third.
     let cleared: Vec<Name> = vec!["w1".into(), "w2".into()];
-    let rows = cleared.iter().map(|name| (name.clone(), "ticket".into())).collect();
-    let answer = sprucerudder::order::Cleared { rows, valid: None };
+    let tickets = cleared.iter().map(|name| (name.clone(), "ticket".into())).collect();
+    let answer = sprucerudder::order::ClearedWorkers { tickets, valid_for: None };
     cell.advised(Millis(100), &"e".into(), step_key, &cleared, Some(answer));
     let first = starts(&mut cell, 101);
     assert_eq!(first.len(), 2);
@@ -787,21 +855,26 @@
 
 #[test]
 fn a_gang_asks_about_more_workers_while_the_cleared_ones_cannot_hold_all_of_it() {
-    let advice = Advice { base: Millis(20), each: 10_000, valid: Millis(2_000) };
+    let advice = AdviceConfig {
+        base_latency: Millis(20),
+        worker_micros: 10_000,
+        ticket_validity: Millis(2_000),
+    };
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("q", 0)).clone() });
-    let workers: Vec<Listed> = (0..12).map(|index| list_entry(&format!("w{index}"), "a")).collect();
+    let workers: Vec<WorkerInfo> =
+        (0..12).map(|index| list_entry(&format!("w{index}"), "a")).collect();
     let mut cell = cell(&workers);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
     cell.add_entry("e".into(), true);
     // Each worker holds one task of the gang.
-    let room = Room { cpu: 4_000, mem: 4_000, gpu: 0 };
-    let gang = Step { gang: true, room, ..step(4) };
+    let resources = Resources { cpu: 4_000, mem: 4_000, gpu: 0 };
+    let gang = Step { is_gang: true, resources, ..step(4) };
     let key = submit(&mut cell, 10, 1, "q", vec![gang]);
-    let step_key = sprucerudder::workload::StepKey { job: key, time: 0, step: 0 };
+    let step_key = sprucerudder::workload::StepKey { job: key, repetition: 0, step: 0 };
     let answer = |cell: &mut Cell, now: u64, asked: &[Name], cleared: usize| {
         let cleared = asked.iter().take(cleared);
-        let rows = cleared.map(|name| (name.clone(), "ticket".into())).collect();
-        let answer = sprucerudder::order::Cleared { rows, valid: None };
+        let tickets = cleared.map(|name| (name.clone(), "ticket".into())).collect();
+        let answer = sprucerudder::order::ClearedWorkers { tickets, valid_for: None };
         cell.advised(Millis(now), &"e".into(), step_key, asked, Some(answer));
     };
     let first = asked_workers(&mut cell, 11);
@@ -818,19 +891,23 @@
 
 #[test]
 fn a_gang_starts_though_two_questions_take_longer_than_a_ticket_is_valid() {
-    let advice = Advice { base: Millis(1_000), each: 10_000, valid: Millis(2_000) };
+    let advice = AdviceConfig {
+        base_latency: Millis(1_000),
+        worker_micros: 10_000,
+        ticket_validity: Millis(2_000),
+    };
     let advised = Arc::new(Queue { advice: Some(advice), ..(*queue("q", 0)).clone() });
-    let workers: Vec<Listed> =
+    let workers: Vec<WorkerInfo> =
         (0..150).map(|index| list_entry(&format!("w{index:03}"), "a")).collect();
     let mut cell = cell(&workers);
     cell.set_queues(HashMap::from([("q".into(), advised)]));
     cell.add_entry("e".into(), true);
     // One worker in ten is cleared, and each holds one task of the gang.
     let is_cleared = |name: &Name| name.ends_with('7');
-    let room = Room { cpu: 4_000, mem: 4_000, gpu: 0 };
-    let gang = Step { gang: true, room, ..step(12) };
+    let resources = Resources { cpu: 4_000, mem: 4_000, gpu: 0 };
+    let gang = Step { is_gang: true, resources, ..step(12) };
     let key = submit(&mut cell, 10, 1, "q", vec![gang]);
-    let step_key = sprucerudder::workload::StepKey { job: key, time: 0, step: 0 };
+    let step_key = sprucerudder::workload::StepKey { job: key, repetition: 0, step: 0 };
     let mut now = 11;
     let mut started = 0;
     while started == 0 && now < 20_000 {
@@ -838,8 +915,8 @@
         // A question takes 1.3 s, even if it names few workers.
         now += 1_300;
         let cleared = asked.iter().filter(|name| is_cleared(name));
-        let rows = cleared.map(|name| (name.clone(), "ticket".into())).collect();
-        let answer = sprucerudder::order::Cleared { rows, valid: None };
+        let tickets = cleared.map(|name| (name.clone(), "ticket".into())).collect();
+        let answer = sprucerudder::order::ClearedWorkers { tickets, valid_for: None };
         cell.advised(Millis(now), &"e".into(), step_key, &asked, Some(answer));
         started = starts(&mut cell, now).len();
         now += 300;
@@ -904,7 +981,7 @@
     let first = starts(&mut cell, 11);
     confirm_starts(&mut cell, 12, &first);
     let name = first[0].0.clone();
-    let silent = HoldError::Silent("no answer".into());
+    let silent = ReportError::NoReply("no answer".into());
     cell.set_overloaded(true);
     for now in (1_000..20_000).step_by(500) {
         cell.unheld(Millis(now), &name, &silent);
@@ -913,7 +990,7 @@
     }
     // The worker had answered all the time: the task was done long ago.
     let (task, run) = (first[0].1.task, first[0].1.run);
-    cell.held(Millis(20_000), Millis(19_900), &name, &end_report(1, task, run, End::Done));
+    cell.held(Millis(20_000), Millis(19_900), &name, &end_report(1, task, run, EndReason::Done));
     write_batches(&mut cell, 20_001);
     cell.set_overloaded(false);
     cell.tick(Millis(20_100), Millis(20_100));
@@ -936,7 +1013,7 @@
     cell.resume_after_pause(Millis(20_000));
     cell.mark_stored(Millis(20_000), batch.number);
     assert_eq!(starts(&mut cell, 20_001), Vec::new(), "it was decided before the pause");
-    let answer = Report { clock: 21_000, ..Report::default() };
+    let answer = WorkerReport { clock: 21_000, ..WorkerReport::default() };
     cell.held(Millis(20_002), Millis(19_000), &"w1".into(), &answer);
     assert_eq!(
         starts(&mut cell, 20_003),
@@ -962,9 +1039,12 @@
     let started = starts(&mut cell, 11);
     assert_eq!(cell.pending_jobs("q"), 1, "nothing is known to have begun");
     let (worker, start) = &started[0];
-    cell.started(Millis(400), worker, start.task, start.run, Outcome::Unknown);
+    cell.started(Millis(400), worker, start.task, start.run, OrderOutcome::Unknown);
     assert_eq!(cell.pending_jobs("q"), 1);
-    let report = Report { running: vec![running_row(start.task, start.run)], ..Report::default() };
+    let report = WorkerReport {
+        running: vec![running_row(start.task, start.run)],
+        ..WorkerReport::default()
+    };
     cell.held(Millis(500), Millis(450), worker, &report);
     assert_eq!(cell.pending_jobs("q"), 0, "the worker runs it");
 }
@@ -978,13 +1058,13 @@
 fn a_new_owner_adopts_a_run_that_is_newer_than_the_recorded_one() {
     let workers = [list_entry("w1", "a"), list_entry("w2", "a"), list_entry("w3", "a")];
     let (at, other) = (&workers[0].id, &workers[1].id);
-    let task = TaskKey { step: StepKey { job: JobKey(1), time: 0, step: 0 }, index: 0 };
+    let task = TaskKey { step: StepKey { job: JobKey(1), repetition: 0, step: 0 }, index: 0 };
     let bound = Some((1_025, at.clone()));
     let note =
         TaskProgress { index: 0, failed: Vec::new(), checkpoint: "".into(), assignment: bound };
     let step_note = StepProgress { step_index: (0, 0), done: Vec::new(), tasks: vec![note] };
     let record = JobRecord::Open { queue: (*queue("q", 0)).clone(), work: work(vec![step(1)]) };
-    let member = |one: &Listed| WorkerRecord {
+    let member = |one: &WorkerInfo| WorkerRecord {
         id: one.id.clone(),
         service: one.service.clone(),
         addr: one.addr.clone(),
@@ -1007,11 +1087,11 @@
         next.hold(Millis(1_001), &worker.id, true);
     }
     let newer = vec![running_row(task, 1_026)];
-    let report = Report { clock: 1_000, running: newer, ..Report::default() };
+    let report = WorkerReport { clock: 1_000, running: newer, ..WorkerReport::default() };
     next.held(Millis(1_003), Millis(1_002), other, &report);
-    let end = end_report(1, task, 1_025, End::Failed);
+    let end = end_report(1, task, 1_025, EndReason::Failed);
     next.held(Millis(1_004), Millis(1_002), at, &end);
-    next.held(Millis(1_005), Millis(1_002), &workers[2].id, &Report::default());
+    next.held(Millis(1_005), Millis(1_002), &workers[2].id, &WorkerReport::default());
     next.tick(Millis(1_100), Millis(1_100));
     next.schedule(Millis(1_101));
     write_batches(&mut next, 1_101);
@@ -1057,7 +1137,7 @@
     // The first waiting task of a step had two crashes, and the only worker had just started: no
     // task of the step was placed until the worker had been up for long enough.
     let crash = |index: u32| Crash {
-        worker: Life { id: format!("gone{index}").into(), born: None },
+        worker: Incarnation { id: format!("gone{index}").into(), started_at: None },
         addr: format!("gone{index}").into(),
         evidence: Evidence::Doubtful,
         is_confirmed: true,
@@ -1082,7 +1162,7 @@
     write_batches(&mut cell, 1);
     let w1: Name = "w1".into();
     cell.hold(Millis(2), &w1, true);
-    cell.held(Millis(3), Millis(2), &w1, &Report { clock: 1_000, ..Report::default() });
+    cell.held(Millis(3), Millis(2), &w1, &WorkerReport { clock: 1_000, ..WorkerReport::default() });
     let started = starts(&mut cell, 4);
     let indices: Vec<u32> = started.iter().map(|(_, start)| start.task.index).collect();
     assert_eq!(indices, [1]);
--- a/tests/cellworld/checks.rs
+++ b/tests/cellworld/checks.rs
@@ -65,23 +65,25 @@
     /// less than half of the whole capacity is in use.
     pub(super) fn could_run(&self, step: StepKey) -> bool {
         let spec = &self.works[&step.job].steps[usize::from(step.step)];
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let alive = || self.workers.values().filter(|worker| worker.alive);
-        let used = |worker: &SimWorker| -> Room {
-            worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge))
+        let used = |worker: &SimWorker| -> Resources {
+            worker.running.values().fold(Resources::default(), |sum, run| sum.plus(&run.charge))
         };
         let runs =
             alive().any(|worker| worker.running.keys().any(|task| task.step.job == step.job));
-        let all: u64 = alive().map(|worker| worker.listed.room.cpu).sum();
+        let all: u64 = alive().map(|worker| worker.listed.capacity.cpu).sum();
         let taken: u64 = alive().map(|worker| used(worker).cpu).sum();
         let double = charge.plus(&charge);
         let has_spare_room = |worker: &SimWorker| {
             let is_partitioned = worker.partitioned_until + WAIT_GRACE_MS > self.now;
             let may_run = self.is_cleared(step, &worker.listed.id);
-            !is_partitioned && may_run && worker.listed.room.less(&used(worker)).holds(&double)
+            !is_partitioned
+                && may_run
+                && worker.listed.capacity.saturating_sub(&used(worker)).can_fit(&double)
         };
         // A gang needs room for all of its tasks at once.
-        !spec.gang && !runs && taken * 2 < all && alive().any(has_spare_room)
+        !spec.is_gang && !runs && taken * 2 < all && alive().any(has_spare_room)
     }
 
     /// Checks that owners in contact start a task at most twice more after three workers crashed
@@ -107,16 +109,17 @@
     pub(super) fn check_start(&mut self, name: &Name, task: TaskKey, spec: &Step) {
         let job = task.step.job;
         let worker = &self.workers[name];
-        let used = worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge));
-        let wanted = used.plus(&spec.charge());
+        let used =
+            worker.running.values().fold(Resources::default(), |sum, run| sum.plus(&run.charge));
+        let wanted = used.plus(&spec.charged_resources());
         let before = worker.old_rooms.iter().filter(|(until, _)| *until >= self.now);
-        let mut allowed = before.map(|(_, room)| *room).chain([worker.listed.room]);
-        let overcommitted = !allowed.any(|room| room.holds(&wanted));
+        let mut allowed = before.map(|(_, room)| *room).chain([worker.listed.capacity]);
+        let overcommitted = !allowed.any(|room| room.can_fit(&wanted));
         let here = worker.running.keys().filter(|other| other.step == task.step).count() as u32;
-        let is_crowded = spec.apart > 0 && here >= spec.apart;
+        let is_crowded = spec.worker_limit > 0 && here >= spec.worker_limit;
         let duplicate =
             self.workers.values().any(|worker| worker.alive && worker.running.contains_key(&task));
-        let is_early = spec.after.iter().any(|after| {
+        let is_early = spec.dependencies.iter().any(|after| {
             let count = self.works[&job].steps[usize::from(*after)].count;
             let step = StepKey { step: *after, ..task.step };
             (0..count).any(|index| !self.done.contains_key(&TaskKey { step, index }))
@@ -127,16 +130,16 @@
         let checks = [
             (overcommitted, "a worker runs more than its capacity"),
             (is_crowded, "more tasks of a step on one worker than allowed"),
-            (duplicate && !spec.copies, "a task runs twice at once"),
+            (duplicate && !spec.allow_copies, "a task runs twice at once"),
             (is_early, "a task starts before what it depends on is done"),
-            (is_done && !spec.copies, "a task starts again after its end was confirmed"),
+            (is_done && !spec.allow_copies, "a task starts again after its end was confirmed"),
         ];
         for (is_violated, what) in checks {
             if is_violated {
                 self.record_violation(format!("{what}: {task} on {name}"));
             }
         }
-        if failure_count >= self.base_queue.attempts as usize && !spec.lasting {
+        if failure_count >= self.base_queue.max_attempts as usize && !spec.long_running {
             self.excess_starts.push((task, failure_count));
             self.check_attempts();
         }
@@ -145,7 +148,7 @@
     /// Checks that no task started more often than its queue allows. Failures that were lost with
     /// their worker before anybody confirmed them do not count.
     pub(super) fn check_attempts(&mut self) {
-        let allowed = self.base_queue.attempts as usize;
+        let allowed = self.base_queue.max_attempts as usize;
         let excess = self.excess_starts.iter().find(|(task, failed)| {
             let ends = self.failures.get(task).map(Vec::as_slice).unwrap_or_default();
             ends.iter().take(*failed).filter(|(.., confirmed)| *confirmed).count() >= allowed
--- a/tests/cellworld/faults.rs
+++ b/tests/cellworld/faults.rs
@@ -13,8 +13,8 @@
         self.resize_count += 1;
         let until = self.now + CONTACT_MS + HEARTBEAT_MS;
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.old_rooms.push((until, worker.listed.room));
-            worker.listed.room = room(cpu);
+            worker.old_rooms.push((until, worker.listed.capacity));
+            worker.listed.capacity = room(cpu);
         }
         // The worker's next list entry has the new capacity, and each owner reads the list at its
         // own interval.
@@ -102,7 +102,7 @@
         let id: Name = format!("{}+{}", old.addr, self.restart_count).into();
         self.add_worker(id.clone(), 0);
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.listed = Listed { id, ..old };
+            worker.listed = WorkerInfo { id, ..old };
         }
         self.publish_list();
     }
@@ -124,8 +124,8 @@
         self.add_worker(name.clone(), 0);
         if let Some(worker) = self.workers.get_mut(name) {
             (worker.clock_base, worker.clock_drift) = (clock_base, clock_drift);
-            worker.old_rooms.push((until, old.room));
-            worker.listed = Listed { born: Some(born), room: room(cpu), ..old };
+            worker.old_rooms.push((until, old.capacity));
+            worker.listed = WorkerInfo { started_at: Some(born), capacity: room(cpu), ..old };
         }
         self.publish_list();
     }
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -7,8 +7,8 @@
 
 use super::*;
 use sprucerudder::id::hash;
-use sprucerudder::order::Cleared;
-use sprucerudder::workload::Advice;
+use sprucerudder::order::ClearedWorkers;
+use sprucerudder::workload::AdviceConfig;
 
 /// How long a long-running task may be without a run, in milliseconds.
 const MAX_IDLE_MS: u64 = 9_000;
@@ -17,7 +17,11 @@
 /// How many tenths of the workers the advice service clears for a step.
 const CLEARED_TENTHS: u64 = 6;
 /// The time that a question takes, as on the deployment with the slowest advice service.
-const ADVICE: Advice = Advice { base: Millis(560), each: 8_000, valid: Millis(2_000) };
+const ADVICE: AdviceConfig = AdviceConfig {
+    base_latency: Millis(560),
+    worker_micros: 8_000,
+    ticket_validity: Millis(2_000),
+};
 /// The number of entries that are connected to an owner.
 const ENTRY_COUNT: usize = 9;
 
@@ -57,7 +61,7 @@
 
     /// Records the start of a long-running task.
     pub fn record_start(&mut self, task: TaskKey, spec: &Step) {
-        if spec.lasting {
+        if spec.long_running {
             self.started.insert(task);
         }
     }
@@ -84,7 +88,7 @@
         self.lasting.enabled = true;
         self.keeps_ids = keeps_ids;
         for worker in self.workers.values_mut() {
-            worker.listed.born = keeps_ids.then_some(Millis(7));
+            worker.listed.started_at = keeps_ids.then_some(Millis(7));
         }
         for index in 4..10 {
             self.add_worker(format!("w{index}").into(), index % 2);
@@ -95,13 +99,13 @@
         for job in jobs {
             let step = Step {
                 count: 1 + self.pick(4) as u32,
-                room: room(200 + self.pick(300)),
+                resources: room(200 + self.pick(300)),
                 estimate: Millis(60_000),
-                lasting: true,
-                apart: self.pick(2) as u32,
+                long_running: true,
+                worker_limit: self.pick(2) as u32,
                 ..Step::default()
             };
-            let work = Work { steps: vec![step], ..(*self.works[&job]).clone() };
+            let work = JobDefinition { steps: vec![step], ..(*self.works[&job]).clone() };
             self.works.insert(job, Arc::new(work));
         }
         let names: Vec<Name> = self.workers.keys().cloned().collect();
@@ -205,8 +209,8 @@
             return self.log_event(format!("{entry}'s answer about {} is lost", question.step));
         }
         let cleared = question.workers.iter().filter(|name| advice_clears(question.step, name));
-        let rows = cleared.map(|name| (name.clone(), "ticket".into())).collect();
-        let answer = Some(Cleared { rows, valid: None });
+        let tickets = cleared.map(|name| (name.clone(), "ticket".into())).collect();
+        let answer = Some(ClearedWorkers { tickets, valid_for: None });
         let cell = &mut self.owners[owner].cell;
         cell.advised(Millis(self.now), entry, question.step, &question.workers, answer);
         self.advance_owner(owner);
@@ -268,7 +272,7 @@
         }
         let progress = snapshot.progress.remove(&task.step.job).unwrap_or_default();
         let steps = progress.steps.into_iter();
-        let here = steps.filter(|step| step.step_index == (task.step.time, task.step.step));
+        let here = steps.filter(|step| step.step_index == (task.step.repetition, task.step.step));
         let tasks = here.flat_map(|step| step.tasks).filter(|note| note.index == task.index);
         let mut bound = tasks.filter_map(|note| note.assignment);
         bound.any(|(_, worker)| self.workers.get(&worker).is_none_or(|worker| !worker.alive))
@@ -283,17 +287,17 @@
     /// more task of this step.
     fn has_candidate(&self, task: TaskKey) -> bool {
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let double = charge.plus(&charge);
-        let used = |worker: &SimWorker| -> Room {
-            worker.running.values().fold(Room::default(), |sum, run| sum.plus(&run.charge))
+        let used = |worker: &SimWorker| -> Resources {
+            worker.running.values().fold(Resources::default(), |sum, run| sum.plus(&run.charge))
         };
         let takes = |worker: &SimWorker| {
             let here = worker.running.keys().filter(|other| other.step == task.step).count();
-            spec.apart == 0 || here < spec.apart as usize
+            spec.worker_limit == 0 || here < spec.worker_limit as usize
         };
         self.workers.iter().any(|(name, worker)| {
-            let has_room = worker.listed.room.less(&used(worker)).holds(&double);
+            let has_room = worker.listed.capacity.saturating_sub(&used(worker)).can_fit(&double);
             worker.alive && advice_clears(task.step, name) && has_room && takes(worker)
         })
     }
--- a/tests/cellworld/limits.rs
+++ b/tests/cellworld/limits.rs
@@ -54,7 +54,7 @@
             let current = limits.iter().rfind(|(at, _)| *at <= self.now);
             let (_, cpu) =
                 current.unwrap_or_else(|| panic!("workspace {name} has no limit at the start"));
-            let limit = Room { cpu: *cpu, ..Room::UNLIMITED };
+            let limit = Resources { cpu: *cpu, ..Resources::UNLIMITED };
             all.add(Workspace { name: name.clone(), weight: 1, limit }, []);
         }
         all
@@ -85,7 +85,7 @@
         let in_effect = limits[first..].iter().filter(|(at, _)| *at <= self.now);
         let max_limit = in_effect.map(|(_, limit)| *limit).max();
         let used = self.cpu_in_use(&workspace);
-        let wanted = used + spec.room.cpu;
+        let wanted = used + spec.resources.cpu;
         if max_limit.is_none_or(|limit| wanted > limit) && used > 0 {
             self.record_violation(format!(
                 "{task} takes workspace {workspace} to {wanted} of {max_limit:?}"
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -27,9 +27,10 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
 use sprucerudder::order::{
-    End, EndedRow, HoldError, Life, Listed, Outcome, Refusal, Report, Start,
+    EndReason, EndedTask, Incarnation, OrderOutcome, Refusal, ReportError, StartOrder, WorkerInfo,
+    WorkerReport,
 };
-use sprucerudder::workload::{JobKey, Queue, Room, Step, StepKey, TaskKey, Work};
+use sprucerudder::workload::{JobDefinition, JobKey, Queue, Resources, Step, StepKey, TaskKey};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
@@ -95,7 +96,7 @@
 struct Running {
     run: u64,
     ends_at: u64,
-    charge: Room,
+    charge: Resources,
     /// It was told to stop. It stays in the report, and its resources are released only when it
     /// ends.
     stopping: bool,
@@ -103,13 +104,13 @@
 
 #[derive(Debug)]
 struct SimWorker {
-    listed: Listed,
+    listed: WorkerInfo,
     /// What the worker's clock shows at time 0 of the simulation.
     clock_base: u64,
     fence: u64,
     lease_until: u64,
     running: BTreeMap<TaskKey, Running>,
-    ended: Vec<EndedRow>,
+    ended: Vec<EndedTask>,
     end_count: u64,
     /// The highest run of each task that was stopped or ended; starts up to it are refused.
     barred: BTreeMap<TaskKey, u64>,
@@ -129,7 +130,7 @@
     /// to it are not counted if they are confirmed afterwards.
     last_lapsed: u64,
     /// Capacities that it had before, each with the time until which it still counts.
-    old_rooms: Vec<(u64, Room)>,
+    old_rooms: Vec<(u64, Resources)>,
     /// How much slower its clock runs than the simulation's, in thousandths.
     clock_drift: u64,
 }
@@ -146,16 +147,16 @@
         self.lease_until = self.lease_until.max(until.min(latest));
     }
 
-    fn report(&self, now: u64) -> Report {
+    fn report(&self, now: u64) -> WorkerReport {
         let row = |(task, running): (&TaskKey, &Running)| rows::running(*task, running.run);
         let running = self.running.iter().map(row).collect();
-        let born = self.listed.born;
-        Report { born, clock: self.clock(now), running, ended: self.ended.clone() }
+        let started_at = self.listed.started_at;
+        WorkerReport { started_at, clock: self.clock(now), running, ended: self.ended.clone() }
     }
 
     /// The name of this incarnation; it tells incarnations with the same id apart.
     fn life(&self) -> Name {
-        match self.listed.born {
+        match self.listed.started_at {
             Some(born) => format!("{}@{born}", self.listed.id).into(),
             None => self.listed.id.clone(),
         }
@@ -174,7 +175,7 @@
         owner: usize,
         worker: Name,
         /// The incarnation that the order was decided for.
-        life: Option<Life>,
+        life: Option<Incarnation>,
         action: Action,
         delivery: Delivery,
     },
@@ -184,8 +185,8 @@
         start: bool,
         task: TaskKey,
         run: u64,
-        life: Option<Life>,
-        outcome: Outcome,
+        life: Option<Incarnation>,
+        outcome: OrderOutcome,
     },
     ReportCall {
         owner: usize,
@@ -199,7 +200,7 @@
         owner: usize,
         worker: Name,
         sent: u64,
-        result: Result<Report, HoldError>,
+        result: Result<WorkerReport, ReportError>,
     },
     PollReport {
         owner: usize,
@@ -365,7 +366,7 @@
     pub peak_cpu: u64,
     pub withdrawn_jobs: usize,
     restart_count: u64,
-    works: BTreeMap<JobKey, Arc<Work>>,
+    works: BTreeMap<JobKey, Arc<JobDefinition>>,
     /// Jobs whose record the store has had.
     accepted: BTreeSet<JobKey>,
     /// Tasks that ended successfully, and whether the end was confirmed.
@@ -391,8 +392,8 @@
     pub trace: Vec<String>,
 }
 
-fn room(cpu: u64) -> Room {
-    Room { cpu, mem: cpu, gpu: 0 }
+fn room(cpu: u64) -> Resources {
+    Resources { cpu, mem: cpu, gpu: 0 }
 }
 
 impl Simulation {
@@ -401,7 +402,7 @@
             name: "q".into(),
             service: "s".into(),
             priority: 0,
-            attempts: 3,
+            max_attempts: 3,
             stretch: 2_000,
             target: Millis(200),
             advice: None,
@@ -478,45 +479,52 @@
         self.now < FAULTS_END_MS && self.pick(100) < percent
     }
 
-    fn random_work(&mut self) -> Arc<Work> {
+    fn random_work(&mut self) -> Arc<JobDefinition> {
         let mut steps = Vec::new();
         for index in 0..1 + self.pick(3) as u16 {
-            let after = if index > 0 && self.pick(2) == 0 { vec![index - 1] } else { Vec::new() };
+            let dependencies =
+                if index > 0 && self.pick(2) == 0 { vec![index - 1] } else { Vec::new() };
             steps.push(Step {
                 count: 1 + self.pick(4) as u32,
-                room: room(300 + self.pick(700)),
+                resources: room(300 + self.pick(700)),
                 // Some tasks run for longer than a lease and a takeover together.
                 estimate: Millis(
                     200 + self.pick(1_500) + if self.pick(4) == 0 { 6_000 } else { 0 },
                 ),
-                after,
-                gang: self.pick(5) == 0,
-                saves: self.pick(2) == 0,
-                apart: if self.pick(4) == 0 { 1 } else { 0 },
+                dependencies,
+                is_gang: self.pick(5) == 0,
+                has_checkpoints: self.pick(2) == 0,
+                worker_limit: if self.pick(4) == 0 { 1 } else { 0 },
                 ..Step::default()
             });
         }
         let cap_count = |step: &mut Step| {
-            if step.apart == 1 {
+            if step.worker_limit == 1 {
                 step.count = step.count.min(2);
             }
         };
         steps.iter_mut().for_each(cap_count);
-        let spec = "text".into();
-        Arc::new(Work { spec, steps, times: 1, first: Millis(0), every: Millis(0) })
+        let payload = "text".into();
+        Arc::new(JobDefinition {
+            payload,
+            steps,
+            repetitions: 1,
+            first_due: Millis(0),
+            interval: Millis(0),
+        })
     }
 
     fn add_worker(&mut self, id: Name, domain: u64) {
-        let listed = Listed {
+        let listed = WorkerInfo {
             id: id.clone(),
             // Workers that get a new id at each restart need not report their start time.
-            born: self.keeps_ids.then_some(Millis(7)),
+            started_at: self.keeps_ids.then_some(Millis(7)),
             service: "s".into(),
             addr: id.clone(),
             domain: format!("d{domain}").into(),
-            room: room(2_000),
+            capacity: room(2_000),
             labels: vec!["a".into(), format!("r{domain}").into()],
-            leaving: None,
+            leaves_in: None,
         };
         let worker = SimWorker {
             listed,
@@ -630,7 +638,7 @@
                 // As in the owner's event loop: it is not known which of the two incarnations
                 // answered.
                 let is_other = life.is_some_and(|life| cell.has_restarted(&life));
-                let outcome = if is_other { Outcome::Unknown } else { outcome };
+                let outcome = if is_other { OrderOutcome::Unknown } else { outcome };
                 match start {
                     true => cell.started(now, &worker, task, run, outcome),
                     false => cell.stopped(now, &worker, task, run, outcome),
@@ -684,7 +692,7 @@
             Event::StopRun { worker, task, run } => {
                 let running = self.workers.get(&worker).and_then(|one| one.running.get(&task));
                 if running.is_some_and(|running| running.run == run) {
-                    self.end_run(&worker, task, End::Stopped);
+                    self.end_run(&worker, task, EndReason::Stopped);
                 }
             }
             Event::Submit { job } => self.submit(job),
@@ -701,8 +709,8 @@
             Event::RestoreRooms => {
                 let until = self.now + CONTACT_MS + HEARTBEAT_MS;
                 for worker in self.workers.values_mut() {
-                    worker.old_rooms.push((until, worker.listed.room));
-                    worker.listed.room = room(2_000);
+                    worker.old_rooms.push((until, worker.listed.capacity));
+                    worker.listed.capacity = room(2_000);
                 }
                 self.publish_list();
             }
@@ -774,7 +782,7 @@
         self.advance_owner(owner);
     }
 
-    fn listed_workers(&self) -> Vec<Listed> {
+    fn listed_workers(&self) -> Vec<WorkerInfo> {
         let alive = self.workers.values().filter(|worker| worker.alive || worker.still_listed);
         alive.map(|worker| worker.listed.clone()).collect()
     }
@@ -902,7 +910,7 @@
         let runs = known.is_some_and(|running| running.run == *run && !running.stopping);
         let job = task.step.job;
         let is_active = self.owners[owner].cell.job_state(job) == Some(JobState::Active);
-        let gang = self.works[&job].steps[usize::from(task.step.step)].gang;
+        let gang = self.works[&job].steps[usize::from(task.step.step)].is_gang;
         if runs && is_active && !gang && job.0 % 2 == 1 {
             self.preemptions += 1;
         }
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -47,7 +47,7 @@
         sent: u64,
         lost: bool,
     ) {
-        let silent = Err(HoldError::Silent("lost".to_string()));
+        let silent = Err(ReportError::NoReply("lost".to_string()));
         if lost || !self.can_reach(owner, &name) {
             return self.schedule_after(
                 CALL_TIMEOUT_MS,
@@ -58,13 +58,13 @@
         let (now, disabled) = (self.now, self.disabled);
         let Some(worker) = self.workers.get(&name) else { return };
         let result = if !worker.alive {
-            Err(HoldError::Refused(Refusal::OtherLife))
+            Err(ReportError::Refused(Refusal::OtherIncarnation))
         } else if epoch < worker.fence && disabled != Disabled::Fencing {
-            Err(HoldError::Refused(Refusal::Fence))
+            Err(ReportError::Refused(Refusal::StaleFence))
         } else {
             self.receive_report_call(&name, epoch, seen, until);
             let report = self.workers.get(&name).map(|worker| worker.report(now));
-            report.ok_or(HoldError::Refused(Refusal::OtherLife))
+            report.ok_or(ReportError::Refused(Refusal::OtherIncarnation))
         };
         let is_polling = matches!(&result, Ok(report) if report.ended.is_empty());
         let delay = if is_polling { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
@@ -90,19 +90,21 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.fence = worker.fence.max(epoch);
         worker.renew(now, until.unwrap_or(0));
-        let confirmed = worker.ended.iter().filter(|row| row.no <= seen && row.end == End::Done);
+        let confirmed =
+            worker.ended.iter().filter(|row| row.seq <= seen && row.reason == EndReason::Done);
         for row in confirmed {
             self.done.insert(row.task, true);
         }
         let (last_lapsed, life) = (worker.last_lapsed, worker.life());
-        let failed = worker.ended.iter().filter(|row| row.no <= seen && row.end == End::Failed);
-        for row in failed.filter(|row| row.no > last_lapsed) {
+        let failed =
+            worker.ended.iter().filter(|row| row.seq <= seen && row.reason == EndReason::Failed);
+        for row in failed.filter(|row| row.seq > last_lapsed) {
             let ends = self.failures.get_mut(&row.task).into_iter().flatten();
-            for (_, _, confirmed) in ends.filter(|(at, no, _)| *at == life && *no == row.no) {
+            for (_, _, confirmed) in ends.filter(|(at, no, _)| *at == life && *no == row.seq) {
                 *confirmed = true;
             }
         }
-        worker.ended.retain(|row| row.no > seen);
+        worker.ended.retain(|row| row.seq > seen);
         self.check_attempts();
     }
 
@@ -115,7 +117,7 @@
         let report = alive.map(|worker| worker.report(self.now));
         self.now -= delay;
         // What starts or ends after that is in the next report only.
-        let result = report.ok_or(HoldError::Refused(Refusal::OtherLife));
+        let result = report.ok_or(ReportError::Refused(Refusal::OtherIncarnation));
         self.schedule_after(delay, Event::ReportAnswered { owner, worker: name, sent, result });
     }
 
@@ -124,13 +126,13 @@
         &mut self,
         owner: usize,
         name: &Name,
-        life: Option<Life>,
+        life: Option<Incarnation>,
         action: &Action,
         delivery: Delivery,
     ) {
         let cell = &self.owners[owner].cell;
         let is_other = life.as_ref().is_some_and(|life| cell.has_restarted(life));
-        let current_life = self.workers.get(name).map(|worker| worker.listed.life());
+        let current_life = self.workers.get(name).map(|worker| worker.listed.incarnation());
         match action {
             _ if delivery == Delivery::ArrivesLate && current_life != life => return,
             Action::Start { .. }
@@ -155,14 +157,14 @@
         if let Delivery::Delayed(delay) = delivery {
             let (action, worker) = (action.clone(), name.clone());
             // A delayed order arrives even if its sender has died, but not at a restarted worker.
-            let life = self.workers.get(name).map(|worker| worker.listed.life());
+            let life = self.workers.get(name).map(|worker| worker.listed.incarnation());
             let late =
                 Event::Order { owner, worker, life, action, delivery: Delivery::ArrivesLate };
             self.schedule_after(delay, late);
-            return self.schedule_after(CALL_TIMEOUT_MS, answered(Outcome::Unknown));
+            return self.schedule_after(CALL_TIMEOUT_MS, answered(OrderOutcome::Unknown));
         }
         if delivery == Delivery::Lost || !self.can_reach(owner, name) {
-            return self.schedule_after(CALL_TIMEOUT_MS, answered(Outcome::Unknown));
+            return self.schedule_after(CALL_TIMEOUT_MS, answered(OrderOutcome::Unknown));
         }
         let epoch = self.owners[owner].cell.epoch();
         let is_late = delivery == Delivery::ArrivesLate;
@@ -176,7 +178,7 @@
         };
         match delivery {
             Delivery::Answered => self.schedule_after(1, answered(outcome)),
-            _ => self.schedule_after(CALL_TIMEOUT_MS, answered(Outcome::Unknown)),
+            _ => self.schedule_after(CALL_TIMEOUT_MS, answered(OrderOutcome::Unknown)),
         }
     }
 
@@ -184,7 +186,8 @@
     pub(super) fn withhold_start(&mut self, owner: usize, action: &Action, at: u64) {
         let Action::Start { worker, start, .. } = action else { return };
         let (worker, task, run) = (worker.clone(), start.task, start.run);
-        let (life, outcome) = (self.owners[owner].cell.worker_life(&worker), Outcome::Withheld);
+        let (life, outcome) =
+            (self.owners[owner].cell.worker_life(&worker), OrderOutcome::Withheld);
         self.schedule_at(
             at,
             Event::OrderAnswered { owner, worker, start: true, task, run, life, outcome },
--- a/tests/cellworld/search.rs
+++ b/tests/cellworld/search.rs
@@ -12,7 +12,7 @@
     let mut sim = Simulation::new(seed, Disabled::Nothing);
     sim.is_crowded = true;
     for worker in sim.workers.values_mut() {
-        worker.listed.room = room(1_200);
+        worker.listed.capacity = room(1_200);
     }
     sim.publish_list();
     run_to_violation(sim, seed)
@@ -36,11 +36,11 @@
     let jobs: Vec<JobKey> = sim.works.keys().copied().collect();
     for job in jobs.into_iter().filter(|job| job.0 % 4 == 0) {
         let mut work = (*sim.works[&job]).clone();
-        for step in work.steps.iter_mut().filter(|step| !step.gang) {
-            step.copies = job.0 % 8 == 0;
+        for step in work.steps.iter_mut().filter(|step| !step.is_gang) {
+            step.allow_copies = job.0 % 8 == 0;
         }
         sim.works.insert(job, Arc::new(work));
-        let step = StepKey { job, time: 0, step: 0 };
+        let step = StepKey { job, repetition: 0, step: 0 };
         sim.crash_tasks.insert(TaskKey { step, index: 0 }, BTreeSet::new());
     }
     sim
@@ -64,7 +64,7 @@
     sim.keeps_ids = true;
     let names: Vec<Name> = sim.workers.keys().cloned().collect();
     for worker in sim.workers.values_mut() {
-        worker.listed.born = Some(Millis(7));
+        worker.listed.started_at = Some(Millis(7));
     }
     sim.publish_list();
     for worker in names {
@@ -83,7 +83,7 @@
     let mut sim = Simulation::new(seed, Disabled::Nothing);
     sim.keeps_ids = true;
     for worker in sim.workers.values_mut() {
-        worker.listed.born = Some(Millis(7));
+        worker.listed.started_at = Some(Millis(7));
     }
     sim.publish_list();
     for _ in 0..1 + sim.pick(2) {
@@ -100,7 +100,7 @@
     let mut sim = Simulation::new(seed, Disabled::Nothing);
     sim.keeps_ids = true;
     for worker in sim.workers.values_mut() {
-        worker.listed.born = Some(Millis(7));
+        worker.listed.started_at = Some(Millis(7));
     }
     sim.publish_list();
     for _ in 0..1 + sim.pick(3) {
--- a/tests/cellworld/suspended.rs
+++ b/tests/cellworld/suspended.rs
@@ -51,7 +51,7 @@
                     _ => return,
                 };
                 let (name, outcome, delivery) =
-                    (worker.clone(), Outcome::Unknown, Delivery::ArrivesLate);
+                    (worker.clone(), OrderOutcome::Unknown, Delivery::ArrivesLate);
                 let decided_for = life.clone();
                 self.schedule_after(
                     CALL_TIMEOUT_MS,
@@ -66,7 +66,8 @@
                     },
                 );
                 // Only a message that was sent and reached the worker is delivered afterwards.
-                let current_life = self.workers.get(&name).map(|worker| worker.listed.life());
+                let current_life =
+                    self.workers.get(&name).map(|worker| worker.listed.incarnation());
                 if self.can_reach(owner, &name) && self.has_authority(owner) && current_life == life
                 {
                     self.schedule_at(
@@ -76,7 +77,7 @@
                 }
             }
             Event::ReportCall { owner, worker, seen, until, sent, lost } => {
-                let result = Err(HoldError::Silent("suspended".to_string()));
+                let result = Err(ReportError::NoReply("suspended".to_string()));
                 let name = worker.clone();
                 self.schedule_after(
                     CALL_TIMEOUT_MS,
--- a/tests/cellworld/worker.rs
+++ b/tests/cellworld/worker.rs
@@ -7,29 +7,29 @@
         &mut self,
         owner: Option<usize>,
         name: &Name,
-        start: &Start,
+        start: &StartOrder,
         until: u64,
         epoch: u64,
-    ) -> Outcome {
+    ) -> OrderOutcome {
         let (now, disabled) = (self.now, self.disabled);
-        let Some(worker) = self.workers.get_mut(name) else { return Outcome::Unsent };
+        let Some(worker) = self.workers.get_mut(name) else { return OrderOutcome::Unsent };
         let task = start.task;
         if !worker.alive {
-            return Outcome::Refused(Refusal::OtherLife);
+            return OrderOutcome::Refused(Refusal::OtherIncarnation);
         }
         if epoch < worker.fence && disabled != Disabled::Fencing {
-            return Outcome::Refused(Refusal::Fence);
+            return OrderOutcome::Refused(Refusal::StaleFence);
         }
         worker.fence = worker.fence.max(epoch);
         if until <= worker.clock(now) {
-            return Outcome::Refused(Refusal::Late);
+            return OrderOutcome::Refused(Refusal::LeaseExpired);
         }
         if worker.running.get(&task).is_some_and(|running| running.run == start.run) {
-            return Outcome::Done(None);
+            return OrderOutcome::Done(None);
         }
         let barred = worker.barred.get(&task).is_some_and(|barred| start.run <= *barred);
         if barred && disabled != Disabled::StopRecords {
-            return Outcome::Refused(Refusal::Old);
+            return OrderOutcome::Refused(Refusal::StaleRun);
         }
         worker.renew(now, until);
         let job = task.step.job;
@@ -38,7 +38,7 @@
         let running = Running {
             run: start.run,
             ends_at: now + length,
-            charge: spec.charge(),
+            charge: spec.charged_resources(),
             stopping: false,
         };
         self.check_start(name, task, &spec);
@@ -58,7 +58,7 @@
         self.log_event(format!("{name} starts {task} run {}", start.run));
         let length = match self.lasting.fails_runs(name, now) {
             true => Some(20 + self.pick(400)),
-            false => (!spec.lasting).then_some(length),
+            false => (!spec.long_running).then_some(length),
         };
         if let Some(length) = length {
             self.schedule_after(
@@ -66,17 +66,23 @@
                 Event::FinishRun { worker: name.clone(), task, run: start.run },
             );
         }
-        Outcome::Done(None)
+        OrderOutcome::Done(None)
     }
 
-    pub(super) fn stop_run(&mut self, name: &Name, task: TaskKey, run: u64, epoch: u64) -> Outcome {
+    pub(super) fn stop_run(
+        &mut self,
+        name: &Name,
+        task: TaskKey,
+        run: u64,
+        epoch: u64,
+    ) -> OrderOutcome {
         let disabled = self.disabled;
-        let Some(worker) = self.workers.get_mut(name) else { return Outcome::Unsent };
+        let Some(worker) = self.workers.get_mut(name) else { return OrderOutcome::Unsent };
         if !worker.alive {
-            return Outcome::Refused(Refusal::OtherLife);
+            return OrderOutcome::Refused(Refusal::OtherIncarnation);
         }
         if epoch < worker.fence && disabled != Disabled::Fencing {
-            return Outcome::Refused(Refusal::Fence);
+            return OrderOutcome::Refused(Refusal::StaleFence);
         }
         worker.fence = worker.fence.max(epoch);
         let barred = worker.barred.entry(task).or_default();
@@ -87,7 +93,7 @@
             let time = self.pick(MAX_STOP_MS);
             self.schedule_after(time, Event::StopRun { worker: name.clone(), task, run });
         }
-        Outcome::Done(None)
+        OrderOutcome::Done(None)
     }
 
     pub(super) fn finish_run(&mut self, name: &Name, task: TaskKey, run: u64) {
@@ -101,17 +107,17 @@
         let lasts = self.is_lasting(task.step.job);
         let failed = self.chance(6) || often_fails || is_failing || lasts;
         let spec = &self.works[&task.step.job].steps[usize::from(task.step.step)];
-        let (gang, count) = (spec.gang, spec.count as usize);
+        let (gang, count) = (spec.is_gang, spec.count as usize);
         if gang {
             return self.finish_gang(name, task, run, count, failed);
         }
         match failed {
             true => {
-                self.end_run(name, task, End::Failed);
+                self.end_run(name, task, EndReason::Failed);
             }
             false => {
                 self.done.entry(task).or_insert(false);
-                self.end_run(name, task, End::Done);
+                self.end_run(name, task, EndReason::Done);
             }
         }
     }
@@ -135,33 +141,33 @@
             .map(|(name, (other, _))| (name.clone(), *other))
             .collect();
         if members.len() < count {
-            return self.end_run(name, task, End::Alone);
+            return self.end_run(name, task, EndReason::GangIncomplete);
         }
         for (member, other) in members {
             match failed {
-                true if other == task => self.end_run(&member, other, End::Failed),
-                true => self.end_run(&member, other, End::Broken),
+                true if other == task => self.end_run(&member, other, EndReason::Failed),
+                true => self.end_run(&member, other, EndReason::GangBroken),
                 false => {
                     self.done.entry(other).or_insert(false);
-                    self.end_run(&member, other, End::Done);
+                    self.end_run(&member, other, EndReason::Done);
                 }
             }
         }
     }
 
-    pub(super) fn end_run(&mut self, name: &Name, task: TaskKey, end: End) {
+    pub(super) fn end_run(&mut self, name: &Name, task: TaskKey, reason: EndReason) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(running) = worker.running.remove(&task) else { return };
         worker.end_count += 1;
-        let no = worker.end_count;
+        let seq = worker.end_count;
         let barred = worker.barred.entry(task).or_default();
         *barred = (*barred).max(running.run);
-        if end == End::Failed && !self.lasting.has_started(task) {
+        if reason == EndReason::Failed && !self.lasting.has_started(task) {
             let life = worker.life();
-            self.failures.entry(task).or_default().push((life, no, false));
+            self.failures.entry(task).or_default().push((life, seq, false));
         }
-        worker.ended.push(EndedRow { no, task, run: running.run, end, saved: "".into() });
-        self.log_event(format!("{name} ends {task} run {}: {end:?}", running.run));
+        worker.ended.push(EndedTask { seq, task, run: running.run, reason, checkpoint: "".into() });
+        self.log_event(format!("{name} ends {task} run {}: {reason:?}", running.run));
     }
 
     /// Ends the runs of workers whose lease has expired.
@@ -184,7 +190,7 @@
             })
             .collect();
         for (name, task) in over {
-            self.end_run(&name, task, End::Lapsed);
+            self.end_run(&name, task, EndReason::LeaseExpired);
         }
     }
 }
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_gang_with_a_crashing_task_is_given_up() {
-    let (mut cluster, crashing) = crashing_cluster(6, 1, vec![Step { gang: true, ..step(3) }]);
+    let (mut cluster, crashing) = crashing_cluster(6, 1, vec![Step { is_gang: true, ..step(3) }]);
     cluster.run_for(60_000);
     assert_given_up(&cluster, crashing, "at the end");
 }
@@ -178,7 +178,8 @@
 /// incarnation was known to be gone.
 #[test]
 fn a_task_with_copies_is_not_copied_from_crash_to_crash() {
-    let (mut cluster, crashing) = crashing_cluster(24, 0, vec![Step { copies: true, ..step(2) }]);
+    let (mut cluster, crashing) =
+        crashing_cluster(24, 0, vec![Step { allow_copies: true, ..step(2) }]);
     cluster.run_for(2_000);
     assert!(cluster.crashes <= 2, "{} crashes in 2 s", cluster.crashes);
     cluster.run_for(60_000);
@@ -245,7 +246,7 @@
 fn other_work_continues_beside_several_crashing_tasks() {
     let mut cluster = Cluster::new(24);
     let (wide, gang, copies, lasting) = (job(1), job(2), job(3), job(4));
-    cluster.submit_long(lasting, vec![Step { lasting: true, ..step(6) }], 1_000_000);
+    cluster.submit_long(lasting, vec![Step { long_running: true, ..step(6) }], 1_000_000);
     cluster.run_for(3_000);
     for index in 0..4 {
         let crashing = job(0xbad0 + index);
@@ -253,8 +254,8 @@
         cluster.submit(crashing, vec![step(3)]);
     }
     cluster.submit_long(wide, vec![step(60)], 3_000);
-    cluster.submit_long(gang, vec![Step { gang: true, ..step(8) }], 3_000);
-    cluster.submit_long(copies, vec![Step { copies: true, ..step(8) }], 3_000);
+    cluster.submit_long(gang, vec![Step { is_gang: true, ..step(8) }], 3_000);
+    cluster.submit_long(copies, vec![Step { allow_copies: true, ..step(8) }], 3_000);
     cluster.run_for(40_000);
     for index in 0..4 {
         assert_given_up(&cluster, job(0xbad0 + index), "at the end");
