--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -12,8 +12,10 @@
 use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
-use sprucerudder::order::{End, EndedRow, HoldError, Listed, Outcome, Refusal, Report};
-use sprucerudder::workload::{JobKey, Queue, Room, Step, TaskKey, Work};
+use sprucerudder::order::{
+    EndReason, EndedTask, OrderOutcome, Refusal, ReportError, WorkerInfo, WorkerReport,
+};
+use sprucerudder::workload::{JobDefinition, JobKey, Queue, Resources, Step, TaskKey};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -37,8 +39,8 @@
 
 /// A step whose tasks need a quarter of a worker, for a second.
 pub fn step(count: u32) -> Step {
-    let room = Room { cpu: 4_000, mem: 1_000, gpu: 0 };
-    Step { count, room, estimate: Millis(1_000), ..Step::default() }
+    let resources = Resources { cpu: 4_000, mem: 1_000, gpu: 0 };
+    Step { count, resources, estimate: Millis(1_000), ..Step::default() }
 }
 
 struct Running {
@@ -50,7 +52,7 @@
 struct Host {
     incarnation: u64,
     running: BTreeMap<TaskKey, Running>,
-    ended: Vec<EndedRow>,
+    ended: Vec<EndedTask>,
     end_count: u64,
     /// No incarnation runs there before this time.
     down_until: u64,
@@ -89,7 +91,7 @@
         name: "q".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 3,
+        max_attempts: 3,
         stretch: 2_000,
         target: Millis(250),
         advice: None,
@@ -148,8 +150,14 @@
     }
 
     fn submit_to(&mut self, queue: &str, job: JobKey, steps: Vec<Step>, length: u64) {
-        let (first, every) = (Millis(0), Millis(0));
-        let work = Work { spec: length.to_string().into(), steps, times: 1, first, every };
+        let (first_due, interval) = (Millis(0), Millis(0));
+        let work = JobDefinition {
+            payload: length.to_string().into(),
+            steps,
+            repetitions: 1,
+            first_due,
+            interval,
+        };
         assert!(self.cell.submit(Millis(self.now), job, queue, Arc::new(work)).is_some());
     }
 
@@ -298,8 +306,14 @@
             for task in over {
                 let Some(running) = host.running.remove(&task) else { continue };
                 host.end_count += 1;
-                let (no, run) = (host.end_count, running.run);
-                host.ended.push(EndedRow { no, task, run, end: End::Done, saved: "".into() });
+                let (seq, run) = (host.end_count, running.run);
+                host.ended.push(EndedTask {
+                    seq,
+                    task,
+                    run,
+                    reason: EndReason::Done,
+                    checkpoint: "".into(),
+                });
             }
         }
     }
@@ -323,33 +337,33 @@
             let ids = self.listed_ids(index).into_iter();
             ids.map(move |id| (index, id))
         });
-        let listed = incarnations.map(|(index, id)| Listed {
+        let listed = incarnations.map(|(index, id)| WorkerInfo {
             id,
-            born: None,
+            started_at: None,
             service: "s".into(),
             addr: format!("a{index}").into(),
             domain: format!("d{}", index % 3).into(),
-            room: Room { cpu: self.hosts[index].cpu, mem: 32_000, gpu: 0 },
+            capacity: Resources { cpu: self.hosts[index].cpu, mem: 32_000, gpu: 0 },
             labels: vec!["a".into(), "r1".into()],
-            leaving: None,
+            leaves_in: None,
         });
         let listed = listed.collect();
         self.cell.set_workers(Millis(self.now), listed);
     }
 
     /// Calls an incarnation of a worker: returns the index of its host, or why there is no answer.
-    fn call_worker(&self, worker: &Name) -> Result<usize, HoldError> {
+    fn call_worker(&self, worker: &Name) -> Result<usize, ReportError> {
         let (index, incarnation) =
             worker[1..].split_once('.').expect("an id of the form w<index>.<incarnation>");
         let index: usize = index.parse().expect("the index of a worker");
         let host = &self.hosts[index];
         match () {
             () if host.partitioned_until > self.now => {
-                Err(HoldError::Silent("partitioned".to_string()))
+                Err(ReportError::NoReply("partitioned".to_string()))
             }
-            () if host.down_until > self.now => Err(HoldError::Silent("down".to_string())),
+            () if host.down_until > self.now => Err(ReportError::NoReply("down".to_string())),
             () if incarnation != host.incarnation.to_string() => {
-                Err(HoldError::Refused(Refusal::OtherLife))
+                Err(ReportError::Refused(Refusal::OtherIncarnation))
             }
             () => Ok(index),
         }
@@ -365,13 +379,17 @@
                 Ok(index) => {
                     self.renew_lease(index, hold.lease_end);
                     let host = &mut self.hosts[index];
-                    host.ended.retain(|row| row.no > hold.confirmed);
+                    host.ended.retain(|row| row.seq > hold.confirmed);
                     let row =
                         |(task, running): (&TaskKey, &Running)| rows::running(*task, running.run);
                     let running = host.running.iter().map(row).collect();
                     let clock = CLOCK_BASE_MS + now.0;
-                    let report =
-                        Report { clock, running, ended: host.ended.clone(), ..Report::default() };
+                    let report = WorkerReport {
+                        clock,
+                        running,
+                        ended: host.ended.clone(),
+                        ..WorkerReport::default()
+                    };
                     self.cell.held(now, now, &name, &report);
                 }
             }
@@ -408,26 +426,27 @@
         for action in self.cell.take_actions() {
             match action {
                 Action::Start { worker, start, until } => {
-                    let length = start.spec.parse().expect("the spec is a number of milliseconds");
+                    let length =
+                        start.payload.parse().expect("the spec is a number of milliseconds");
                     let outcome = match self.call_worker(&worker) {
                         Ok(index) => {
                             self.renew_lease(index, Some(until));
                             self.start_run(index, start.task, start.run, length)
                         }
-                        Err(HoldError::Refused(refusal)) => Outcome::Refused(refusal),
-                        Err(HoldError::Silent(_)) => Outcome::Unknown,
+                        Err(ReportError::Refused(refusal)) => OrderOutcome::Refused(refusal),
+                        Err(ReportError::NoReply(_)) => OrderOutcome::Unknown,
                     };
                     self.cell.started(now, &worker, start.task, start.run, outcome);
                 }
                 Action::Stop { worker, task, run } => {
                     let outcome = match self.call_worker(&worker) {
-                        Ok(_) if self.ignores_stops => Outcome::Unknown,
+                        Ok(_) if self.ignores_stops => OrderOutcome::Unknown,
                         Ok(index) => {
                             self.hosts[index].running.remove(&task);
-                            Outcome::Done(None)
+                            OrderOutcome::Done(None)
                         }
-                        Err(HoldError::Refused(refusal)) => Outcome::Refused(refusal),
-                        Err(HoldError::Silent(_)) => Outcome::Unknown,
+                        Err(ReportError::Refused(refusal)) => OrderOutcome::Refused(refusal),
+                        Err(ReportError::NoReply(_)) => OrderOutcome::Unknown,
                     };
                     self.cell.stopped(now, &worker, task, run, outcome);
                 }
@@ -439,7 +458,7 @@
     }
 
     /// Carries out a start. There is no answer if the worker crashes under it.
-    fn start_run(&mut self, index: usize, task: TaskKey, run: u64, length: u64) -> Outcome {
+    fn start_run(&mut self, index: usize, task: TaskKey, run: u64, length: u64) -> OrderOutcome {
         self.starts.push((self.now, task, index));
         let crashes = self.crash_tasks.contains(&(task.step.job, task.index));
         let length = if crashes { CRASH_DELAY_MS } else { length };
@@ -447,7 +466,7 @@
         if self.hosts.iter().any(|host| host.cpu < WORKER_MILLICORES) {
             self.max_running = self.max_running.max(self.running());
         }
-        if crashes { Outcome::Unknown } else { Outcome::Done(None) }
+        if crashes { OrderOutcome::Unknown } else { OrderOutcome::Done(None) }
     }
 }
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -11,7 +11,7 @@
 };
 use sprucerudder::clock::Millis;
 use sprucerudder::id::EntryId;
-use sprucerudder::workload::{Advice, JobKey, Queue, Room, Step, Work};
+use sprucerudder::workload::{AdviceConfig, JobDefinition, JobKey, Queue, Resources, Step};
 use std::fmt::Write;
 use std::sync::Arc;
 
@@ -23,21 +23,31 @@
         name: "q".into(),
         service: "s".into(),
         priority: 3,
-        attempts: 2,
+        max_attempts: 2,
         stretch: 1_500,
         target: Millis(250),
-        advice: Some(Advice { base: Millis(5), each: 100, valid: Millis(2_500) }),
+        advice: Some(AdviceConfig {
+            base_latency: Millis(5),
+            worker_micros: 100,
+            ticket_validity: Millis(2_500),
+        }),
     }
 }
 
 fn open() -> JobRecord {
-    let room = Room { cpu: 500, mem: 256, gpu: 1 };
-    let first =
-        Step { count: 4, room, estimate: Millis(900), near: "r1-3".into(), ..Step::default() };
-    let second = Step { after: vec![0], gang: true, saves: true, ..first.clone() };
-    let steps = vec![first, second];
-    let (first, every) = (Millis(0), Millis(0));
-    let work = Work { spec: "text".into(), steps, times: 1, first, every };
+    let resources = Resources { cpu: 500, mem: 256, gpu: 1 };
+    let first_due = Step {
+        count: 4,
+        resources,
+        estimate: Millis(900),
+        data_rack: "r1-3".into(),
+        ..Step::default()
+    };
+    let second =
+        Step { dependencies: vec![0], is_gang: true, has_checkpoints: true, ..first_due.clone() };
+    let steps = vec![first_due, second];
+    let (first_due, interval) = (Millis(0), Millis(0));
+    let work = JobDefinition { payload: "text".into(), steps, repetitions: 1, first_due, interval };
     JobRecord::Open { queue: queue(), work: Arc::new(work) }
 }
 
@@ -128,5 +138,5 @@
     let crashes = &snapshot.crashes[&JOB][0].crashes;
     let read: Vec<_> = crashes.iter().map(|one| (one.evidence, one.is_confirmed)).collect();
     assert_eq!(read, [(Evidence::Shared, true), (Evidence::Alone, false)]);
-    assert_eq!(crashes[0].worker.born, Some(Millis(7)));
+    assert_eq!(crashes[0].worker.started_at, Some(Millis(7)));
 }
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -11,8 +11,12 @@
 use sprucerudder::cell::{Action, Cell, CellConfig, JobState};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
-use sprucerudder::order::{End, EndedRow, HoldError, Listed, Outcome, Refusal, Report, Start};
-use sprucerudder::workload::{Advice, JobKey, Queue, Room, Step, TaskKey, Work};
+use sprucerudder::order::{
+    EndReason, EndedTask, OrderOutcome, Refusal, ReportError, StartOrder, WorkerInfo, WorkerReport,
+};
+use sprucerudder::workload::{
+    AdviceConfig, JobDefinition, JobKey, Queue, Resources, Step, TaskKey,
+};
 use sprucerudder::workspace::Workspaces;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -51,7 +55,7 @@
     fence: u64,
     lease_until: u64,
     running: BTreeMap<TaskKey, (u64, u64)>,
-    ended: Vec<EndedRow>,
+    ended: Vec<EndedTask>,
     end_count: u64,
     barred: BTreeMap<TaskKey, u64>,
 }
@@ -75,7 +79,7 @@
     pub order_delays: BTreeMap<usize, u64>,
     in_flight: Vec<(u64, Action, u64)>,
     pub confirmed: Vec<(Name, u64)>,
-    advice: Option<Advice>,
+    advice: Option<AdviceConfig>,
     /// Ids of the workers that the advice service clears; empty: all.
     pub cleared_workers: BTreeSet<Name>,
     pub questions: Vec<Vec<Name>>,
@@ -92,7 +96,7 @@
     /// Jobs whose tasks have no end, except on workers on which every task fails.
     pub lasting_jobs: BTreeSet<JobKey>,
     /// The list that the owner reads if it is frozen.
-    frozen_list: Option<Vec<Listed>>,
+    frozen_list: Option<Vec<WorkerInfo>>,
     /// All runs, with their ends and whether these were confirmed.
     spans: Vec<RunSpan>,
     accepted: BTreeSet<JobKey>,
@@ -131,11 +135,15 @@
 
     /// A cluster whose queue requires clearance by an advice service.
     pub fn with_advice(workers: usize) -> Self {
-        let advice = Advice { base: Millis(20), each: 0, valid: Millis(60_000) };
+        let advice = AdviceConfig {
+            base_latency: Millis(20),
+            worker_micros: 0,
+            ticket_validity: Millis(60_000),
+        };
         Self::build(workers, Some(advice), true)
     }
 
-    fn build(workers: usize, advice: Option<Advice>, reports_born: bool) -> Self {
+    fn build(workers: usize, advice: Option<AdviceConfig>, reports_born: bool) -> Self {
         let host = |index: usize| Host {
             id: format!("w{index}").into(),
             cpu: 4_000,
@@ -184,15 +192,27 @@
     }
 
     pub fn submit_step(&mut self, key: JobKey, step: Step) {
-        let (first, every) = (Millis(0), Millis(0));
-        let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
+        let (first_due, interval) = (Millis(0), Millis(0));
+        let work = JobDefinition {
+            payload: "text".into(),
+            steps: vec![step],
+            repetitions: 1,
+            first_due,
+            interval,
+        };
         assert!(self.cell.submit(Millis(self.now), key, "q", Arc::new(work)).is_some());
     }
 
     /// Submits a job of one step for a workspace.
     pub fn submit_for(&mut self, key: JobKey, step: Step, workspace: &str) {
-        let (first, every) = (Millis(0), Millis(0));
-        let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
+        let (first_due, interval) = (Millis(0), Millis(0));
+        let work = JobDefinition {
+            payload: "text".into(),
+            steps: vec![step],
+            repetitions: 1,
+            first_due,
+            interval,
+        };
         let (now, workspace) = (Millis(self.now), Some(workspace.into()));
         assert!(self.cell.submit_for_workspace(now, key, "q", Arc::new(work), workspace).is_some());
     }
@@ -368,16 +388,16 @@
         self.cell.set_workers(Millis(self.now), entries);
     }
 
-    fn list_entries(&self) -> Vec<Listed> {
-        let entry = |host: &Host| Listed {
+    fn list_entries(&self) -> Vec<WorkerInfo> {
+        let entry = |host: &Host| WorkerInfo {
             id: host.id.clone(),
-            born: self.reports_born.then_some(Millis(host.listed_born)),
+            started_at: self.reports_born.then_some(Millis(host.listed_born)),
             service: "s".into(),
             addr: host.id.clone(),
             domain: "d".into(),
-            room: Room { cpu: host.cpu, mem: 32_000, gpu: 0 },
+            capacity: Resources { cpu: host.cpu, mem: 32_000, gpu: 0 },
             labels: vec!["a".into(), "r1".into()],
-            leaving: None,
+            leaves_in: None,
         };
         self.hosts.iter().map(entry).collect()
     }
@@ -396,15 +416,15 @@
                 incarnation.running.iter().filter(is_over).map(|(task, _)| *task).collect();
             for task in done {
                 let end = match () {
-                    () if over => End::Lapsed,
-                    () if is_failing => End::Failed,
-                    () => End::Done,
+                    () if over => EndReason::LeaseExpired,
+                    () if is_failing => EndReason::Failed,
+                    () => EndReason::Done,
                 };
                 let run = incarnation.running.get(&task).map(|(run, _)| *run);
                 incarnation.end_run(task, end);
                 for span in &mut self.spans {
                     if span.task == task && Some(span.run) == run && span.until == u64::MAX {
-                        (span.until, span.is_done) = (self.now, end == End::Done);
+                        (span.until, span.is_done) = (self.now, end == EndReason::Done);
                     }
                 }
             }
@@ -423,7 +443,7 @@
             let host = &mut self.hosts[index];
             if host.unreachable_until > self.now || host.lost_reports > 0 {
                 host.lost_reports = host.lost_reports.saturating_sub(1);
-                let silent = HoldError::Silent("report lost".to_string());
+                let silent = ReportError::NoReply("report lost".to_string());
                 self.cell.unheld(now, &id, &silent);
                 continue;
             }
@@ -432,16 +452,16 @@
             incarnation.lease_until = incarnation
                 .lease_until
                 .max(hold.lease_end.unwrap_or(0).min(incarnation.clock(now.0) + 10_000));
-            for row in incarnation.ended.iter().filter(|row| row.no <= hold.confirmed) {
+            for row in incarnation.ended.iter().filter(|row| row.seq <= hold.confirmed) {
                 let of_row = |span: &&mut RunSpan| span.task == row.task && span.run == row.run;
                 self.spans.iter_mut().filter(of_row).for_each(|span| span.is_confirmed = true);
             }
-            incarnation.ended.retain(|row| row.no > hold.confirmed);
+            incarnation.ended.retain(|row| row.seq > hold.confirmed);
             self.confirmed.push((id.clone(), hold.confirmed));
             let running =
                 incarnation.running.iter().map(|(task, (run, _))| rows::running(*task, *run));
-            let report = Report {
-                born: self.reports_born.then_some(Millis(incarnation.born)),
+            let report = WorkerReport {
+                started_at: self.reports_born.then_some(Millis(incarnation.born)),
                 clock: incarnation.clock(now.0),
                 running: running.collect(),
                 ended: incarnation.ended.clone(),
@@ -481,8 +501,8 @@
                     let cleared = named.filter(|id| {
                         self.cleared_workers.is_empty() || self.cleared_workers.contains(*id)
                     });
-                    let rows = cleared.map(|id| (id.clone(), "ticket".into())).collect();
-                    let answer = sprucerudder::order::Cleared { rows, valid: None };
+                    let tickets = cleared.map(|id| (id.clone(), "ticket".into())).collect();
+                    let answer = sprucerudder::order::ClearedWorkers { tickets, valid_for: None };
                     let (step, named) = (question.step, &question.workers);
                     self.cell.advised(now, &entry, step, named, Some(answer));
                 }
@@ -492,13 +512,13 @@
                     let is_lost = self.loses_starts && is_start;
                     self.start_targets.extend(is_start.then_some(index));
                     match self.order_delays.get(&index) {
-                        _ if is_lost => self.report_outcome(&action, Outcome::Unknown),
+                        _ if is_lost => self.report_outcome(&action, OrderOutcome::Unknown),
                         Some(late) => {
                             self.in_flight.push((self.now + late, action.clone(), self.epoch));
-                            self.report_outcome(&action, Outcome::Unknown);
+                            self.report_outcome(&action, OrderOutcome::Unknown);
                         }
                         None if self.hosts[index].unreachable_until > self.now => {
-                            self.report_outcome(&action, Outcome::Unknown);
+                            self.report_outcome(&action, OrderOutcome::Unknown);
                         }
                         None => {
                             let outcome = self.execute(&action, self.epoch);
@@ -511,7 +531,7 @@
         }
     }
 
-    fn report_outcome(&mut self, action: &Action, outcome: Outcome) {
+    fn report_outcome(&mut self, action: &Action, outcome: OrderOutcome) {
         let now = Millis(self.now);
         match action {
             Action::Start { worker, start, .. } => {
@@ -542,24 +562,24 @@
         }
     }
 
-    fn execute(&mut self, action: &Action, epoch: u64) -> Outcome {
+    fn execute(&mut self, action: &Action, epoch: u64) -> OrderOutcome {
         let (Action::Start { worker, .. } | Action::Stop { worker, .. }) = action else {
-            return Outcome::Unsent;
+            return OrderOutcome::Unsent;
         };
         let (index, now) = (self.host_index(worker), self.now);
         let host = &mut self.hosts[index];
         if host.unreachable_until > now {
-            return Outcome::Unknown;
+            return OrderOutcome::Unknown;
         }
         let incarnation = &mut host.incarnation;
         if epoch < incarnation.fence {
-            return Outcome::Refused(Refusal::Fence);
+            return OrderOutcome::Refused(Refusal::StaleFence);
         }
         incarnation.fence = epoch;
         match action {
             Action::Start { start, until, .. } => {
                 let outcome = incarnation.start_run(now, start, *until);
-                if matches!(outcome, Outcome::Done(_)) {
+                if matches!(outcome, OrderOutcome::Done(_)) {
                     let entry = (now, worker.clone(), start.run);
                     self.starts.entry(start.task).or_default().push(entry);
                     self.spans.push(RunSpan {
@@ -576,28 +596,28 @@
             Action::Stop { task, run, .. } => {
                 incarnation.bar_run(*task, *run);
                 if incarnation.running.get(task).is_some_and(|(running, _)| running == run) {
-                    incarnation.end_run(*task, End::Stopped);
+                    incarnation.end_run(*task, EndReason::Stopped);
                     let of_run = |span: &&mut RunSpan| span.task == *task && span.run == *run;
                     self.spans.iter_mut().filter(of_run).for_each(|span| span.until = now);
                 }
-                Outcome::Done(None)
+                OrderOutcome::Done(None)
             }
-            _ => Outcome::Unsent,
+            _ => OrderOutcome::Unsent,
         }
     }
 }
 
 impl Incarnation {
-    fn start_run(&mut self, now: u64, start: &Start, until: u64) -> Outcome {
+    fn start_run(&mut self, now: u64, start: &StartOrder, until: u64) -> OrderOutcome {
         if until <= self.clock(now) {
-            return Outcome::Refused(Refusal::Late);
+            return OrderOutcome::Refused(Refusal::LeaseExpired);
         }
         self.lease_until = self.lease_until.max(until.min(self.clock(now) + 10_000));
         if self.barred.get(&start.task).is_some_and(|barred| start.run <= *barred) {
-            return Outcome::Refused(Refusal::Old);
+            return OrderOutcome::Refused(Refusal::StaleRun);
         }
         self.running.insert(start.task, (start.run, now + RUN_MS));
-        Outcome::Done(None)
+        OrderOutcome::Done(None)
     }
 
     fn bar_run(&mut self, task: TaskKey, run: u64) {
@@ -605,25 +625,31 @@
         *barred = (*barred).max(run);
     }
 
-    fn end_run(&mut self, task: TaskKey, end: End) {
+    fn end_run(&mut self, task: TaskKey, reason: EndReason) {
         let Some((run, _)) = self.running.remove(&task) else { return };
         self.bar_run(task, run);
         self.end_count += 1;
-        self.ended.push(EndedRow { no: self.end_count, task, run, end, saved: "".into() });
+        self.ended.push(EndedTask {
+            seq: self.end_count,
+            task,
+            run,
+            reason,
+            checkpoint: "".into(),
+        });
     }
 }
 
 pub fn step() -> Step {
-    let room = Room { cpu: 1_000, mem: 1_000, gpu: 0 };
-    Step { count: 1, room, estimate: Millis(RUN_MS), ..Step::default() }
+    let resources = Resources { cpu: 1_000, mem: 1_000, gpu: 0 };
+    Step { count: 1, resources, estimate: Millis(RUN_MS), ..Step::default() }
 }
 
-fn queues(advice: Option<Advice>) -> HashMap<Name, Arc<Queue>> {
+fn queues(advice: Option<AdviceConfig>) -> HashMap<Name, Arc<Queue>> {
     let queue = Queue {
         name: "q".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 3,
+        max_attempts: 3,
         stretch: 1_500,
         target: Millis(250),
         advice,
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -322,7 +322,7 @@
 #[test]
 fn a_gang_with_crashes_starts_whole_on_workers_that_have_stayed_up() {
     let mut cluster = Cluster::new(2);
-    cluster.submit_step(job(1), Step { count: 6, gang: true, ..step() });
+    cluster.submit_step(job(1), Step { count: 6, is_gang: true, ..step() });
     for _ in 0..2 {
         crash_all(&mut cluster, 2);
     }
--- a/tests/map.rs
+++ b/tests/map.rs
@@ -2,35 +2,35 @@
 
 use proptest::prelude::*;
 use sprucerudder::cell::owner::map::{CELL_WORKERS, CellMap};
-use sprucerudder::order::Listed;
-use sprucerudder::workload::{JobKey, Room};
+use sprucerudder::order::WorkerInfo;
+use sprucerudder::workload::{JobKey, Resources};
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 
 const RACK_SIZE: usize = 8;
 
-fn worker(index: usize, domains: usize, service: &str) -> Listed {
+fn worker(index: usize, domains: usize, service: &str) -> WorkerInfo {
     let domain = index % domains;
-    Listed {
+    WorkerInfo {
         id: format!("i-{service}-{index}").into(),
-        born: None,
+        started_at: None,
         service: service.into(),
         addr: format!("10.0.0.1:{index}").into(),
         domain: format!("d{domain}").into(),
-        room: Room { cpu: 16_000, mem: 32_768, gpu: 0 },
+        capacity: Resources { cpu: 16_000, mem: 32_768, gpu: 0 },
         labels: vec![
             "a".into(),
             format!("r-{service}-{domain}-{}", index / domains / RACK_SIZE).into(),
         ],
-        leaving: None,
+        leaves_in: None,
     }
 }
 
-fn fleet(count: usize, service: &str) -> Vec<Listed> {
+fn fleet(count: usize, service: &str) -> Vec<WorkerInfo> {
     (0..count).map(|index| worker(index, 5, service)).collect()
 }
 
-fn sizes(map: &CellMap, workers: &[Listed]) -> HashMap<u32, usize> {
+fn sizes(map: &CellMap, workers: &[WorkerInfo]) -> HashMap<u32, usize> {
     let mut sizes = HashMap::new();
     for worker in workers {
         *sizes.entry(map.of_worker(worker)).or_default() += 1;
@@ -61,10 +61,10 @@
 
 #[test]
 fn each_cell_has_its_share_of_every_service_and_failure_domain() {
-    let workers: Vec<Listed> = [fleet(900, "core"), fleet(300, "desk")].concat();
+    let workers: Vec<WorkerInfo> = [fleet(900, "core"), fleet(300, "desk")].concat();
     let map = CellMap::new(&workers, CELL_WORKERS);
     for (service, count) in [("core", 900), ("desk", 300)] {
-        let of_service: Vec<Listed> =
+        let of_service: Vec<WorkerInfo> =
             workers.iter().filter(|worker| *worker.service == *service).cloned().collect();
         for (cell, size) in sizes(&map, &of_service) {
             let share = count / map.cells() as usize;
@@ -94,7 +94,7 @@
         let size = NonZeroUsize::new(size).unwrap();
         let map = CellMap::new(&fleet(count, "s"), size);
         let one = worker(later, 5, "s");
-        let restarted = Listed { id: "i-new".into(), addr: "10.0.0.2:1".into(), ..one.clone() };
+        let restarted = WorkerInfo { id: "i-new".into(), addr: "10.0.0.2:1".into(), ..one.clone() };
         prop_assert!(map.of_worker(&one) < map.cells());
         prop_assert_eq!(map.of_worker(&one), map.of_worker(&restarted));
     }
@@ -111,22 +111,22 @@
 #[test]
 fn no_cell_is_without_workers() {
     // Three racks, where the number of workers would allow four cells.
-    let few: Vec<Listed> = (0..8)
-        .map(|index| Listed { labels: vec!["a".into(), "r".into()], ..worker(index, 3, "s") })
+    let few: Vec<WorkerInfo> = (0..8)
+        .map(|index| WorkerInfo { labels: vec!["a".into(), "r".into()], ..worker(index, 3, "s") })
         .collect();
     let map = CellMap::new(&few, NonZeroUsize::new(2).unwrap());
     assert_eq!((map.cells(), sizes(&map, &few).len()), (3, 3));
     // A service with only two racks does not limit the others to two cells.
-    let mixed: Vec<Listed> = [fleet(4_000, "core"), fleet(10, "desk")].concat();
+    let mixed: Vec<WorkerInfo> = [fleet(4_000, "core"), fleet(10, "desk")].concat();
     let map = CellMap::new(&mixed, CELL_WORKERS);
     assert_eq!((map.cells(), sizes(&map, &mixed).len()), (10, 10));
 }
 
 #[test]
 fn a_small_service_is_whole_in_one_cell() {
-    let workers: Vec<Listed> = [fleet(900, "core"), fleet(98, "desk")].concat();
+    let workers: Vec<WorkerInfo> = [fleet(900, "core"), fleet(98, "desk")].concat();
     let map = CellMap::new(&workers, CELL_WORKERS);
-    let of_desk: Vec<Listed> =
+    let of_desk: Vec<WorkerInfo> =
         workers.iter().filter(|worker| *worker.service == *"desk").cloned().collect();
     assert_eq!((map.cells(), sizes(&map, &of_desk).len()), (2, 1));
 }
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -5,8 +5,10 @@
 use sprucerudder::cell::{Action, Cell, CellConfig};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
-use sprucerudder::order::{End, EndedRow, Listed, Outcome, Report, RunningRow, Start};
-use sprucerudder::workload::{JobKey, Queue, Room, Step, TaskKey, Work};
+use sprucerudder::order::{
+    EndReason, EndedTask, OrderOutcome, RunningTask, StartOrder, WorkerInfo, WorkerReport,
+};
+use sprucerudder::workload::{JobDefinition, JobKey, Queue, Resources, Step, TaskKey};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -24,7 +26,7 @@
         name: name.clone(),
         service,
         priority,
-        attempts: 2,
+        max_attempts: 2,
         stretch: 2_000,
         target,
         advice: None,
@@ -34,8 +36,8 @@
 
 /// A worker with eight accelerators, and when each run there ends and how.
 struct Worker {
-    listed: Listed,
-    runs: BTreeMap<(TaskKey, u64), (u64, End)>,
+    listed: WorkerInfo,
+    runs: BTreeMap<(TaskKey, u64), (u64, EndReason)>,
     count: u64,
 }
 
@@ -67,12 +69,12 @@
     }
 
     fn submit(&mut self, key: u64, queue: &str, step: Step) {
-        let work = Work {
-            spec: "".into(),
+        let work = JobDefinition {
+            payload: "".into(),
             steps: vec![step],
-            times: 1,
-            first: Millis(0),
-            every: Millis(0),
+            repetitions: 1,
+            first_due: Millis(0),
+            interval: Millis(0),
         };
         assert!(self.cell.submit(Millis(self.now), JobKey(key), queue, Arc::new(work)).is_some());
     }
@@ -82,23 +84,30 @@
         self.now += 20;
         let now = Millis(self.now);
         for worker in &mut self.workers {
-            let due = |(_, (end, _)): &(&(TaskKey, u64), &(u64, End))| *end <= self.now;
+            let due = |(_, (reason, _)): &(&(TaskKey, u64), &(u64, EndReason))| *reason <= self.now;
             let over: Vec<_> = worker.runs.iter().filter(due).map(|(k, v)| (*k, v.1)).collect();
             let mut ended = Vec::new();
-            for ((task, run), end) in over {
+            for ((task, run), reason) in over {
                 worker.runs.remove(&(task, run));
                 worker.count += 1;
-                ended.push(EndedRow { no: worker.count, task, run, end, saved: "s".into() });
+                ended.push(EndedTask {
+                    seq: worker.count,
+                    task,
+                    run,
+                    reason,
+                    checkpoint: "s".into(),
+                });
             }
-            let goes_on = |(task, run): &(TaskKey, u64)| RunningRow {
+            let goes_on = |(task, run): &(TaskKey, u64)| RunningTask {
                 task: *task,
                 run: *run,
-                saved: format!("{}", self.now / 500).into(),
-                percent: 100,
+                checkpoint: format!("{}", self.now / 500).into(),
+                pace_percent: 100,
                 gauge: None,
             };
             let running = worker.runs.keys().map(goes_on).collect();
-            let report = Report { clock: self.now, running, ended, ..Report::default() };
+            let report =
+                WorkerReport { clock: self.now, running, ended, ..WorkerReport::default() };
             let name = worker.listed.id.clone();
             self.cell.hold(now, &name, true);
             self.cell.held(now, now, &name, &report);
@@ -117,13 +126,13 @@
         }
     }
 
-    fn start(&mut self, name: &Name, start: &Start) {
+    fn start(&mut self, name: &Name, start: &StartOrder) {
         let large = start.task.step.job.0 >= 1_000;
         let end = self.now + if large { LARGE } else { SMALL };
         let worker = self.workers.iter_mut().find(|worker| worker.listed.id == *name).unwrap();
-        worker.runs.insert((start.task, start.run), (end, End::Done));
+        worker.runs.insert((start.task, start.run), (end, EndReason::Done));
         self.first.entry(start.task.step.job).or_insert(self.now);
-        let done = Outcome::Done(None);
+        let done = OrderOutcome::Done(None);
         self.cell.started(Millis(self.now), name, start.task, start.run, done);
     }
 
@@ -131,30 +140,30 @@
         self.stops.push((task, self.now));
         let worker = self.workers.iter_mut().find(|worker| worker.listed.id == *name).unwrap();
         if let Some(row) = worker.runs.get_mut(&(task, run)) {
-            *row = (self.now + STOP, End::Stopped);
+            *row = (self.now + STOP, EndReason::Stopped);
         }
-        self.cell.stopped(Millis(self.now), name, task, run, Outcome::Done(None));
+        self.cell.stopped(Millis(self.now), name, task, run, OrderOutcome::Done(None));
     }
 }
 
 fn worker(no: usize) -> Worker {
     let id: Name = format!("w{no}").into();
-    let listed = Listed {
+    let listed = WorkerInfo {
         id: id.clone(),
-        born: None,
+        started_at: None,
         service: "s".into(),
         addr: id,
         domain: "d".into(),
-        room: Room { cpu: 64_000, mem: 64_000, gpu: 8 },
+        capacity: Resources { cpu: 64_000, mem: 64_000, gpu: 8 },
         labels: Vec::new(),
-        leaving: None,
+        leaves_in: None,
     };
     Worker { listed, runs: BTreeMap::new(), count: 0 }
 }
 
 fn tasks(count: u32, gpu: u64) -> Step {
-    let room = Room { cpu: gpu * 1_000, mem: 1_000, gpu };
-    Step { count, room, saves: true, estimate: Millis(3_000), ..Step::default() }
+    let resources = Resources { cpu: gpu * 1_000, mem: 1_000, gpu };
+    Step { count, resources, has_checkpoints: true, estimate: Millis(3_000), ..Step::default() }
 }
 
 /// The longest wait of large jobs of one whole worker each, one every 1.5 s, while small jobs of one
@@ -205,7 +214,7 @@
 
 #[test]
 fn tasks_that_do_not_save_their_progress_are_not_stopped() {
-    let (_, world) = longest_wait(Step { saves: false, ..tasks(1, 1) });
+    let (_, world) = longest_wait(Step { has_checkpoints: false, ..tasks(1, 1) });
     assert_eq!(world.stops, Vec::new());
 }
 
@@ -254,7 +263,7 @@
         }
         if no == 200 {
             gang = Some(world.now);
-            world.submit(1_000, "large", Step { gang: true, ..tasks(6, 4) });
+            world.submit(1_000, "large", Step { is_gang: true, ..tasks(6, 4) });
         }
         world.step();
     }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -9,7 +9,7 @@
 use sprucerudder::cell::records::journal::{self, Snapshot};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
-use sprucerudder::order::Life;
+use sprucerudder::order::Incarnation;
 use sprucerudder::platform::config::Policy;
 use sprucerudder::platform::store::{decode_keyed, parse_page};
 use sprucerudder::platform::submit;
@@ -35,7 +35,7 @@
     draining["state"] = json!("draining");
     draining["remaining_ms"] = json!(2_500.5);
     let listed = parse_worker_entry("i-1".into(), draining.to_string().as_bytes()).unwrap();
-    assert!(listed.leaving.is_some());
+    assert!(listed.leaves_in.is_some());
 }
 
 #[test]
@@ -169,10 +169,10 @@
         entry["born"] = born;
         parse_worker_entry("i-1".into(), entry.to_string().as_bytes())
     };
-    let born = listed(json!(1_777_874_052_012_u64)).unwrap().born;
+    let born = listed(json!(1_777_874_052_012_u64)).unwrap().started_at;
     assert_eq!(born, Some(Millis(1_777_874_052_012)));
     assert_eq!(
-        parse_worker_entry("i-1".into(), entry().to_string().as_bytes()).unwrap().born,
+        parse_worker_entry("i-1".into(), entry().to_string().as_bytes()).unwrap().started_at,
         None
     );
     for other in [json!("7"), json!(7.5), json!(-7), json!([7]), json!(true)] {
@@ -182,18 +182,18 @@
 
 #[test]
 fn a_life_is_written_as_a_name_and_read_again() {
-    let kept = Life { id: "i-1".into(), born: Some(Millis(1_777_874_052_012)) };
-    let bare = Life { id: "i-1".into(), born: None };
+    let kept = Incarnation { id: "i-1".into(), started_at: Some(Millis(1_777_874_052_012)) };
+    let bare = Incarnation { id: "i-1".into(), started_at: None };
     for life in [&kept, &bare] {
         let bytes = postcard::to_stdvec(life).unwrap();
-        assert_eq!(postcard::from_bytes::<Life>(&bytes).unwrap(), *life);
+        assert_eq!(postcard::from_bytes::<Incarnation>(&bytes).unwrap(), *life);
     }
     // 0.6.0 wrote the id alone, and reads what is written now as an id that it does not know.
     let name: Name = "i-1".into();
     let old = postcard::to_stdvec(&name).unwrap();
-    assert_eq!(postcard::from_bytes::<Life>(&old).unwrap(), bare);
-    assert!(!bare.differs(&kept) && !kept.differs(&bare));
-    assert!(kept.differs(&Life { born: Some(Millis(7)), ..bare.clone() }));
+    assert_eq!(postcard::from_bytes::<Incarnation>(&old).unwrap(), bare);
+    assert!(!bare.differs_from(&kept) && !kept.differs_from(&bare));
+    assert!(kept.differs_from(&Incarnation { started_at: Some(Millis(7)), ..bare.clone() }));
 }
 
 #[test]
--- a/tests/rooms.rs
+++ b/tests/rooms.rs
@@ -8,7 +8,7 @@
 use crashworld::{Cluster, job, step};
 use sprucerudder::cell::JobState;
 use sprucerudder::cell::records::journal::JobOutcome;
-use sprucerudder::workload::{Room, Step};
+use sprucerudder::workload::{Resources, Step};
 
 /// Processors of a worker, of which a task takes a quarter.
 const WHOLE: u64 = 16_000;
@@ -49,7 +49,7 @@
 #[test]
 fn a_start_that_waited_for_the_store_does_not_go_to_a_room_that_has_shrunk() {
     let mut site = Cluster::new(1);
-    site.submit(job(1), vec![step(1), Step { after: vec![0], ..step(3) }]);
+    site.submit(job(1), vec![step(1), Step { dependencies: vec![0], ..step(3) }]);
     site.run_for(500);
     // The second step's turn comes at 1,000.
     site.stall_store(2_000);
@@ -66,14 +66,14 @@
 #[test]
 fn as_many_tasks_are_stopped_as_make_room_at_a_worker_that_has_shrunk() {
     let mut site = Cluster::new(1);
-    let small = Step { saves: true, ..step(4) };
+    let small = Step { has_checkpoints: true, ..step(4) };
     site.submit_low(job(1), vec![small], 30_000);
     site.run_for(100);
     assert_eq!(site.starts_of(job(1)), 4);
     site.resize(0, WHOLE / 2);
     // Two of the four leave what remains as full as it may be.
-    let room = Room { cpu: 6_000, mem: 1, gpu: 0 };
-    site.submit(job(2), vec![Step { room, ..step(1) }]);
+    let resources = Resources { cpu: 6_000, mem: 1, gpu: 0 };
+    site.submit(job(2), vec![Step { resources, ..step(1) }]);
     site.run_for(1_200);
     assert_eq!(site.starts_of(job(2)), 1);
 }
@@ -83,8 +83,8 @@
 #[test]
 fn a_run_of_unknown_size_fills_a_worker_that_grows_too() {
     let mut site = Cluster::new(1);
-    let room = Room { cpu: WHOLE, mem: 1_000, gpu: 0 };
-    site.submit_long(job(1), vec![Step { room, ..step(1) }], 60_000);
+    let resources = Resources { cpu: WHOLE, mem: 1_000, gpu: 0 };
+    site.submit_long(job(1), vec![Step { resources, ..step(1) }], 60_000);
     site.run_for(100);
     site.retain_records(|key| key == "roster");
     site.resize(0, WHOLE / 4);
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -9,7 +9,7 @@
 use lifeworld::{Cluster, RUN_MS, job, step};
 use sprucerudder::cell::JobState;
 use sprucerudder::cell::records::journal::JobOutcome;
-use sprucerudder::workload::{Room, Step};
+use sprucerudder::workload::{Resources, Step};
 
 const COMPLETED: Option<JobState> = Some(JobState::Closed(JobOutcome::Completed));
 /// How long a task for which there is room may wait, by the platform's contract.
@@ -66,7 +66,7 @@
 #[test]
 fn a_worker_isolated_for_one_task_is_used_while_there_is_no_other() {
     let mut cluster = Cluster::new(1);
-    let lasting = Step { lasting: true, ..step() };
+    let lasting = Step { long_running: true, ..step() };
     cluster.submit_step(job(1), lasting);
     for _ in 0..2 {
         cluster.crash_when_running(0, job(1));
@@ -108,9 +108,9 @@
     //  event=waited step=0000000000000002.0.0 queue=q for=room ms=16000 next=none
     let mut cluster = Cluster::new(2);
     cluster.lasting_jobs.extend([job(1), job(2)]);
-    let whole = Room { cpu: 4_000, mem: 4_000, gpu: 0 };
-    let lasting = Step { lasting: true, ..step() };
-    cluster.submit_step(job(1), Step { room: whole, ..lasting.clone() });
+    let whole = Resources { cpu: 4_000, mem: 4_000, gpu: 0 };
+    let lasting = Step { long_running: true, ..step() };
+    cluster.submit_step(job(1), Step { resources: whole, ..lasting.clone() });
     cluster.run_for(RUN_MS);
     let other = 1 - cluster.host_of(job(1));
     cluster.submit_step(job(2), lasting);
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -9,9 +9,9 @@
 use sprucerudder::cell::owner::map::CellMap;
 use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::clock::Millis;
-use sprucerudder::order::Listed;
+use sprucerudder::order::WorkerInfo;
 use sprucerudder::platform::config::Policy;
-use sprucerudder::workload::{Room, Step};
+use sprucerudder::workload::{Resources, Step};
 use sprucerudder::workspace::{Workspace, Workspaces};
 use std::collections::BTreeSet;
 use std::num::NonZeroUsize;
@@ -22,7 +22,7 @@
 
 /// A workspace that may have so many tasks of one processor running.
 fn workspace(name: &str, tasks: u64) -> Workspace {
-    let limit = Room { cpu: 1_000 * tasks, ..Room::UNLIMITED };
+    let limit = Resources { cpu: 1_000 * tasks, ..Resources::UNLIMITED };
     Workspace { name: name.into(), weight: 1, limit }
 }
 
@@ -107,8 +107,8 @@
 fn a_task_larger_than_the_bound_runs_alone() {
     let mut site = site();
     site.cell.set_workspaces(workspaces(1));
-    let room = Room { cpu: 2_000, mem: 1_000, gpu: 0 };
-    site.submit_for(job(1), Step { count: 3, room, ..step() }, "large");
+    let resources = Resources { cpu: 2_000, mem: 1_000, gpu: 0 };
+    site.submit_for(job(1), Step { count: 3, resources, ..step() }, "large");
     play_bounded(&mut site, 6 * RUN_MS, 1);
     assert_eq!(site.state(job(1)), COMPLETED);
 }
@@ -117,17 +117,17 @@
 fn all_jobs_of_a_workspace_are_in_one_cell() {
     // Where each of seven cells had its part of every bound, a part held no whole job of a small workspace, and a job
     // that could run did not.
-    let worker = |no: u32| Listed {
+    let worker = |no: u32| WorkerInfo {
         id: format!("w{no}").into(),
-        born: None,
+        started_at: None,
         service: "s".into(),
         addr: "".into(),
         domain: "d".into(),
-        room: Room { cpu: 4_000, mem: 4_000, gpu: 0 },
+        capacity: Resources { cpu: 4_000, mem: 4_000, gpu: 0 },
         labels: vec!["a".into(), format!("r{}", no / 10).into()],
-        leaving: None,
+        leaves_in: None,
     };
-    let workers: Vec<Listed> = (0..800).map(worker).collect();
+    let workers: Vec<WorkerInfo> = (0..800).map(worker).collect();
     let map = CellMap::new(&workers, NonZeroUsize::new(100).unwrap());
     assert_eq!(map.cells(), 8);
     let of = |no: u32| map.of_workspace(&format!("workspace-{no}").into());
@@ -226,7 +226,7 @@
     assert!(policy.requires_keys);
     let all = policy.workspaces;
     let of_key = all.of_key("k2").unwrap();
-    let limit = Room { cpu: 4_000, ..Room::UNLIMITED };
+    let limit = Resources { cpu: 4_000, ..Resources::UNLIMITED };
     assert_eq!(**of_key, Workspace { name: "t".into(), weight: 18, limit });
     assert!(all.of_key("k3").is_none());
     let none = Policy::parse(br#"{"version":7}"#).unwrap();
