--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -12,7 +12,7 @@
 use sprucerudder::controller::shard::office::Event;
 use sprucerudder::controller::slots::SlotUse;
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
-use sprucerudder::job::{Note, Outcome};
+use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, SyncOrder};
 use sprucerudder::record::{Claim, Record};
 use sprucerudder::size::Size;
@@ -32,7 +32,7 @@
 }
 
 fn entry(name: &str) -> EntryId {
-    EntryId { name: name.into(), inc: 1_764_000_000_000 }
+    EntryId { name: name.into(), incarnation: 1_764_000_000_000 }
 }
 
 fn task(index: u32) -> TaskId {
@@ -40,7 +40,7 @@
 }
 
 fn job(seq: u64) -> JobId {
-    JobId { shard: "nasr-hall-rack-12".into(), seq: 0xdead_beef_0000_0000 + seq }
+    JobId { shard: "nasr-hall-rack-12".into(), number: 0xdead_beef_0000_0000 + seq }
 }
 
 /// Resident memory of this process, in bytes.
@@ -125,13 +125,13 @@
 fn notes() {
     println!("update of a replica: bindings in it, bytes; of the log in an epoch without replicas");
     for count in [1_u32, 10, 100] {
-        let bind = |index| Note::Bind {
+        let bind = |index| StateChange::Bind {
             task: task(index),
             worker: "nasr-hall-rack-12-w3".into(),
-            inc: 1_764_000_000_000,
+            incarnation: 1_764_000_000_000,
             owner: entry("nasr-hall-entry-1"),
         };
-        let notes: Vec<Note> = (0..count).map(bind).collect();
+        let notes: Vec<StateChange> = (0..count).map(bind).collect();
         let shard: Name = "nasr-hall-rack-12".into();
         let record =
             Record::Notes { shard: shard.clone(), epoch: 9, first: 1, notes: notes.clone() };
@@ -155,7 +155,7 @@
             size: WORKER,
             usage: WORKER,
         };
-        let ended = vec![(task(99), Outcome::Done)];
+        let ended = vec![(task(99), TaskOutcome::Done)];
         let report = Report { inc: 1, running: (0..count).map(running).collect(), ended };
         println!("  {count:>5} {:>7} {:>7}", json(&order), json(&report));
     }
@@ -164,7 +164,7 @@
 fn log_records() {
     let spec = spec("campaign", 30, false, WORKER);
     let job_record = Record::Job { job: job(1), spec, at: Millis(1_764_000_000_000) };
-    let ended = Record::Ended { job: job(1), index: 10, outcome: Outcome::Done };
+    let ended = Record::Ended { job: job(1), index: 10, outcome: TaskOutcome::Done };
     println!("log: bytes of a job {}, of an ended task {}", json(&job_record), json(&ended));
     println!("snapshot of the log: shards, bytes with four claims each");
     for shards in [12_u32, 28, 140] {
@@ -176,7 +176,7 @@
             replicas: vec![entry("nasr-hall-entry-2"), entry("nasr-hall-entry-3")],
         };
         let claims = (0..shards).map(|at| (1..5).map(|epoch| claim(at, epoch)).collect());
-        let record = Record::Snapshot { upto: 1, table: None, claims: claims.collect() };
+        let record = Record::Snapshot { end_offset: 1, table: None, claims: claims.collect() };
         println!("  {shards:>5} {:>7}", json(&record));
     }
 }
@@ -256,7 +256,7 @@
     let begun = Instant::now();
     let (job, did) = all[at].submit(job);
     assert_eq!(did.len(), 1, "placed at once");
-    all[at].end(&TaskId { job, index: 0, attempt: 0 }, Outcome::Done);
+    all[at].end(&TaskId { job, index: 0, attempt: 0 }, TaskOutcome::Done);
     begun.elapsed().as_nanos() as u64
 }
 
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -8,7 +8,7 @@
 use sprucerudder::controller::shard::Source;
 use sprucerudder::controller::shard::office::{Action, Event, Office};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
-use sprucerudder::job::{JobSpec, Outcome};
+use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, TaskReply};
 use sprucerudder::record::Claim;
 use sprucerudder::size::Size;
@@ -61,7 +61,7 @@
 
 impl Desk {
     pub fn new(rack: &str, sizes: &[Size], table: Arc<Table>) -> Self {
-        let owner = EntryId { name: "e".into(), inc: 1 };
+        let owner = EntryId { name: "e".into(), incarnation: 1 };
         let shard: Name = rack.into();
         let claim = Claim {
             shard: shard.clone(),
@@ -94,7 +94,7 @@
                     }
                     Action::Stop { task, .. } => {
                         self.running.remove(&task);
-                        let reply = Some(TaskReply::Ended(Outcome::Stopped));
+                        let reply = Some(TaskReply::Ended(TaskOutcome::Stopped));
                         told.push(Event::Told { task: task.clone(), stop: true, reply });
                         did.push(Did::Stopped { task });
                     }
@@ -135,7 +135,7 @@
 
     pub fn job(&mut self) -> JobId {
         self.jobs += 1;
-        JobId { shard: self.shard.clone(), seq: self.jobs }
+        JobId { shard: self.shard.clone(), number: self.jobs }
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> (JobId, Vec<Did>) {
@@ -144,7 +144,7 @@
         (job, did)
     }
 
-    pub fn end(&mut self, task: &TaskId, outcome: Outcome) -> Vec<Did> {
+    pub fn end(&mut self, task: &TaskId, outcome: TaskOutcome) -> Vec<Did> {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
         self.step(Event::Told { task, stop: false, reply })
@@ -162,8 +162,8 @@
         tasks,
         gang,
         size,
-        run: Millis(1_000),
-        repeat: true,
+        run_time: Millis(1_000),
+        repeatable: true,
     }
 }
 
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -11,7 +11,7 @@
 use sprucerudder::controller::shard::office::Office;
 use sprucerudder::controller::slots::{Lender, Slots, Turn, Waiting};
 use sprucerudder::id::{EntryId, JobId, Name};
-use sprucerudder::job::Outcome;
+use sprucerudder::job::TaskOutcome;
 use sprucerudder::record::Claim;
 use sprucerudder::size::Size;
 use sprucerudder::table::Table;
@@ -50,7 +50,7 @@
     let (job, did) = desk.submit(spec("urgent", 1, false, SMALL));
     assert_eq!(did.len(), 1);
     let task = desk.running.keys().find(|task| task.job == job).cloned().expect("running");
-    desk.end(&task, Outcome::Done);
+    desk.end(&task, TaskOutcome::Done);
 }
 
 fn place(c: &mut Criterion) {
@@ -103,7 +103,7 @@
             shard: "rack".into(),
             domain: "d".into(),
             epoch: 2,
-            owner: EntryId { name: "f".into(), inc: 2 },
+            owner: EntryId { name: "f".into(), incarnation: 2 },
             replicas: Vec::new(),
         };
         let setup = || {
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -11,7 +11,7 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::offer::{self, Candidate, Offer};
 use sprucerudder::id::{JobId, Name, TaskId};
-use sprucerudder::job::Outcome;
+use sprucerudder::job::TaskOutcome;
 use sprucerudder::size::Size;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -238,7 +238,7 @@
         let Some(task) = self.tasks.remove(&key) else { return Vec::new() };
         let desk = &mut self.desks[at];
         desk.now = START + Millis(now);
-        let did = desk.end(&task, if ok { Outcome::Done } else { Outcome::Failed });
+        let did = desk.end(&task, if ok { TaskOutcome::Done } else { TaskOutcome::Failed });
         self.did(did)
     }
 
@@ -322,7 +322,8 @@
             _ => (0, WORKERS),
         };
         let lost = lost(self.now, 0);
-        let mut fitting = (from..to).filter(|at| free[*at].fits(size) && !(lost && at / RACK == 0));
+        let mut fitting =
+            (from..to).filter(|at| free[*at].can_fit(size) && !(lost && at / RACK == 0));
         match self.rule {
             Rule::RandomFit => {
                 let all: Vec<usize> = fitting.collect();
@@ -367,7 +368,7 @@
         let mut picked = Vec::new();
         for member in 0..members {
             let Some(at) = self.pick(&free, kind, &size) else { return false };
-            free[at] = free[at].minus(&size);
+            free[at] = free[at].saturating_sub(&size);
             picked.push(((id, if gang { member } else { index }), at));
         }
         self.free = free;
@@ -396,7 +397,7 @@
         self.now = now;
         self.running.remove(&key);
         let size = self.sizes[&key.0];
-        self.free[worker] = self.free[worker].plus(&size).expect("size");
+        self.free[worker] = self.free[worker].checked_add(&size).expect("size");
         if !ok {
             self.queue.push((key.0, key.1, false, self.kinds[&key.0], size));
         }
@@ -409,7 +410,7 @@
             self.running.iter().filter(|(key, _)| key.0 == id).map(|(k, w)| (*k, *w)).collect();
         for (key, worker) in &mine {
             self.running.remove(key);
-            self.free[*worker] = self.free[*worker].plus(&self.sizes[&id]).expect("size");
+            self.free[*worker] = self.free[*worker].checked_add(&self.sizes[&id]).expect("size");
         }
         let mut moves: Vec<Move> = mine.into_iter().map(|(key, _)| Move::Stop(key)).collect();
         moves.extend(self.place());
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -412,11 +412,11 @@
                 TaskStatus::Waiting => None,
             };
             if bound.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
-                let (failed, checkpoint) = (task.failed_runs.clone(), task.checkpoint.clone());
+                let (failed, saved) = (task.failed_runs.clone(), task.checkpoint.clone());
                 note.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
-                    checkpoint,
+                    checkpoint: saved,
                     assignment: bound,
                 });
             }
--- a/src/cell/owner/access.rs
+++ b/src/cell/owner/access.rs
@@ -25,7 +25,7 @@
 
 /// Whether a caller may call with its key. `is_open`: no key is needed; `age`: since the policy was last read.
 pub fn access(all: &Workspaces, is_open: bool, key: Option<&str>, age: Millis) -> Access {
-    let workspace = key.and_then(|key| all.of_key(key)).cloned();
+    let workspace = key.and_then(|key| all.by_api_key(key)).cloned();
     match workspace {
         Some(workspace) => Access::Granted(Some(workspace)),
         None if is_open => Access::Granted(None),
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,24 +1,24 @@
 //! Checks a time line for what must always hold, and says which event broke it.
 
 use crate::id::{JobId, Name, TaskId};
-use crate::job::Outcome;
+use crate::job::TaskOutcome;
 use crate::size::Size;
-use crate::trace::{Event, What};
+use crate::trace::{Event, EventKind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// A promise that an event broke.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// Which promise.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// The event.
     pub event: Event,
 }
 
 /// What must always hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Promise {
+pub enum Invariant {
     /// No worker is given more than it has.
     Capacity,
     /// No task runs in two places at once.
@@ -35,97 +35,99 @@
     OneOwner,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "broken={:?} {}", self.promise, self.event)
+        write!(f, "broken={:?} {}", self.invariant, self.event)
     }
 }
 
 /// What is known so far.
 #[derive(Debug, Default)]
 struct State {
-    used: BTreeMap<Name, BTreeMap<TaskId, Size>>,
-    places: BTreeMap<(JobId, u32), BTreeSet<Name>>,
-    started: BTreeSet<(JobId, u32)>,
-    once: BTreeSet<Name>,
-    ran: BTreeMap<Name, u32>,
-    not_run: BTreeSet<Name>,
-    answered: BTreeSet<Name>,
-    tables: BTreeMap<Name, u64>,
-    owners: BTreeMap<(Name, u64), Name>,
+    tasks_by_worker: BTreeMap<Name, BTreeMap<TaskId, Size>>,
+    workers_by_task: BTreeMap<(JobId, u32), BTreeSet<Name>>,
+    started_tasks: BTreeSet<(JobId, u32)>,
+    non_repeatable: BTreeSet<Name>,
+    request_runs: BTreeMap<Name, u32>,
+    reported_unrun: BTreeSet<Name>,
+    answered_requests: BTreeSet<Name>,
+    table_revisions: BTreeMap<Name, u64>,
+    shard_owners: BTreeMap<(Name, u64), Name>,
 }
 
 /// Checks events, which have to be in order, and returns all that broke a promise.
-pub fn check(events: &[Event]) -> Vec<Broken> {
+pub fn find_violations(events: &[Event]) -> Vec<Violation> {
     let mut state = State::default();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for event in events {
-        let promises = state.take(event);
-        broken.extend(promises.into_iter().map(|promise| Broken { promise, event: event.clone() }));
+        let invariants = state.apply(event);
+        violations.extend(
+            invariants.into_iter().map(|invariant| Violation { invariant, event: event.clone() }),
+        );
     }
-    broken
+    violations
 }
 
 impl State {
-    fn take(&mut self, event: &Event) -> Vec<Promise> {
-        let who = &event.who;
-        match &event.what {
-            What::WorkerUp { .. } => {
+    fn apply(&mut self, event: &Event) -> Vec<Invariant> {
+        let who = &event.process;
+        match &event.kind {
+            EventKind::WorkerRestarted { .. } => {
                 self.worker_up(who);
                 Vec::new()
             }
-            What::WorkerStarted { task, size, total, repeat } => {
+            EventKind::WorkerStarted { task, size, total, repeat } => {
                 self.worker_started(who, task, size, total, *repeat)
             }
-            What::WorkerEnded { task, .. } => {
+            EventKind::WorkerEnded { task, .. } => {
                 self.worker_ended(who, task);
                 Vec::new()
             }
-            What::Ended { task, outcome: Outcome::Cancelled } => {
-                let ran = self.started.contains(&(task.job.clone(), task.index));
-                broke(ran && task.attempt == 0, Promise::NotRun)
+            EventKind::Ended { task, outcome: TaskOutcome::Cancelled } => {
+                let ran = self.started_tasks.contains(&(task.job.clone(), task.index));
+                violated_if(ran && task.attempt == 0, Invariant::NotRun)
             }
-            What::RequestIn { request, repeat: false, .. } => {
-                self.once.insert(request.clone());
+            EventKind::RequestIn { request, repeat: false, .. } => {
+                self.non_repeatable.insert(request.clone());
                 Vec::new()
             }
-            What::RunnerRan { request } => self.runner_ran(request),
-            What::RequestOut { request, run, .. } => self.request_out(request, run),
-            What::TableInForce { rev, .. } => {
-                let last = self.tables.insert(who.clone(), *rev);
-                broke(last.is_some_and(|last| last >= *rev), Promise::NoOlderTable)
+            EventKind::RunnerRan { request } => self.runner_ran(request),
+            EventKind::RequestOut { request, run, .. } => self.request_out(request, run),
+            EventKind::TableInForce { rev, .. } => {
+                let last = self.table_revisions.insert(who.clone(), *rev);
+                violated_if(last.is_some_and(|last| last >= *rev), Invariant::NoOlderTable)
             }
-            What::Up { .. } => {
-                self.tables.remove(who);
+            EventKind::ProcessStarted { .. } => {
+                self.table_revisions.remove(who);
                 Vec::new()
             }
-            What::TookOffice { shard, epoch, .. } => {
-                let first = self.owners.entry((shard.clone(), *epoch)).or_insert(who.clone());
-                broke(first != who, Promise::OneOwner)
+            EventKind::OwnershipTaken { shard, epoch, .. } => {
+                let first = self.shard_owners.entry((shard.clone(), *epoch)).or_insert(who.clone());
+                violated_if(first != who, Invariant::OneOwner)
             }
-            What::HandedOver { shard, epoch, to } => {
-                let owner = self.owners.insert((shard.clone(), *epoch), to.clone());
-                broke(owner.is_some_and(|owner| owner != *who), Promise::OneOwner)
+            EventKind::HandedOver { shard, epoch, to } => {
+                let owner = self.shard_owners.insert((shard.clone(), *epoch), to.clone());
+                violated_if(owner.is_some_and(|owner| owner != *who), Invariant::OneOwner)
             }
-            What::Succeeded { shard, epoch, from } => {
-                let owner = self.owners.insert((shard.clone(), *epoch), who.clone());
-                let due = owner.is_none_or(|owner| owner == *who || owner == *from);
-                broke(!due, Promise::OneOwner)
+            EventKind::OwnershipContinued { shard, epoch, from } => {
+                let owner = self.shard_owners.insert((shard.clone(), *epoch), who.clone());
+                let is_allowed = owner.is_none_or(|owner| owner == *who || owner == *from);
+                violated_if(!is_allowed, Invariant::OneOwner)
             }
             _ => Vec::new(),
         }
     }
 
     fn worker_up(&mut self, who: &Name) {
-        let tasks = self.used.remove(who).unwrap_or_default();
+        let tasks = self.tasks_by_worker.remove(who).unwrap_or_default();
         for task in tasks.into_keys() {
-            self.leave(who, &task);
+            self.remove_placement(who, &task);
         }
     }
 
-    fn leave(&mut self, who: &Name, task: &TaskId) {
-        if let Some(places) = self.places.get_mut(&(task.job.clone(), task.index)) {
-            places.remove(who);
+    fn remove_placement(&mut self, who: &Name, task: &TaskId) {
+        if let Some(workers) = self.workers_by_task.get_mut(&(task.job.clone(), task.index)) {
+            workers.remove(who);
         }
     }
 
@@ -136,48 +138,52 @@
         size: &Size,
         total: &Size,
         repeat: bool,
-    ) -> Vec<Promise> {
-        let tasks = self.used.entry(who.clone()).or_default();
+    ) -> Vec<Invariant> {
+        let tasks = self.tasks_by_worker.entry(who.clone()).or_default();
         tasks.insert(task.clone(), *size);
-        let sum = tasks.values().try_fold(Size::default(), |sum, size| sum.plus(size));
-        let over = sum.is_none_or(|sum| !total.fits(&sum));
-        let place = (task.job.clone(), task.index);
-        let again = !self.started.insert(place.clone());
-        let places = self.places.entry(place).or_default();
-        let elsewhere = !places.is_empty();
-        places.insert(who.clone());
-        let mut broken = broke(over, Promise::Capacity);
-        broken.extend(broke(elsewhere, Promise::OnePlace));
-        broken.extend(broke(again && !repeat, Promise::AtMostOnce));
-        broken
+        let sum = tasks.values().try_fold(Size::default(), |sum, size| sum.checked_add(size));
+        let is_over = sum.is_none_or(|sum| !total.can_fit(&sum));
+        let task_key = (task.job.clone(), task.index);
+        let was_started = !self.started_tasks.insert(task_key.clone());
+        let workers = self.workers_by_task.entry(task_key).or_default();
+        let is_elsewhere = !workers.is_empty();
+        workers.insert(who.clone());
+        let mut violations = violated_if(is_over, Invariant::Capacity);
+        violations.extend(violated_if(is_elsewhere, Invariant::OnePlace));
+        violations.extend(violated_if(was_started && !repeat, Invariant::AtMostOnce));
+        violations
     }
 
     fn worker_ended(&mut self, who: &Name, task: &TaskId) {
-        if let Some(tasks) = self.used.get_mut(who) {
+        if let Some(tasks) = self.tasks_by_worker.get_mut(who) {
             tasks.remove(task);
         }
-        self.leave(who, task);
+        self.remove_placement(who, task);
     }
 
-    fn runner_ran(&mut self, request: &Name) -> Vec<Promise> {
-        let runs = self.ran.entry(request.clone()).or_insert(0);
+    fn runner_ran(&mut self, request: &Name) -> Vec<Invariant> {
+        let runs = self.request_runs.entry(request.clone()).or_insert(0);
         *runs += 1;
-        let mut broken = broke(self.not_run.contains(request), Promise::NotRun);
-        broken.extend(broke(*runs > 1 && self.once.contains(request), Promise::AtMostOnce));
-        broken
+        let mut violations = violated_if(self.reported_unrun.contains(request), Invariant::NotRun);
+        violations.extend(violated_if(
+            *runs > 1 && self.non_repeatable.contains(request),
+            Invariant::AtMostOnce,
+        ));
+        violations
     }
 
-    fn request_out(&mut self, request: &Name, run: &Name) -> Vec<Promise> {
-        let ran = self.ran.contains_key(request);
-        let mut broken = broke(!self.answered.insert(request.clone()), Promise::OneAnswer);
+    fn request_out(&mut self, request: &Name, run: &Name) -> Vec<Invariant> {
+        let ran = self.request_runs.contains_key(request);
+        let mut violations =
+            violated_if(!self.answered_requests.insert(request.clone()), Invariant::OneAnswer);
         if **run == *"no" {
-            self.not_run.insert(request.clone());
-            broken.extend(broke(ran, Promise::NotRun));
+            self.reported_unrun.insert(request.clone());
+            violations.extend(violated_if(ran, Invariant::NotRun));
         }
-        broken
+        violations
     }
 }
 
-fn broke(broken: bool, promise: Promise) -> Vec<Promise> {
-    if broken { vec![promise] } else { Vec::new() }
+fn violated_if(is_violated: bool, invariant: Invariant) -> Vec<Invariant> {
+    if is_violated { vec![invariant] } else { Vec::new() }
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -56,17 +56,17 @@
 /// A process that did not look at its clock for this long did not run, or its machine did not: an idle
 /// entry looks every 270 ms. With what an owner learned before it, that is within the shortest time for
 /// which the platform's contract lets a machine act on what it knew (3 s).
-const PAUSE: Millis = Millis(2_500);
+const MIN_PAUSE: Millis = Millis(2_500);
 
 /// The time since a process started, which goes on while its machine is suspended. The steady clock of the
 /// system does not: by that one an owner would wake after 20 s and believe in its lease.
 #[derive(Debug)]
 pub struct Clock {
     source: fn() -> Millis,
-    begun: Millis,
+    origin: Millis,
     /// When it was last looked at.
-    last: AtomicU64,
-    pauses: AtomicU64,
+    last_reading: AtomicU64,
+    pause_count: AtomicU64,
 }
 
 impl Default for Clock {
@@ -78,25 +78,25 @@
 impl Clock {
     /// A clock that begins now, by another one.
     pub fn new(source: fn() -> Millis) -> Self {
-        let (last, pauses) = (AtomicU64::new(0), AtomicU64::new(0));
-        Self { source, begun: source(), last, pauses }
+        let (last_reading, pause_count) = (AtomicU64::new(0), AtomicU64::new(0));
+        Self { source, origin: source(), last_reading, pause_count }
     }
 
     /// The time since it began, and one: never zero. Notices if the process did not run for long.
     pub fn now(&self) -> Millis {
-        let now = (self.source)().since(self.begun) + Millis(1);
-        let last = Millis(self.last.fetch_max(now.0, Ordering::Relaxed));
+        let now = (self.source)().since(self.origin) + Millis(1);
+        let last = Millis(self.last_reading.fetch_max(now.0, Ordering::Relaxed));
         let length = now.since(last);
-        if last.0 > 0 && length >= PAUSE {
-            self.pauses.fetch_add(1, Ordering::Relaxed);
-            log::warn!("event=paused ms={length}");
+        if last.0 > 0 && length >= MIN_PAUSE {
+            self.pause_count.fetch_add(1, Ordering::Relaxed);
+            log::warn!("event=process-paused ms={length}");
         }
         now
     }
 
     /// How often the process did not run for so long that what it knew is too old.
-    pub fn pauses(&self) -> u64 {
-        self.pauses.load(Ordering::Relaxed)
+    pub fn pause_count(&self) -> u64 {
+        self.pause_count.load(Ordering::Relaxed)
     }
 }
 
--- a/src/cmd/client.rs
+++ b/src/cmd/client.rs
@@ -1,7 +1,7 @@
 //! Calls to an entry's administration API.
 
 use crate::clock::Millis;
-use crate::cmd::Refusal;
+use crate::cmd::RefusedError;
 use crate::platform::http::{HttpClient, uri};
 use anyhow::{Context, Result, bail};
 use bpaf::Bpaf;
@@ -62,7 +62,7 @@
         let value: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
         match answer.status.is_success() {
             true => Ok(value),
-            false => bail!(Refusal(explain(answer.status.as_u16(), &value))),
+            false => bail!(RefusedError(explain(answer.status.as_u16(), &value))),
         }
     }
 
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -1,6 +1,6 @@
 //! `entry`: runs an entry.
 
-use crate::cmd::{Refusal, Run, runtime, start_log};
+use crate::cmd::{RefusedError, Run, runtime, start_log};
 use crate::entry::Entry;
 use crate::settings::Settings;
 use anyhow::{Context, Result, bail};
@@ -26,7 +26,7 @@
             Ok(settings) => settings,
             Err(faults) => {
                 let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                bail!(Refusal(format!("{}:\n{}", self.settings.display(), lines.join("\n"))));
+                bail!(RefusedError(format!("{}:\n{}", self.settings.display(), lines.join("\n"))));
             }
         };
         start_log(settings.log_level.parse()?);
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -26,7 +26,7 @@
     /// Does its whole work.
     ///
     /// # Errors
-    /// With context for people; [`Refusal`] marks an answer of no.
+    /// With context for people; [`RefusedError`] marks an answer of no.
     fn run(self) -> Result<()>;
 }
 
@@ -134,37 +134,37 @@
 
 /// An answer of no: the system refused, or a check found faults.
 #[derive(Debug)]
-pub struct Refusal(pub String);
+pub struct RefusedError(pub String);
 
-impl fmt::Display for Refusal {
+impl fmt::Display for RefusedError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for RefusedError {}
 
 /// The exit code of a refusal.
-const REFUSED: u8 = 3;
+const REFUSED_EXIT_CODE: u8 = 3;
 
 /// Says what went wrong and returns the exit code for it.
 pub fn report(err: &anyhow::Error) -> ExitCode {
     eprintln!("sprucerudder: {err:#}");
-    match err.is::<Refusal>() {
-        true => ExitCode::from(REFUSED),
+    match err.is::<RefusedError>() {
+        true => ExitCode::from(REFUSED_EXIT_CODE),
         false => ExitCode::FAILURE,
     }
 }
 
 /// The exit code of a wrong use.
-const MISUSED: u8 = 2;
+const USAGE_EXIT_CODE: u8 = 2;
 
 /// Prints the help that was asked for, or what is wrong with the command line.
-pub fn misuse(failure: ParseFailure) -> ExitCode {
-    const WIDTH: usize = 100;
-    failure.print_message(WIDTH);
+pub fn report_usage(failure: ParseFailure) -> ExitCode {
+    const MAX_COLUMNS: usize = 100;
+    failure.print_message(MAX_COLUMNS);
     match failure {
-        ParseFailure::Stderr(_) => ExitCode::from(MISUSED),
+        ParseFailure::Stderr(_) => ExitCode::from(USAGE_EXIT_CODE),
         ParseFailure::Stdout(..) | ParseFailure::Completion(_) => ExitCode::SUCCESS,
     }
 }
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::mechanism::DisabledMechanisms;
 use crate::cell::owner::map::CELL_WORKERS;
-use crate::cmd::{Refusal, Run};
+use crate::cmd::{RefusedError, Run};
 use crate::logs;
 use crate::node::Node;
 use crate::platform::settings::{SETTINGS_VARIABLE, Settings};
@@ -48,8 +48,8 @@
         };
         let text = std::fs::read_to_string(&path)
             .with_context(|| format!("cannot read {}", path.display()))?;
-        let mut settings =
-            Settings::parse(&text).map_err(|err| Refusal(format!("{}: {err}", path.display())))?;
+        let mut settings = Settings::parse(&text)
+            .map_err(|err| RefusedError(format!("{}: {err}", path.display())))?;
         if let Some(port) = self.metrics {
             settings.metrics_addr = format!("{}:{port}", settings.ip).into();
         }
@@ -88,7 +88,7 @@
         }
     });
     let result = Node::run(settings, stopped).await;
-    logs::settle();
+    logs::wait_for_writes();
     Ok(result?)
 }
 
--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -1,7 +1,7 @@
 //! `table`: checks, shows, compares and publishes tables.
 
 use crate::cmd::client::{Client, Target, print, target};
-use crate::cmd::{Refusal, Run, runtime};
+use crate::cmd::{RefusedError, Run, runtime};
 use crate::table::Table;
 use anyhow::{Context, Result, bail};
 use bpaf::Bpaf;
@@ -77,17 +77,17 @@
 fn parse(text: &str) -> Result<Table> {
     Table::parse(text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        Refusal(lines.join("\n")).into()
+        RefusedError(lines.join("\n")).into()
     })
 }
 
 fn check(file: &Path, json: bool) -> Result<()> {
     let text = read(file)?;
     match Table::parse(&text) {
-        Ok(table) => println!("ok rows={} leaving={}", table.rows.len(), table.leaving.len()),
+        Ok(table) => println!("ok rows={} leaving={}", table.rows.len(), table.excluded_vms.len()),
         Err(faults) if json => {
             println!("{}", serde_json::to_string_pretty(&faults)?);
-            bail!(Refusal(format!("{} faults", faults.len())));
+            bail!(RefusedError(format!("{} faults", faults.len())));
         }
         Err(_) => drop(parse(&text)?),
     }
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -2,9 +2,9 @@
 
 use crate::check;
 use crate::clock::Millis;
-use crate::cmd::{Refusal, Run, runtime};
+use crate::cmd::{RefusedError, Run, runtime};
 use crate::platform::http::{HttpClient, uri};
-use crate::server::{TRACE_PATH, TraceRequest};
+use crate::server::{TIMELINE_PATH, TimelineRequest};
 use crate::trace::{Event, Stamp};
 use anyhow::{Context, Result, bail};
 use bpaf::Bpaf;
@@ -47,7 +47,7 @@
         let found = fetch(&HttpClient::default(), *addr, &args.token).await;
         events.extend(found.with_context(|| format!("no time line from {addr}"))?);
     }
-    events.sort_by(|a, b| (a.at, &a.who).cmp(&(b.at, &b.who)));
+    events.sort_by(|a, b| (a.at, &a.process).cmp(&(b.at, &b.process)));
     let wanted = |text: &str| args.only.as_ref().is_none_or(|only| text.contains(only.as_str()));
     for event in &events {
         let text = if args.json { serde_json::to_string(event)? } else { event.to_string() };
@@ -56,10 +56,10 @@
         }
     }
     if args.check {
-        let broken = check::check(&events);
+        let broken = check::find_violations(&events);
         if !broken.is_empty() {
             let lines: Vec<String> = broken.iter().map(ToString::to_string).collect();
-            bail!(Refusal(lines.join("\n")));
+            bail!(RefusedError(lines.join("\n")));
         }
         println!("checked events={} broken=0", events.len());
     }
@@ -68,11 +68,11 @@
 
 /// The whole time line of one process.
 pub async fn fetch(http: &HttpClient, addr: SocketAddr, token: &str) -> Result<Vec<Event>> {
-    let ask = TraceRequest { since: Stamp(0), max: usize::MAX };
+    let ask = TimelineRequest { since: Stamp(0), max: usize::MAX };
     let addr = addr.to_string();
     let request = Request::builder()
         .method(Method::POST)
-        .uri(uri(&addr, TRACE_PATH)?)
+        .uri(uri(&addr, TIMELINE_PATH)?)
         .header(AUTHORIZATION, format!("Bearer {token}"))
         .header(CONTENT_TYPE, "application/json")
         .body(Full::from(Bytes::from(serde_json::to_vec(&ask)?)))?;
--- a/src/controller/book.rs
+++ b/src/controller/book.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::controller::fold::LogJob;
 use crate::id::{EntryId, JobId, Name, TaskId};
-use crate::job::{JobSpec, JobStatus, Note, Outcome};
+use crate::job::{JobSpec, JobStatus, StateChange, TaskOutcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ended {
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: TaskOutcome,
 }
 
 impl Queued {
@@ -42,13 +42,13 @@
         Bound { attempt: self.attempt, worker, inc, owner }
     }
 
-    fn end(&self, outcome: Outcome) -> Ended {
+    fn end(&self, outcome: TaskOutcome) -> Ended {
         Ended { outcome }
     }
 }
 
 impl Bound {
-    fn end(&self, outcome: Outcome) -> Ended {
+    fn end(&self, outcome: TaskOutcome) -> Ended {
         Ended { outcome }
     }
 
@@ -144,19 +144,19 @@
         for task in &self.tasks {
             match task {
                 Task::Ended(end) => add(end.outcome),
-                Task::Queued(_) if self.cancelled => add(Outcome::Cancelled),
+                Task::Queued(_) if self.cancelled => add(TaskOutcome::Cancelled),
                 Task::Queued(_) | Task::Bound(_) => {}
             }
         }
         JobStatus {
             job: job.clone(),
             spec: self.spec.clone(),
-            at: self.at,
+            accepted_at: self.at,
             cancelled: self.cancelled,
             queued: if self.cancelled { 0 } else { self.queued },
             running: self.bound.len() as u32,
             ended: ended.into_iter().collect(),
-            why: String::new(),
+            wait_reason: String::new(),
         }
     }
 
@@ -178,50 +178,52 @@
 
 impl Book {
     /// Applies one note. A note that does not follow from the present state changes nothing.
-    pub fn apply(&mut self, note: &Note) {
+    pub fn apply(&mut self, note: &StateChange) {
         match note {
-            Note::Barrier => {}
-            Note::Rebuilt => self.rebuilding = false,
-            Note::Submit { job, spec, at } => {
+            StateChange::Barrier => {}
+            StateChange::Rebuilt => self.rebuilding = false,
+            StateChange::Submit { job, spec, at } => {
                 self.jobs.entry(job.clone()).or_insert_with(|| Job::new(spec.clone(), *at));
             }
-            Note::Bind { task, worker, inc, owner } => self.change(task, |old| match old {
-                Task::Queued(queued) if queued.attempt <= task.attempt => {
-                    let queued = Queued { attempt: task.attempt };
-                    Some(Task::Bound(queued.bind(worker.clone(), *inc, owner.clone())))
-                }
-                _ => None,
-            }),
-            Note::Finish { task, outcome } => self.change(task, |old| match old {
+            StateChange::Bind { task, worker, incarnation, owner } => {
+                self.change(task, |old| match old {
+                    Task::Queued(queued) if queued.attempt <= task.attempt => {
+                        let queued = Queued { attempt: task.attempt };
+                        Some(Task::Bound(queued.bind(worker.clone(), *incarnation, owner.clone())))
+                    }
+                    _ => None,
+                })
+            }
+            StateChange::Finish { task, outcome } => self.change(task, |old| match old {
                 Task::Bound(bound) if bound.attempt == task.attempt => {
                     Some(Task::Ended(bound.end(*outcome)))
                 }
                 Task::Queued(queued) => Some(Task::Ended(queued.end(*outcome))),
                 _ => None,
             }),
-            Note::Requeue { task } => self.change(task, |old| match old {
+            StateChange::Requeue { task } => self.change(task, |old| match old {
                 Task::Bound(bound) if bound.attempt == task.attempt => {
                     Some(Task::Queued(bound.requeue()))
                 }
                 _ => None,
             }),
-            Note::Cancel { job } => {
+            StateChange::Cancel { job } => {
                 if let Some(job) = self.jobs.get_mut(job) {
                     job.cancelled = true;
                 }
             }
-            Note::Key { key, holder, at } => {
+            StateChange::Key { key, holder, at } => {
                 let taken = Key { holder: holder.clone(), at: *at };
                 self.keys.entry(key.clone()).or_insert(taken);
             }
-            Note::FreeKey { key, holder } => {
+            StateChange::FreeKey { key, holder } => {
                 if self.keys.get(key).is_some_and(|known| known.holder == *holder) {
                     self.keys.remove(key);
                 }
             }
-            Note::Forget { job } => drop(self.jobs.remove(job)),
-            Note::List { rev } => self.list = self.list.max(*rev),
-            Note::ForgetKeys { before } => self.keys.retain(|_, key| key.at >= *before),
+            StateChange::Forget { job } => drop(self.jobs.remove(job)),
+            StateChange::List { rev } => self.list = self.list.max(*rev),
+            StateChange::ForgetKeys { before } => self.keys.retain(|_, key| key.at >= *before),
         }
     }
 
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -169,7 +169,7 @@
     ) -> bool {
         let limit = SUSPECT + self.turn(now, shard, peers);
         match peers.get(&claim.owner.name) {
-            Some(peer) if peer.id.inc > claim.owner.inc => {
+            Some(peer) if peer.id.incarnation > claim.owner.incarnation => {
                 now.since(self.since) >= self.turn(now, shard, peers)
             }
             Some(peer) => now.since(peer.heard.max(self.since)) >= limit,
--- a/src/controller/fold.rs
+++ b/src/controller/fold.rs
@@ -9,7 +9,7 @@
 use crate::controller::replica::{Replica, State, Update};
 use crate::controller::table::{Revision, Tables};
 use crate::id::{EntryId, JobId, Name};
-use crate::job::{JobSpec, Note, Outcome};
+use crate::job::{JobSpec, StateChange, TaskOutcome};
 use crate::record::{Claim, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,7 +43,7 @@
     /// When its record was last appended, by the offset.
     pub offset: u64,
     /// Tasks that ended.
-    pub ended: BTreeMap<u32, Outcome>,
+    pub ended: BTreeMap<u32, TaskOutcome>,
 }
 
 /// The fold.
@@ -129,10 +129,10 @@
                 }
             }
             Record::Active { shard, epoch } => self.claims.active(&shard, epoch),
-            Record::Snapshot { upto, table, claims } => {
+            Record::Snapshot { end_offset, table, claims } => {
                 self.snapshot = offset;
                 if !self.synced {
-                    self.restore(upto, table, claims, changes);
+                    self.restore(end_offset, table, claims, changes);
                 }
             }
             Record::Job { job, spec, at } => {
@@ -179,7 +179,7 @@
         }
     }
 
-    fn ended(&mut self, job: &JobId, index: u32, outcome: Outcome) {
+    fn ended(&mut self, job: &JobId, index: u32, outcome: TaskOutcome) {
         let Some(known) = self.jobs.get_mut(job) else { return };
         known.ended.insert(index, outcome);
         if known.ended.len() as u32 >= known.spec.tasks {
@@ -193,7 +193,7 @@
         epoch: u64,
         base: Option<State>,
         first: u64,
-        notes: Vec<Note>,
+        notes: Vec<StateChange>,
         changes: &mut Vec<Change>,
     ) {
         let last = self.claims.last(&shard);
@@ -225,6 +225,6 @@
     /// A record with all that a later reader needs to know of what came before.
     pub fn snapshot(&self) -> Record {
         let table = self.tables.folded().cloned();
-        Record::Snapshot { upto: self.next, table, claims: self.claims.histories() }
+        Record::Snapshot { end_offset: self.next, table, claims: self.claims.histories() }
     }
 }
--- a/src/controller/gossip.rs
+++ b/src/controller/gossip.rs
@@ -60,11 +60,11 @@
 
     /// A run of a peer holds this state; 0: none.
     pub fn acked(&mut self, peer: &EntryId, held: u64) {
-        let fresh = (peer.inc, 0);
+        let fresh = (peer.incarnation, 0);
         let known = self.acked.entry(peer.name.clone()).or_insert(fresh);
         match () {
-            _ if peer.inc < known.0 => {}
-            _ if peer.inc > known.0 || held == 0 => *known = (peer.inc, held),
+            _ if peer.incarnation < known.0 => {}
+            _ if peer.incarnation > known.0 || held == 0 => *known = (peer.incarnation, held),
             _ => known.1 = known.1.max(held),
         }
     }
@@ -94,16 +94,16 @@
     /// Takes in a message from a run of the peer.
     pub fn take(&mut self, from: &EntryId, delta: Delta) -> Taken {
         match () {
-            _ if from.inc < self.inc => return Taken::Stale,
-            _ if from.inc == self.inc && delta.seq <= self.seq => return Taken::Stale,
+            _ if from.incarnation < self.inc => return Taken::Stale,
+            _ if from.incarnation == self.inc && delta.seq <= self.seq => return Taken::Stale,
             _ if delta.base == 0 => self.shards.clear(),
-            _ if from.inc > self.inc || delta.base > self.seq => {
-                *self = Self { inc: from.inc, ..Self::default() };
+            _ if from.incarnation > self.inc || delta.base > self.seq => {
+                *self = Self { inc: from.incarnation, ..Self::default() };
                 return Taken::Gap;
             }
             _ => {}
         }
-        (self.inc, self.seq) = (from.inc, delta.seq);
+        (self.inc, self.seq) = (from.incarnation, delta.seq);
         let named = delta.shards.into_iter().map(|beat| (beat.shard.clone(), beat));
         self.shards.extend(named);
         Taken::Yes
--- a/src/controller/offer.rs
+++ b/src/controller/offer.rs
@@ -46,13 +46,13 @@
 /// The shards that may take an offer, best first: near ones, then those with room now where
 /// nothing as urgent waits, then those with the least to do. `seed` spreads jobs over equals.
 pub fn order(candidates: &[Candidate], offer: &Offer, seed: u64) -> Vec<Name> {
-    let fitting = candidates.iter().filter(|at| at.room.largest.fits(&offer.size));
+    let fitting = candidates.iter().filter(|at| at.room.largest.can_fit(&offer.size));
     let mut rated: Vec<_> = fitting
         .map(|at| {
             let room = &at.room;
-            let fits = room.free.fits(&offer.size);
+            let fits = room.free.can_fit(&offer.size);
             let first = room.backlog == 0 || room.urgent < offer.weight;
-            let now = first && fits && room.spare.times(&offer.size) >= offer.count;
+            let now = first && fits && room.spare.max_copies(&offer.size) >= offer.count;
             let load = room.backlog as i64 - room.spare.cpu as i64;
             let spread = hash(&[at.shard.as_bytes(), &seed.to_le_bytes()]);
             ((at.far, !now, u32::MAX - at.weight, load, spread), &at.shard)
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -35,7 +35,7 @@
 
     /// What is left.
     pub fn free(&self) -> Size {
-        self.total.minus(&self.used)
+        self.total.saturating_sub(&self.used)
     }
 
     /// The worker's size changed. What is set aside stays set aside.
@@ -45,7 +45,7 @@
 
     /// Sets room aside; `false`, and no change, if there is not enough.
     pub fn take(&mut self, kind: &Name, size: &Size) -> bool {
-        let fits = self.free().fits(size);
+        let fits = self.free().can_fit(size);
         if fits {
             self.force(kind, size);
         }
@@ -54,13 +54,13 @@
 
     /// Counts room that is taken already, whether or not it fits: a task found running.
     pub fn force(&mut self, kind: &Name, size: &Size) {
-        self.used = self.used.plus(size).unwrap_or(Size::new(u32::MAX, u32::MAX, u32::MAX));
+        self.used = self.used.checked_add(size).unwrap_or(Size::new(u32::MAX, u32::MAX, u32::MAX));
         *self.kinds.entry(kind.clone()).or_insert(0) += 1;
     }
 
     /// Gives room back.
     pub fn give(&mut self, kind: &Name, size: &Size) {
-        self.used = self.used.minus(size);
+        self.used = self.used.saturating_sub(size);
         if let Some(n) = self.kinds.get_mut(kind) {
             *n = n.saturating_sub(1);
         }
@@ -74,8 +74,8 @@
 
     /// How well a task fits here: fuller is better by `pack`, fewer of its kind by `spread`.
     fn score(&self, kind: &str, size: &Size, weights: Weights) -> i64 {
-        let after = self.used.plus(size).unwrap_or(self.total);
-        let full = self.total.share(&after) as i64;
+        let after = self.used.checked_add(size).unwrap_or(self.total);
+        let full = self.total.dominant_share(&after) as i64;
         let apart = FULL - SAME_KIND * self.kind(kind) as i64;
         full * weights.pack as i64 + apart * weights.spread as i64
     }
@@ -98,7 +98,7 @@
     size: &Size,
     weights: Weights,
 ) -> Option<&'a Name> {
-    let fitting = open.filter(|(_, ledger)| ledger.free().fits(size));
+    let fitting = open.filter(|(_, ledger)| ledger.free().can_fit(size));
     let rated = fitting.map(|(name, ledger)| {
         let wasted = size.acc == 0 && ledger.total.acc > 0;
         ((!wasted, ledger.score(kind, size, weights)), name)
@@ -116,7 +116,7 @@
     weights: Weights,
 ) -> Option<Vec<Name>> {
     let mut trial: BTreeMap<&Name, Ledger> = open.map(|(name, at)| (name, at.clone())).collect();
-    let room: u64 = trial.values().map(|ledger| ledger.free().times(size) as u64).sum();
+    let room: u64 = trial.values().map(|ledger| ledger.free().max_copies(size) as u64).sum();
     if room < count as u64 {
         return None;
     }
--- a/src/controller/queue.rs
+++ b/src/controller/queue.rs
@@ -142,7 +142,7 @@
             let helps = match bucket.blocked {
                 None => false,
                 Some(Block::Limit) => true,
-                Some(Block::Room) => free.fits(&shape.size),
+                Some(Block::Room) => free.can_fit(&shape.size),
             };
             if helps {
                 bucket.blocked = None;
--- a/src/controller/replica.rs
+++ b/src/controller/replica.rs
@@ -7,7 +7,7 @@
 use crate::controller::book::Book;
 use crate::controller::shard::office::LEASE;
 use crate::id::Name;
-use crate::job::Note;
+use crate::job::StateChange;
 use crate::platform::api::SyncOrder;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     /// The number of the first note.
     pub first: u64,
     /// The notes.
-    pub notes: Vec<Note>,
+    pub notes: Vec<StateChange>,
 }
 
 /// Why a replica did not take an update.
--- a/src/controller/shard/call.rs
+++ b/src/controller/shard/call.rs
@@ -5,24 +5,24 @@
 use crate::controller::shard::office::{Office, shape};
 use crate::controller::shard::state::{Effect, StopWhy, Worker};
 use crate::id::{JobId, Name};
-use crate::job::{JobSpec, MAX_TASKS, Note};
+use crate::job::{JobSpec, MAX_TASKS, StateChange};
 use crate::record::Record;
 use crate::size::Size;
-use crate::table::Class;
-use crate::trace::What;
+use crate::table::WorkClass;
+use crate::trace::EventKind;
 
 impl Office {
     pub(super) fn submit(&mut self, now: Millis, token: u64, job: JobId, spec: JobSpec) {
         if !self.book.jobs.contains_key(&job) {
             if let Err(why) = self.check(&spec) {
                 let reason = refusal_name(why);
-                self.out.push(Action::Trace(What::Refused { job, reason }));
+                self.out.push(Action::Trace(EventKind::Refused { job, reason }));
                 self.out.push(Action::Reply { token, answer: Answer::Refused(why) });
                 return;
             }
             self.accept(now, &job, &spec);
         }
-        let note = Note::Submit { job: job.clone(), spec, at: now };
+        let note = StateChange::Submit { job: job.clone(), spec, at: now };
         let answer = Answer::Submitted { job };
         self.note(note, Some(Effect::Reply { token, answer }));
     }
@@ -32,11 +32,11 @@
         self.queue.add_all(shape(spec), now, job.clone(), spec.tasks);
         self.dirty = true;
         let (job, spec) = (job.clone(), spec.clone());
-        self.out.push(Action::Trace(What::Submitted {
+        self.out.push(Action::Trace(EventKind::Submitted {
             job: job.clone(),
             kind: spec.kind.clone(),
             tasks: spec.tasks,
-            repeat: spec.repeat,
+            repeat: spec.repeatable,
         }));
         self.out.push(Action::Append(Record::Job { job, spec, at: now }));
     }
@@ -48,11 +48,11 @@
     pub fn check(&self, spec: &JobSpec) -> Result<(), Refusal> {
         let row = self.table.rows.get(&spec.kind).ok_or(Refusal::UnknownKind)?;
         let waiting = self.loads.get(&spec.kind).map_or(0, |load| load.waiting);
-        let fits = |worker: &Worker| worker.ledger.total().times(&spec.size);
+        let fits = |worker: &Worker| worker.ledger.total().max_copies(&spec.size);
         let room: u64 = self.workers.values().map(|worker| fits(worker) as u64).sum();
         let need = if spec.gang { spec.tasks as u64 } else { 1 };
         match () {
-            _ if row.class == Class::Request => Err(Refusal::UnknownKind),
+            _ if row.class == WorkClass::Request => Err(Refusal::UnknownKind),
             _ if row.team != spec.team => Err(Refusal::WrongTeam),
             _ if spec.tasks == 0 || spec.tasks > MAX_TASKS => Err(Refusal::BadSize),
             _ if spec.size == Size::default() => Err(Refusal::BadSize),
@@ -74,8 +74,8 @@
             if !self.undoing.contains(&id) {
                 self.load(&kind).dequeue(queued, cpu);
             }
-            self.out.push(Action::Trace(What::Cancelled { job: id.clone() }));
-            self.note(Note::Cancel { job: id.clone() }, None);
+            self.out.push(Action::Trace(EventKind::Cancelled { job: id.clone() }));
+            self.note(StateChange::Cancel { job: id.clone() }, None);
             for index in bound {
                 self.stop_task(now, &id, index, StopWhy::Cancel);
             }
@@ -83,7 +83,7 @@
         }
         let Some(job) = self.book.jobs.get(&id) else { return };
         let answer = Answer::Cancelled(Box::new(job.status(&id)));
-        self.note(Note::Cancel { job: id }, Some(Effect::Reply { token, answer }));
+        self.note(StateChange::Cancel { job: id }, Some(Effect::Reply { token, answer }));
     }
 
     pub(super) fn take_key(&mut self, now: Millis, token: u64, key: Name, holder: Name) {
@@ -92,7 +92,7 @@
             Some(known) => Answer::KeyKnown(known),
             None => Answer::KeyTaken,
         };
-        let note = Note::Key { key, holder, at: now };
+        let note = StateChange::Key { key, holder, at: now };
         self.note(note, Some(Effect::Reply { token, answer }));
     }
 }
--- a/src/controller/shard/event.rs
+++ b/src/controller/shard/event.rs
@@ -8,7 +8,7 @@
 use crate::platform::api::{Report, StartOrder, TaskReply};
 use crate::record::Record;
 use crate::table::Table;
-use crate::trace::What;
+use crate::trace::EventKind;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -100,7 +100,7 @@
     /// Append a record to the log; nothing waits for it.
     Append(Record),
     /// Add to the time line.
-    Trace(What),
+    Trace(EventKind),
 }
 
 /// The name of a refusal in answers and the time line.
--- a/src/controller/shard/journal.rs
+++ b/src/controller/shard/journal.rs
@@ -3,7 +3,7 @@
 use crate::controller::book::Book;
 use crate::controller::replica::{State, Update};
 use crate::id::{EntryId, Name};
-use crate::job::Note;
+use crate::job::StateChange;
 use crate::record::{Claim, Record};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,7 +22,7 @@
 pub struct Journal<E> {
     epoch: u64,
     seq: u64,
-    notes: VecDeque<(u64, Note)>,
+    notes: VecDeque<(u64, StateChange)>,
     replicas: BTreeMap<EntryId, Progress>,
     log: Option<Progress>,
     sent: u64,
@@ -71,7 +71,7 @@
     }
 
     /// Adds a note; `effect` comes out of [`Journal::ready`] once all replicas hold it.
-    pub fn push(&mut self, note: Note, effect: Option<E>) -> u64 {
+    pub fn push(&mut self, note: StateChange, effect: Option<E>) -> u64 {
         self.seq += 1;
         self.notes.push_back((self.seq, note));
         if let Some(effect) = effect {
@@ -93,7 +93,7 @@
         (!notes.is_empty()).then_some(Update { epoch: self.epoch, base: None, first, notes })
     }
 
-    fn after(&self, seq: u64) -> Vec<Note> {
+    fn after(&self, seq: u64) -> Vec<StateChange> {
         let later = self.notes.iter().filter(|(at, _)| *at > seq);
         later.take(MAX_NOTES).map(|(_, note)| note.clone()).collect()
     }
@@ -160,7 +160,7 @@
         }
         self.settled = self.committed();
         self.replicas.remove(id);
-        self.proof = self.push(Note::Barrier, None);
+        self.proof = self.push(StateChange::Barrier, None);
         true
     }
 
--- a/src/controller/shard/life.rs
+++ b/src/controller/shard/life.rs
@@ -8,10 +8,10 @@
 use crate::controller::shard::plan::MAX_WAITING;
 use crate::controller::shard::state::{Effect, Live, StopWhy, Tomb, Worker};
 use crate::id::{JobId, Name, TaskId};
-use crate::job::{Note, Outcome};
+use crate::job::{StateChange, TaskOutcome};
 use crate::platform::api::{Report, Running, StartOrder, TaskReply};
 use crate::record::Record;
-use crate::trace::What;
+use crate::trace::EventKind;
 use std::collections::BTreeSet;
 
 /// A start or stop without effect is sent again after this long.
@@ -28,8 +28,8 @@
             task: task.clone(),
             kind: spec.kind.clone(),
             size: spec.size,
-            run: spec.run,
-            repeat: spec.repeat,
+            run: spec.run_time,
+            repeat: spec.repeatable,
             lease,
             stamp: Default::default(),
         };
@@ -38,7 +38,11 @@
         live.told = now;
         self.flights.begin(task.clone(), 1);
         let (id, owner) = (task.clone(), self.me.clone());
-        self.out.push(Action::Trace(What::StartSent { task: id, worker: worker.clone(), owner }));
+        self.out.push(Action::Trace(EventKind::StartSent {
+            task: id,
+            worker: worker.clone(),
+            owner,
+        }));
         self.out.push(Action::Start { worker, order });
     }
 
@@ -53,8 +57,8 @@
         }
         live.told = now;
         match live.sent {
-            true => drop(self.note(Note::Barrier, Some(Effect::Stop(task)))),
-            false => self.ended(now, &task, Outcome::Cancelled),
+            true => drop(self.note(StateChange::Barrier, Some(Effect::Stop(task)))),
+            false => self.ended(now, &task, TaskOutcome::Cancelled),
         }
     }
 
@@ -86,15 +90,15 @@
     }
 
     /// A worker says that a task is over.
-    fn ended(&mut self, now: Millis, task: &TaskId, outcome: Outcome) {
+    fn ended(&mut self, now: Millis, task: &TaskId, outcome: TaskOutcome) {
         if self.book.bound(task).is_none() {
             return;
         }
         let Some(live) = self.live.get(task).cloned() else { return };
         match outcome {
-            Outcome::Done => self.judge(now, &live.worker, &live.kind, true),
-            Outcome::Failed => self.judge(now, &live.worker, &live.kind, false),
-            Outcome::Cancelled | Outcome::Stopped | Outcome::Unknown => {}
+            TaskOutcome::Done => self.judge(now, &live.worker, &live.kind, true),
+            TaskOutcome::Failed => self.judge(now, &live.worker, &live.kind, false),
+            TaskOutcome::Cancelled | TaskOutcome::Stopped | TaskOutcome::Unknown => {}
         }
         match self.again(task, outcome) {
             true => self.requeue(now, task),
@@ -105,36 +109,36 @@
     }
 
     /// Whether a task that ended like this runs once more.
-    fn again(&self, task: &TaskId, outcome: Outcome) -> bool {
+    fn again(&self, task: &TaskId, outcome: TaskOutcome) -> bool {
         let Some(job) = self.book.jobs.get(&task.job) else { return false };
         let retries = self.row(&job.spec.kind).map_or(0, |row| row.retries);
         match outcome {
             _ if job.cancelled => false,
-            Outcome::Cancelled => true,
-            Outcome::Stopped => job.spec.repeat,
-            Outcome::Failed => job.spec.repeat && task.attempt < retries,
-            Outcome::Done | Outcome::Unknown => false,
+            TaskOutcome::Cancelled => true,
+            TaskOutcome::Stopped => job.spec.repeatable,
+            TaskOutcome::Failed => job.spec.repeatable && task.attempt < retries,
+            TaskOutcome::Done | TaskOutcome::Unknown => false,
         }
     }
 
     /// The worker of a task is gone, or has lost it.
     fn lost(&mut self, now: Millis, task: &TaskId) {
         let job = self.book.jobs.get(&task.job);
-        let (repeat, cancelled) = job.map_or((false, true), |j| (j.spec.repeat, j.cancelled));
+        let (repeat, cancelled) = job.map_or((false, true), |j| (j.spec.repeatable, j.cancelled));
         let sent = self.live.get(task).is_none_or(|live| live.sent);
         match () {
             _ if !sent && !cancelled => self.requeue(now, task),
-            _ if !sent => self.finish(now, task, Outcome::Cancelled),
-            _ if !repeat => self.finish(now, task, Outcome::Unknown),
-            _ if cancelled => self.finish(now, task, Outcome::Stopped),
+            _ if !sent => self.finish(now, task, TaskOutcome::Cancelled),
+            _ if !repeat => self.finish(now, task, TaskOutcome::Unknown),
+            _ if cancelled => self.finish(now, task, TaskOutcome::Stopped),
             _ => self.requeue(now, task),
         }
     }
 
-    fn finish(&mut self, now: Millis, task: &TaskId, outcome: Outcome) {
+    fn finish(&mut self, now: Millis, task: &TaskId, outcome: TaskOutcome) {
         self.release(task);
-        self.note(Note::Finish { task: task.clone(), outcome }, None);
-        self.out.push(Action::Trace(What::Ended { task: task.clone(), outcome }));
+        self.note(StateChange::Finish { task: task.clone(), outcome }, None);
+        self.out.push(Action::Trace(EventKind::Ended { task: task.clone(), outcome }));
         let (job, index) = (task.job.clone(), task.index);
         self.out.push(Action::Append(Record::Ended { job, index, outcome }));
         self.settle_gang(now, &task.job);
@@ -143,8 +147,8 @@
 
     fn requeue(&mut self, now: Millis, task: &TaskId) {
         self.release(task);
-        self.note(Note::Requeue { task: task.clone() }, None);
-        self.out.push(Action::Trace(What::Requeued { task: task.clone() }));
+        self.note(StateChange::Requeue { task: task.clone() }, None);
+        self.out.push(Action::Trace(EventKind::Requeued { task: task.clone() }));
         let Some(job) = self.book.jobs.get(&task.job) else { return };
         let (at, shape, cancelled) = (job.at, shape(&job.spec), job.cancelled);
         match job.spec.gang {
@@ -188,7 +192,7 @@
             false => {
                 for (index, attempt) in rest {
                     let task = TaskId { job: id.clone(), index, attempt };
-                    self.finish(now, &task, Outcome::Stopped);
+                    self.finish(now, &task, TaskOutcome::Stopped);
                 }
             }
         }
@@ -214,7 +218,7 @@
         let before = self.health.aside().len();
         self.health.outcome(now, worker, kind, ok, self.workers.len());
         if self.health.aside().len() > before {
-            self.out.push(Action::Trace(What::SetAside { worker: worker.clone() }));
+            self.out.push(Action::Trace(EventKind::WorkerSetAside { worker: worker.clone() }));
         }
     }
 
@@ -224,7 +228,7 @@
             return;
         }
         if rev > self.book.list {
-            self.note(Note::List { rev }, None);
+            self.note(StateChange::List { rev }, None);
         }
         let vms = vms.into_iter().filter(|vm| vm.role == Role::Worker && vm.rack == self.shard);
         let vms: Vec<Vm> = vms.collect();
@@ -357,7 +361,7 @@
         }
     }
 
-    fn saw_running(&mut self, now: Millis, name: &Name, inc: u64, running: Running) {
+    fn saw_running(&mut self, now: Millis, name: &Name, incarnation: u64, running: Running) {
         let task = running.task;
         if self.book.bound(&task).is_some_and(|bound| bound.worker == *name) {
             if let Some(live) = self.live.get_mut(&task) {
@@ -367,7 +371,7 @@
         }
         if self.unlisted.is_some() && self.book.queued(&task.job, task.index).is_some() {
             let (worker, owner) = (name.clone(), self.me.clone());
-            self.note(Note::Bind { task: task.clone(), worker, inc, owner }, None);
+            self.note(StateChange::Bind { task: task.clone(), worker, incarnation, owner }, None);
             self.hold(task, name);
             return;
         }
@@ -377,14 +381,14 @@
             worker.strays.insert(task.clone(), (running.kind, running.size));
         }
         let stop = Effect::StopStray { worker: name.clone(), task };
-        self.note(Note::Barrier, Some(stop));
+        self.note(StateChange::Barrier, Some(stop));
     }
 
-    fn saw_ended(&mut self, now: Millis, name: &Name, task: TaskId, outcome: Outcome) {
+    fn saw_ended(&mut self, now: Millis, name: &Name, task: TaskId, outcome: TaskOutcome) {
         if self.book.bound(&task).is_some_and(|bound| bound.worker == *name) {
             self.ended(now, &task, outcome);
         } else if self.unlisted.is_some()
-            && outcome == Outcome::Done
+            && outcome == TaskOutcome::Done
             && self.book.queued(&task.job, task.index).is_some()
         {
             self.finish(now, &task, outcome);
@@ -392,7 +396,7 @@
         if self.may_ack(now, &task) {
             self.tombs.remove(&task);
             let ack = Effect::Ack { worker: name.clone(), tasks: vec![task] };
-            self.note(Note::Barrier, Some(ack));
+            self.note(StateChange::Barrier, Some(ack));
         }
     }
 
@@ -429,7 +433,7 @@
             return;
         }
         self.unlisted = None;
-        self.note(Note::Rebuilt, None);
+        self.note(StateChange::Rebuilt, None);
         let jobs: Vec<JobId> = self.book.jobs.keys().cloned().collect();
         for id in &jobs {
             self.doubt_job(now, id);
@@ -439,14 +443,14 @@
     }
 
     fn doubt_job(&mut self, now: Millis, id: &JobId) {
-        let Some(job) = self.book.jobs.get(id).filter(|job| !job.spec.repeat) else { return };
+        let Some(job) = self.book.jobs.get(id).filter(|job| !job.spec.repeatable) else { return };
         let tasks = (0..job.spec.tasks).filter_map(|index| {
             let attempt = job.queued_at(index)?;
             Some(TaskId { job: id.clone(), index, attempt })
         });
         let tasks: Vec<TaskId> = tasks.collect();
         for task in tasks {
-            self.finish(now, &task, Outcome::Unknown);
+            self.finish(now, &task, TaskOutcome::Unknown);
         }
     }
 
@@ -481,7 +485,7 @@
     fn start_again(&mut self, now: Millis, task: TaskId) {
         if let Some(live) = self.live.get_mut(&task) {
             live.told = now;
-            self.note(Note::Barrier, Some(Effect::Start(task)));
+            self.note(StateChange::Barrier, Some(Effect::Start(task)));
         }
     }
 
--- a/src/controller/shard/office.rs
+++ b/src/controller/shard/office.rs
@@ -17,7 +17,7 @@
 pub use crate::controller::shard::state::Load;
 use crate::controller::shard::state::{Effect, Live, Tomb, Worker};
 use crate::id::{EntryId, JobId, Name, TaskId};
-use crate::job::{JobSpec, JobStatus, Note};
+use crate::job::{JobSpec, JobStatus, StateChange};
 use crate::platform::api::SyncOrder;
 use crate::record::{Claim, Record};
 use crate::table::{Row, Table};
@@ -211,7 +211,7 @@
             Event::Cancel { token, job } => self.cancel(now, token, job),
             Event::Key { token, key, holder } => self.take_key(now, token, key, holder),
             Event::FreeKey { key, holder } => {
-                self.note(Note::FreeKey { key, holder }, None);
+                self.note(StateChange::FreeKey { key, holder }, None);
             }
             Event::Workers { rev, vms } => self.set_workers(now, rev, vms),
             Event::Told { task, stop, reply } => self.told(now, task, stop, reply),
@@ -236,7 +236,7 @@
     }
 
     /// Applies a note here and sends it to the replicas.
-    pub(super) fn note(&mut self, note: Note, effect: Option<Effect>) -> u64 {
+    pub(super) fn note(&mut self, note: StateChange, effect: Option<Effect>) -> u64 {
         self.book.apply(&note);
         self.out.push(Action::Replicate);
         self.journal.push(note, effect)
@@ -318,11 +318,11 @@
         let old: Vec<JobId> = old.map(|(id, _)| id.clone()).collect();
         for job in old {
             self.closed.remove(&job);
-            self.note(Note::Forget { job }, None);
+            self.note(StateChange::Forget { job }, None);
         }
         if now.since(self.swept) >= KEY_SWEEP {
             self.swept = now;
-            self.note(Note::ForgetKeys { before: now - KEY_TTL }, None);
+            self.note(StateChange::ForgetKeys { before: now - KEY_TTL }, None);
         }
     }
 
@@ -377,9 +377,9 @@
         let mut room = Room::default();
         for worker in self.workers.values() {
             let free = worker.ledger.free();
-            room.largest = room.largest.most(&worker.ledger.total());
-            room.free = room.free.most(&free);
-            room.spare = room.spare.plus(&free).unwrap_or(room.spare);
+            room.largest = room.largest.component_max(&worker.ledger.total());
+            room.free = room.free.component_max(&free);
+            room.spare = room.spare.checked_add(&free).unwrap_or(room.spare);
         }
         for (kind, load) in self.loads.iter().filter(|(_, load)| load.waiting > 0) {
             room.backlog += load.backlog;
@@ -407,7 +407,7 @@
     pub fn status(&self, id: &JobId, now: Millis) -> Option<JobStatus> {
         let mut status = self.book.jobs.get(id)?.status(id);
         if status.queued > 0 {
-            status.why = self.why_waiting(now, &status.spec);
+            status.wait_reason = self.why_waiting(now, &status.spec);
         }
         Some(status)
     }
--- a/src/controller/shard/plan.rs
+++ b/src/controller/shard/plan.rs
@@ -8,8 +8,8 @@
 use crate::controller::shard::office::{Office, WORKER_FRESH, shape};
 use crate::controller::shard::state::{Effect, Live, Worker};
 use crate::id::{JobId, Name, TaskId};
-use crate::job::{JobSpec, Note};
-use crate::trace::What;
+use crate::job::{JobSpec, StateChange};
+use crate::trace::EventKind;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -105,7 +105,7 @@
 
     fn is_open(&self, now: Millis, name: &Name, worker: &Worker) -> bool {
         let fresh = worker.heard.is_some_and(|heard| now.since(heard) < WORKER_FRESH);
-        let leaving = worker.leaving || self.table.leaving.contains(name);
+        let leaving = worker.leaving || self.table.excluded_vms.contains(name);
         fresh && !leaving && self.health.standing(now, name) != Standing::Aside
     }
 
@@ -145,7 +145,7 @@
         }
         let task = TaskId { job: id.clone(), index, attempt };
         worker.tasks.insert(task.clone());
-        let inc = worker.inc;
+        let incarnation = worker.inc;
         if self.health.standing(now, name) == Standing::Probe {
             self.health.probe(name);
             self.open.retain(|open| open != name);
@@ -167,9 +167,9 @@
         };
         self.live.insert(task.clone(), live);
         let (worker, owner, epoch) = (name.clone(), self.me.clone(), self.epoch());
-        let what = What::Bound { task: task.clone(), worker: worker.clone(), epoch, waited };
+        let what = EventKind::Bound { task: task.clone(), worker: worker.clone(), epoch, waited };
         self.out.push(Action::Trace(what));
-        let note = Note::Bind { task: task.clone(), worker, inc, owner };
+        let note = StateChange::Bind { task: task.clone(), worker, incarnation, owner };
         self.note(note, Some(Effect::Start(task)));
     }
 
--- a/src/controller/shard/reserve.rs
+++ b/src/controller/shard/reserve.rs
@@ -48,11 +48,11 @@
 
     /// The workers with most room for a shape: as many as it would need if they were empty.
     fn fewest_workers(&self, shape: &Shape) -> BTreeSet<Name> {
-        let able = self.open_rooms().filter(|(_, ledger)| ledger.total().fits(&shape.size));
+        let able = self.open_rooms().filter(|(_, ledger)| ledger.total().can_fit(&shape.size));
         let mut rooms: Vec<(&Name, &Ledger)> = able.collect();
         rooms.sort_by_key(|(_, ledger)| {
             let free = ledger.free();
-            Reverse((free.times(&shape.size), free.cpu))
+            Reverse((free.max_copies(&shape.size), free.cpu))
         });
         let mut left = shape.gang.max(1);
         let mut workers = BTreeSet::new();
@@ -60,7 +60,7 @@
             if left == 0 {
                 break;
             }
-            left = left.saturating_sub(ledger.total().times(&shape.size));
+            left = left.saturating_sub(ledger.total().max_copies(&shape.size));
             workers.insert(name.clone());
         }
         workers
--- a/src/controller/table.rs
+++ b/src/controller/table.rs
@@ -1,7 +1,7 @@
 //! The table in force: the fold of publishes in the order of the log.
 
 use crate::id::Name;
-use crate::record::Publish;
+use crate::record::TablePublish;
 use crate::table::Table;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
     /// The revision; each accepted publish adds one.
     pub rev: u64,
     /// The publish that it came from.
-    pub publish: Publish,
+    pub publish: TablePublish,
 }
 
 /// What became of a publish.
@@ -50,7 +50,7 @@
     /// Folds one publish from the log; `true` if a new revision came into force here.
     ///
     /// A publish whose id has a verdict already keeps it, so a repeated append has one effect.
-    pub fn publish(&mut self, publish: &Publish) -> bool {
+    pub fn publish(&mut self, publish: &TablePublish) -> bool {
         if self.verdict(&publish.id).is_some() {
             return false;
         }
--- a/src/demo/cell.rs
+++ b/src/demo/cell.rs
@@ -214,9 +214,10 @@
 
     /// The time line of all processes.
     pub fn events(&self) -> Vec<Event> {
-        let all = self.traces.iter().flat_map(|trace| trace.after(Default::default(), usize::MAX));
+        let all =
+            self.traces.iter().flat_map(|trace| trace.events_after(Default::default(), usize::MAX));
         let mut events: Vec<Event> = all.collect();
-        events.sort_by(|a, b| (a.at, &a.who).cmp(&(b.at, &b.who)));
+        events.sort_by(|a, b| (a.at, &a.process).cmp(&(b.at, &b.process)));
         events
     }
 
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -22,12 +22,12 @@
     let after = report::Cost::now(&cell);
     let events = cell.events();
     report::print(&events, &before, &after);
-    let broken = check::check(&events);
+    let broken = check::find_violations(&events);
     broken.iter().for_each(|broken| println!("{broken}"));
     println!("promises: events={} broken={}", events.len(), broken.len());
     cell.stop().await;
     match broken.is_empty() {
         true => Ok(()),
-        false => Err(crate::cmd::Refusal("a promise was broken".into()).into()),
+        false => Err(crate::cmd::RefusedError("a promise was broken".into()).into()),
     }
 }
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::demo::cell::Cell;
 use crate::id::{JobId, Name};
-use crate::trace::{Event, What};
+use crate::trace::{Event, EventKind};
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 
@@ -81,11 +81,11 @@
     let mut waits: BTreeMap<Name, Waits> = BTreeMap::new();
     let mut refused: BTreeMap<(Name, u16), u32> = BTreeMap::new();
     for event in events {
-        match &event.what {
-            What::RequestIn { request, kind, .. } => {
+        match &event.kind {
+            EventKind::RequestIn { request, kind, .. } => {
                 kinds.insert(request.clone(), kind.clone());
             }
-            What::RequestOut { request, status, waited, .. } => {
+            EventKind::RequestOut { request, status, waited, .. } => {
                 let Some(kind) = kinds.get(request) else { continue };
                 match status {
                     200 => waits.entry(kind.clone()).or_default().0.push(waited.0),
@@ -114,9 +114,9 @@
     let mut kinds: BTreeMap<JobId, Name> = BTreeMap::new();
     let mut waits: BTreeMap<Name, Waits> = BTreeMap::new();
     for event in events {
-        match &event.what {
-            What::Submitted { job, kind, .. } => drop(kinds.insert(job.clone(), kind.clone())),
-            What::Bound { task, waited, .. } => {
+        match &event.kind {
+            EventKind::Submitted { job, kind, .. } => drop(kinds.insert(job.clone(), kind.clone())),
+            EventKind::Bound { task, waited, .. } => {
                 let kind = kinds.get(&task.job).cloned().unwrap_or_else(|| "?".into());
                 waits.entry(kind).or_default().0.push(waited.0);
             }
@@ -135,12 +135,12 @@
         let now = event.at.millis().max(last).min(after.at);
         area += used * now.since(last).0;
         last = now;
-        match &event.what {
-            What::WorkerStarted { task, size, .. } => {
+        match &event.kind {
+            EventKind::WorkerStarted { task, size, .. } => {
                 used += size.cpu as u64;
                 running.insert(task.clone(), size.cpu as u64);
             }
-            What::WorkerEnded { task, .. } => used -= running.remove(task).unwrap_or(0),
+            EventKind::WorkerEnded { task, .. } => used -= running.remove(task).unwrap_or(0),
             _ => {}
         }
         most = most.max(used);
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -11,10 +11,10 @@
 use crate::filter::identify::Caller;
 use crate::filter::{identify, not_run};
 use crate::id::{JobId, Name};
-use crate::job::{JobSpec, Kept};
-use crate::record::{Claim, Publish, Record};
+use crate::job::{JobSpec, JobStorage};
+use crate::record::{Claim, Record, TablePublish};
 use crate::size::Size;
-use crate::table::{Class, Fault, Table};
+use crate::table::{Fault, Table, WorkClass};
 use crate::trace::Stamp;
 use crate::wire::msg::{OwnerAsk, Reason, Refused, Run, ShardStatus, Tell};
 use poem::http::StatusCode;
@@ -74,7 +74,7 @@
     async fn submit(&self, spec: JobSpec, key: Option<&str>) -> Result<JobAccepted> {
         let entry = &self.entry;
         let table = entry.table();
-        let row = table.rows.get(&spec.kind).filter(|row| row.class != Class::Request);
+        let row = table.rows.get(&spec.kind).filter(|row| row.class != WorkClass::Request);
         let row = row.ok_or_else(|| refuse(Reason::UnknownKind))?;
         if row.team != spec.team {
             return Err(refuse(Reason::WrongTeam));
@@ -100,7 +100,7 @@
         let record = Record::Job { job: job.clone(), spec, at: entry.now() };
         let logged = entry.is_log_fresh()
             && entry.writer.commit(vec![record], entry.now(), COMMIT_LIMIT).await;
-        let kept = if logged { Kept::Log } else { Kept::Peer };
+        let kept = if logged { JobStorage::Log } else { JobStorage::Peer };
         let kept = format!("{kept:?}").to_lowercase();
         JobAccepted { job: job.to_string(), kept }
     }
@@ -176,8 +176,8 @@
             tasks: job.tasks,
             gang: job.gang,
             size: Size::new(job.cpu, job.mem, job.acc),
-            run: Millis(job.run),
-            repeat: job.repeat && row.repeat,
+            run_time: Millis(job.run),
+            repeatable: job.repeat && row.repeat,
         };
         self.submit(spec, key.as_deref()).await.map(Json)
     }
@@ -259,7 +259,7 @@
         let id = key.0.unwrap_or_else(|| format!("{}/{number}", entry.me));
         let id: Name = id.into();
         let by = caller.name;
-        let publish = Publish { id: id.clone(), base: base.0, by, csv: csv.0.into() };
+        let publish = TablePublish { id: id.clone(), base: base.0, by, csv: csv.0.into() };
         let records = vec![Record::Publish(publish)];
         let read_back = entry.writer.commit(records, entry.now(), COMMIT_LIMIT).await;
         let verdict = lock(&entry.fold).tables.verdict(&id).cloned();
@@ -324,7 +324,7 @@
     ) -> Result<Json<serde_json::Value>> {
         self.operator(request)?;
         let max = max.0.map_or(MAX_EVENTS, |max| (max as usize).min(MAX_EVENTS));
-        let events = self.entry.trace.after(Stamp(since.0.unwrap_or(0)), max);
+        let events = self.entry.trace.events_after(Stamp(since.0.unwrap_or(0)), max);
         Ok(Json(serde_json::to_value(events).unwrap_or_default()))
     }
 }
--- a/src/entry/beat.rs
+++ b/src/entry/beat.rs
@@ -5,7 +5,7 @@
 use crate::controller::shard::office::Event;
 use crate::entry::{Entry, lock};
 use crate::id::{EntryId, Name};
-use crate::trace::What;
+use crate::trace::EventKind;
 use crate::wire::msg::{Ask, Beat, DeltaBeat, ShardBeat, Tell, V2};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 impl Entry {
     /// Sends heartbeats, at once when there is news.
     pub(super) async fn beat(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(self.settings.beat_every.duration());
+        let mut timer = tokio::time::interval(self.settings.heartbeat_interval.duration());
         loop {
             tokio::select! {
                 _ = timer.tick() => {}
@@ -162,7 +162,7 @@
 
     /// Reads the platform's VM list.
     pub(super) async fn read_list(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(self.settings.list_every.duration());
+        let mut timer = tokio::time::interval(self.settings.list_interval.duration());
         let mut up = true;
         loop {
             timer.tick().await;
@@ -172,7 +172,7 @@
             let list = self.http.post_json(me, addr, "/list", &ask, LIST_LIMIT).await;
             if list.is_ok() != up {
                 up = !up;
-                self.trace.add(What::Platform { part: "list".into(), up });
+                self.trace.record(EventKind::Platform { part: "list".into(), up });
             }
             if let Ok(list) = list {
                 self.take_list(list);
@@ -189,7 +189,7 @@
         let gone = |name: &str| lock(&self.lists).is_gone(name);
         lock(&self.peers).set_list(&list, gone);
         for vm in self.leaving_vms().into_iter().filter(|vm| !before.contains(vm)) {
-            self.trace.add(What::Leaving { vm });
+            self.trace.record(EventKind::Leaving { vm });
         }
         let here = list.vms.iter().filter(|vm| vm.domain == self.settings.domain);
         for vm in here.filter(|vm| vm.role != Role::Entry) {
@@ -247,7 +247,7 @@
         let here = list.vms.into_iter().filter(|vm| vm.domain == self.settings.domain);
         let runners = here.filter(|vm| vm.role == Role::Runner);
         let known = runners.map(|vm| {
-            let leaving = vm.leaving || table.leaving.contains(&vm.name);
+            let leaving = vm.leaving || table.excluded_vms.contains(&vm.name);
             (vm.name, vm.rack, leaving)
         });
         lock(&self.slots).set_runners(known.collect());
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -5,7 +5,7 @@
 use crate::controller::shard::office::Office;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{EntryId, Name};
-use crate::trace::What;
+use crate::trace::EventKind;
 use crate::wire::msg::{Ask, Tell, V2};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
         let Some((to, addr)) = self.successor(handle).await else { return };
         let Some((epoch, state)) = handle.shard().hand_over() else { return };
         let (shard, name) = (handle.id.clone(), to.name.clone());
-        self.trace.add(What::HandedOver { shard: shard.clone(), epoch, to: name.clone() });
+        self.trace.record(EventKind::HandedOver { shard: shard.clone(), epoch, to: name.clone() });
         self.news.notify_one();
         let from = self.me.clone();
         let ask = Ask::HandOver { shard, from, to, epoch, state };
@@ -43,7 +43,7 @@
             let addr = {
                 let peers = lock(&self.peers);
                 let fresh = peers.fresh(self.now()).into_iter().find(|(name, ..)| *name == id.name);
-                fresh.filter(|_| peers.incarnation(&id.name) == Some(id.inc))
+                fresh.filter(|_| peers.incarnation(&id.name) == Some(id.incarnation))
             };
             let Some((name, _, addr)) = addr else { continue };
             let version = self.quic.version(&name, addr, SUCCESSOR_LIMIT).await;
@@ -81,7 +81,7 @@
         }
         lock(&self.claimant).release(shard.clone(), epoch);
         let (shard, from) = (shard.clone(), from.name);
-        self.begin_office(&handle, epoch, What::Succeeded { shard, epoch, from });
+        self.begin_office(&handle, epoch, EventKind::OwnershipContinued { shard, epoch, from });
         Tell::Done
     }
 
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -5,7 +5,7 @@
 use crate::entry::{Entry, api};
 use crate::filter::{Exchange, identify, not_run, problem};
 use crate::id::Name;
-use crate::server::{TRACE_PATH, TraceRequest};
+use crate::server::{TIMELINE_PATH, TimelineRequest};
 use crate::trace::Event;
 use crate::wire::msg::{Forwarded, Reason, Refused, Run};
 use poem::error::ReadBodyError;
@@ -83,14 +83,14 @@
         Some("no") => false,
         Some(_) => return Err(malformed()),
     };
-    let body = body.into_bytes_limit(entry.settings.body_max).await;
+    let body = body.into_bytes_limit(entry.settings.max_body).await;
     let body = body.map_err(|err| match err {
         ReadBodyError::PayloadTooLarge => not_run(Reason::TooLarge, None),
         _ => malformed(),
     })?;
     let headers = request.headers().iter();
     let passed = headers.filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
-    let id = format!("{}/{}/{}", entry.me.name, entry.me.inc, entry.next());
+    let id = format!("{}/{}/{}", entry.me.name, entry.me.incarnation, entry.next());
     Ok(Exchange {
         id: id.into(),
         kind: kind.into(),
@@ -159,11 +159,11 @@
 fn timeline(
     entry: Data<&Arc<Entry>>,
     request: &Request,
-    ask: Json<TraceRequest>,
+    ask: Json<TimelineRequest>,
 ) -> poem::Result<Json<Vec<Event>>> {
     let caller = identify::apply(&entry.settings.tokens, bearer(request)).map_err(fail)?;
     match caller.team {
-        None => Ok(Json(entry.trace.after(ask.since, ask.max.min(MAX_EVENTS)))),
+        None => Ok(Json(entry.trace.events_after(ask.since, ask.max.min(MAX_EVENTS)))),
         Some(_) => Err(refuse(Reason::Forbidden)),
     }
 }
@@ -194,7 +194,7 @@
         .at("/run/:kind", post(serve_run))
         .at("/ready", poem::get(ready))
         .at("/metrics", poem::get(metrics))
-        .at(TRACE_PATH, post(timeline))
+        .at(TIMELINE_PATH, post(timeline))
         .at("/v1/openapi.json", description)
         .nest("/v1", service)
         .data(entry)
--- a/src/entry/log.rs
+++ b/src/entry/log.rs
@@ -6,8 +6,8 @@
 use crate::entry::{Entry, lock};
 use crate::platform::api::{AppendReply, LogRecord, ReadReply, ReadRequest};
 use crate::platform::http::HttpError;
-use crate::record::{Batch, Claim, Record, VERSION};
-use crate::trace::What;
+use crate::record::{BATCH_FORMAT, Batch, Claim, Record};
+use crate::trace::EventKind;
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -166,7 +166,7 @@
 
     async fn write_batch(&self, seq: u64, records: Vec<Record>) {
         let (writer, stamp) = (self.me.clone(), self.trace.stamp());
-        let batch = Batch { version: VERSION, writer, seq, stamp, records };
+        let batch = Batch { version: BATCH_FORMAT, writer, seq, stamp, records };
         let Ok(text) = serde_json::to_string(&batch) else { return };
         let data = Bytes::from(text);
         while *self.writer.seen.borrow() < seq {
@@ -205,7 +205,7 @@
             let reply = self.read(&ask).await;
             if reply.is_ok() != up {
                 up = !up;
-                self.trace.add(What::Platform { part: "log".into(), up });
+                self.trace.record(EventKind::Platform { part: "log".into(), up });
             }
             match reply {
                 Ok(reply) => self.take_read(from, begun, reply),
@@ -243,8 +243,8 @@
                 return;
             }
         };
-        self.trace.seen(batch.stamp);
-        let known = batch.version <= VERSION;
+        self.trace.observe(batch.stamp);
+        let known = batch.version <= BATCH_FORMAT;
         let records = if known { batch.records } else { Vec::new() };
         let changes = lock(&self.fold).apply(record.offset, records);
         for change in changes {
@@ -273,7 +273,7 @@
         };
         self.set_table(table.clone());
         self.metrics.revision.set(rev as i64);
-        self.trace.add(What::TableInForce { rev, by });
+        self.trace.record(EventKind::TableInForce { rev, by });
         self.set_policy(&table);
         self.update_runners();
         self.news.notify_one();
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -39,10 +39,10 @@
         let registry = registry::Metrics::default();
         let counter = |name: &str, help: &str| registry.counter(name, help);
         let gauge = |name: &str, help: &str| registry.gauge(name, help);
-        let histogram = |name: &str, help: &str| registry.times(name, help, &BUCKETS);
+        let histogram = |name: &str, help: &str| registry.histogram(name, help, &BUCKETS);
         let help = "Requests by kind and status";
         let requests =
-            registry.counters("sprucerudder_requests_total", help, &["kind", "status"])?;
+            registry.counter_vec("sprucerudder_requests_total", help, &["kind", "status"])?;
         Ok(Self {
             requests,
             request_wait: histogram("sprucerudder_request_wait_seconds", "Wait for a slot")?,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -32,7 +32,7 @@
 use crate::server::serve;
 use crate::settings::Settings;
 use crate::table::Table;
-use crate::trace::{Trace, What};
+use crate::trace::{EventKind, Trace};
 use crate::wire::quic::{Quic, WireError};
 use metrics::Metrics;
 use peers::Peers;
@@ -151,7 +151,7 @@
     pub async fn bind(mut settings: Settings) -> Result<(Arc<Self>, TcpListener), EntryError> {
         let now = Millis::now();
         let trace = Arc::new(Trace::new(settings.name.clone()));
-        let me = EntryId { name: settings.name.clone(), inc: now.0 };
+        let me = EntryId { name: settings.name.clone(), incarnation: now.0 };
         let listener = TcpListener::bind(settings.http).await?;
         let quic = Quic::bind(settings.peer, &settings.keys, settings.wire_version, trace.clone())?;
         settings.peer = quic.addr()?;
@@ -183,7 +183,7 @@
             stopped: watch::Sender::new(false),
             open: AtomicUsize::new(0),
         });
-        entry.trace.add(What::Up { role: "entry".into() });
+        entry.trace.record(EventKind::ProcessStarted { role: "entry".into() });
         tokio::spawn(entry.clone().write_log(queue));
         Ok((entry, listener))
     }
@@ -275,8 +275,8 @@
 
     /// Whether a run of an entry is over for good.
     pub(crate) fn is_gone(&self, id: &EntryId) -> bool {
-        let newer = lock(&self.peers).incarnation(&id.name).is_some_and(|inc| inc > id.inc);
-        let own = id.name == self.me.name && id.inc < self.me.inc;
+        let newer = lock(&self.peers).incarnation(&id.name).is_some_and(|inc| inc > id.incarnation);
+        let own = id.name == self.me.name && id.incarnation < self.me.incarnation;
         newer || own || lock(&self.lists).is_gone(&id.name)
     }
 }
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -12,7 +12,7 @@
 use crate::platform::api::{Report, StartOrder, StopOrder, SyncOrder, TaskReply};
 use crate::record::Claim;
 use crate::table::Table;
-use crate::trace::What;
+use crate::trace::EventKind;
 use crate::wire::msg::{Ask, Tell};
 use futures_util::future::join_all;
 use std::collections::BTreeSet;
@@ -38,7 +38,7 @@
     /// Claims, searches, and lets time pass for the shards owned here.
     pub(super) async fn tick(self: Arc<Self>) {
         let mut timer = tokio::time::interval(TICK.duration());
-        let every = self.settings.log_refresh;
+        let every = self.settings.refresh_interval;
         let mut refreshed = self.now() - Millis(hash(&[self.me.name.as_bytes()]) % every.0);
         let mut snapshot = 0;
         loop {
@@ -106,9 +106,9 @@
         let deposed = handle.shard().claimed(self.now(), &claim, &history, log);
         let (shard, epoch) = (claim.shard.clone(), claim.epoch);
         match () {
-            _ if deposed => self.trace.add(What::Deposed { shard, epoch }),
-            _ if claim.owner == self.me => self.trace.add(What::Elected { shard, epoch }),
-            _ => self.trace.add(What::Sealed { shard, epoch }),
+            _ if deposed => self.trace.record(EventKind::OwnershipLost { shard, epoch }),
+            _ if claim.owner == self.me => self.trace.record(EventKind::Elected { shard, epoch }),
+            _ => self.trace.record(EventKind::EpochSealed { shard, epoch }),
         }
         handle.kick.notify_one();
         self.news.notify_one();
@@ -156,7 +156,7 @@
             let peers = lock(&self.peers);
             (peers.addr(&id.name)?, peers.incarnation(&id.name)?)
         };
-        if present != id.inc {
+        if present != id.incarnation {
             return None;
         }
         let ask = Ask::Seal { shard: shard.clone(), epoch };
@@ -180,7 +180,11 @@
             return;
         }
         let (shard, epoch) = (handle.id.clone(), claim.epoch);
-        self.begin_office(handle, epoch, What::TookOffice { shard, epoch, from: from.into() });
+        self.begin_office(
+            handle,
+            epoch,
+            EventKind::OwnershipTaken { shard, epoch, from: from.into() },
+        );
     }
 
     /// This entry owns a shard from now on: nothing is lent yet, and the workers are asked.
@@ -188,11 +192,11 @@
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         epoch: u64,
-        what: What,
+        what: EventKind,
     ) {
         *handle.lender() = if epoch == 1 { Lender::first() } else { Lender::new(self.now()) };
         *handle.pool() = Pool::new(epoch);
-        self.trace.add(what);
+        self.trace.record(what);
         self.set_list(handle);
         self.drop_gone_entries(handle);
         self.news.notify_one();
@@ -275,14 +279,14 @@
     }
 
     /// Adds an owner's event to the time line and the metrics.
-    fn record(&self, what: What) {
+    fn record(&self, what: EventKind) {
         match &what {
-            What::Bound { waited, .. } => self.metrics.waited(waited.0),
-            What::StartSent { .. } => self.metrics.starts.inc(),
-            What::Ended { .. } => self.metrics.ended.inc(),
+            EventKind::Bound { waited, .. } => self.metrics.waited(waited.0),
+            EventKind::StartSent { .. } => self.metrics.starts.inc(),
+            EventKind::Ended { .. } => self.metrics.ended.inc(),
             _ => {}
         }
-        self.trace.add(what);
+        self.trace.record(what);
     }
 
     /// Sends a start or stop to a worker and gives the answer to the owner.
@@ -322,7 +326,7 @@
 
     /// Renews leases at all workers of the shards owned here, and learns what they run.
     pub(super) async fn sync_workers(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(self.settings.sync_every.duration());
+        let mut timer = tokio::time::interval(self.settings.sync_interval.duration());
         loop {
             timer.tick().await;
             for handle in self.shards() {
@@ -425,7 +429,10 @@
             }
             Ok(Tell::Updated { by, result: Err(ReplicaError::Sealed(later)) }) if by == id => {
                 if handle.shard().step_down(later) {
-                    self.trace.add(What::Deposed { shard: handle.id.clone(), epoch: later });
+                    self.trace.record(EventKind::OwnershipLost {
+                        shard: handle.id.clone(),
+                        epoch: later,
+                    });
                 }
             }
             _ => tokio::time::sleep(REPLICA_PAUSE.duration()).await,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -62,10 +62,10 @@
         let fresh = Known::new(beat.domain.clone(), beat.addr);
         let known = self.known.entry(beat.from.name.clone()).or_insert(fresh);
         let old = known.beat.as_ref().map(|(_, beat)| beat.from.clone());
-        if old.as_ref().is_some_and(|old| old.inc > beat.from.inc) {
+        if old.as_ref().is_some_and(|old| old.incarnation > beat.from.incarnation) {
             return None;
         }
-        let replaced = old.filter(|old| old.inc < beat.from.inc);
+        let replaced = old.filter(|old| old.incarnation < beat.from.incarnation);
         known.addr = beat.addr;
         known.beat = Some((now, beat));
         replaced
@@ -88,7 +88,7 @@
     /// The present run of an entry, as last heard.
     pub fn incarnation(&self, name: &str) -> Option<u64> {
         let (_, beat) = self.known.get(name)?.beat.as_ref()?;
-        Some(beat.from.inc)
+        Some(beat.from.incarnation)
     }
 
     /// Where an entry answers other entries.
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -176,11 +176,11 @@
         let rooms = self.known_rooms();
         let candidates: Vec<Candidate> = rooms
             .iter()
-            .filter(|(_, domain, _)| row.site(domain) > 0)
+            .filter(|(_, domain, _)| row.domain_weight(domain) > 0)
             .map(|(shard, domain, room)| Candidate {
                 shard: shard.clone(),
-                far: domain != local && row.site(local) > 0,
-                weight: row.site(domain),
+                far: domain != local && row.domain_weight(local) > 0,
+                weight: row.domain_weight(domain),
                 room: *room,
             })
             .collect();
@@ -199,7 +199,8 @@
     /// Whether the owners of all shards that may take a row's work have said what they have.
     fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, Room)]) -> bool {
         let fold = lock(&self.fold);
-        let mut shards = fold.claims.all().filter(|claim| row.site(&claim.domain) > 0).peekable();
+        let mut shards =
+            fold.claims.all().filter(|claim| row.domain_weight(&claim.domain) > 0).peekable();
         let known = |claim: &Claim| {
             rooms
                 .iter()
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{Name, rendezvous};
-use crate::trace::What;
+use crate::trace::EventKind;
 use crate::wire::msg::Ask;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
             return self.drained().await;
         }
         let begun = self.now();
-        self.trace.add(What::Stopping);
+        self.trace.record(EventKind::Stopping);
         self.news.notify_one();
         while self.owned() > 0 && self.now().since(begun) < HANDOVER {
             for handle in self.shards() {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -89,7 +89,7 @@
             queued: status.queued,
             running: status.running,
             ended: status.ended.into_iter().map(|(outcome, n)| (name(outcome), n)).collect(),
-            why: status.why,
+            why: status.wait_reason,
         }
     }
 }
--- a/src/filter/admit.rs
+++ b/src/filter/admit.rs
@@ -10,7 +10,7 @@
 /// If the body is too large or the answer is due already.
 pub fn apply(entry: &Entry, classified: &Classified) -> Result<(), Refused> {
     match () {
-        _ if classified.exchange.body.len() > entry.settings.body_max => {
+        _ if classified.exchange.body.len() > entry.settings.max_body => {
             Err(not_run(Reason::TooLarge, None))
         }
         _ if entry.now() >= classified.due => Err(not_run(Reason::TooLate, None)),
--- a/src/filter/classify.rs
+++ b/src/filter/classify.rs
@@ -3,8 +3,8 @@
 use crate::clock::Millis;
 use crate::entry::Entry;
 use crate::filter::{Classified, Exchange, not_run};
-use crate::table::Class;
-use crate::trace::What;
+use crate::table::WorkClass;
+use crate::trace::EventKind;
 use crate::wire::msg::{Reason, Refused};
 
 /// Callers come again after this long when no table is in force yet.
@@ -19,7 +19,7 @@
     if table.rows.is_empty() {
         return Err(not_run(Reason::NoTable, Some(NO_TABLE_RETRY)));
     }
-    let row = table.rows.get(&exchange.kind).filter(|row| row.class == Class::Request);
+    let row = table.rows.get(&exchange.kind).filter(|row| row.class == WorkClass::Request);
     let row = row.ok_or_else(|| not_run(Reason::UnknownKind, None))?.clone();
     if exchange.team.as_ref().is_some_and(|team| *team != row.team) {
         return Err(not_run(Reason::WrongTeam, None));
@@ -27,7 +27,7 @@
     let wait = exchange.wait.map_or(row.deadline, |wait| wait.min(row.deadline));
     let due = exchange.came + wait;
     let classified = Classified { exchange, row, due };
-    entry.trace.add(What::RequestIn {
+    entry.trace.record(EventKind::RequestIn {
         request: classified.exchange.id.clone(),
         kind: classified.exchange.kind.clone(),
         repeat: classified.repeatable(),
--- a/src/filter/forward.rs
+++ b/src/filter/forward.rs
@@ -4,7 +4,7 @@
 use crate::filter::{Classified, hold, not_run};
 use crate::platform::http::{HttpError, HttpResponse, uri};
 use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
-use crate::trace::What;
+use crate::trace::EventKind;
 use crate::wire::msg::{Reason, Refused, Run};
 use http_body_util::Full;
 use hyper::{Method, Request};
@@ -64,7 +64,7 @@
     let builder = builder.header(REQUEST_ID_HEADER, &*exchange.id);
     let request = builder.body(Full::from(exchange.body.clone())).map_err(|_| unsent())?;
     let (id, runner) = (exchange.id.clone(), slot.runner.clone());
-    entry.trace.add(What::RequestSent { request: id, runner });
+    entry.trace.record(EventKind::RequestSent { request: id, runner });
     let answer = entry.http.send(&addr, request, classified.due.since(entry.now())).await?;
     slot.reached = true;
     if answer.headers.get(UPSTREAM_STATE_HEADER).is_some_and(|state| state == "leaving") {
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -15,7 +15,7 @@
 use crate::id::Name;
 use crate::platform::http::HttpResponse;
 use crate::table::Row;
-use crate::trace::What;
+use crate::trace::EventKind;
 use crate::wire::msg::{Forward, Forwarded, Reason, Refused, Run};
 use bytes::Bytes;
 use hyper::header::CONTENT_TYPE;
@@ -148,5 +148,5 @@
     };
     entry.metrics.requests.with_label_values(&[&*kind, &status.to_string()]).inc();
     let waited = entry.now().since(came);
-    entry.trace.add(What::RequestOut { request, status, run: run.into(), waited });
+    entry.trace.record(EventKind::RequestOut { request, status, run: run.into(), waited });
 }
--- a/src/filter/site.rs
+++ b/src/filter/site.rs
@@ -27,8 +27,9 @@
 
 /// Chooses by `seed` among this failure domain and the others that can be reached.
 pub fn choose(row: &Row, here: &Name, others: &BTreeSet<Name>, seed: u64) -> Site {
-    let own = row.site(here) as u64;
-    let rated: Vec<(&Name, u64)> = others.iter().map(|d| (d, row.site(d) as u64)).collect();
+    let own = row.domain_weight(here) as u64;
+    let rated: Vec<(&Name, u64)> =
+        others.iter().map(|d| (d, row.domain_weight(d) as u64)).collect();
     let most = rated.iter().map(|(_, weight)| *weight).max().unwrap_or(0).max(own);
     let sum: u64 = rated.iter().map(|(_, weight)| weight).sum();
     let (draw, rest) = (seed % 1000, seed / 1000);
--- a/src/id.rs
+++ b/src/id.rs
@@ -16,12 +16,13 @@
     /// The entry's name from its settings.
     pub name: Name,
     /// The start time of the process in milliseconds since the Unix epoch.
-    pub inc: u64,
+    #[serde(rename = "inc")]
+    pub incarnation: u64,
 }
 
 impl fmt::Display for EntryId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.name, self.inc)
+        write!(f, "{}@{}", self.name, self.incarnation)
     }
 }
 
@@ -32,27 +33,31 @@
     /// The owning shard.
     pub shard: Name,
     /// A number unique in the cell.
-    pub seq: u64,
+    pub number: u64,
 }
 
 /// An identifier could not be parsed.
 #[derive(Debug, Error, PartialEq)]
 #[error("{0:?} is not a job id: want SHARD.HEX")]
-pub struct IdError(pub String);
+pub struct ParseJobIdError(pub String);
 
 impl JobId {
     /// A new id, unique as long as `counter` is never reused by the same incarnation of `me`.
     pub fn new(shard: Name, me: &EntryId, counter: u64) -> Self {
         Self {
             shard,
-            seq: hash(&[me.name.as_bytes(), &me.inc.to_le_bytes(), &counter.to_le_bytes()]),
+            number: hash(&[
+                me.name.as_bytes(),
+                &me.incarnation.to_le_bytes(),
+                &counter.to_le_bytes(),
+            ]),
         }
     }
 }
 
 impl fmt::Display for JobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:016x}", self.shard, self.seq)
+        write!(f, "{}.{:016x}", self.shard, self.number)
     }
 }
 
@@ -63,22 +68,22 @@
 }
 
 impl TryFrom<String> for JobId {
-    type Error = IdError;
+    type Error = ParseJobIdError;
 
-    fn try_from(s: String) -> Result<Self, IdError> {
+    fn try_from(s: String) -> Result<Self, ParseJobIdError> {
         s.parse()
     }
 }
 
 impl FromStr for JobId {
-    type Err = IdError;
+    type Err = ParseJobIdError;
 
-    fn from_str(s: &str) -> Result<Self, IdError> {
-        let bad = || IdError(s.to_string());
+    fn from_str(s: &str) -> Result<Self, ParseJobIdError> {
+        let bad = || ParseJobIdError(s.to_string());
         let (shard, hex) = s.rsplit_once('.').ok_or_else(bad)?;
         match u64::from_str_radix(hex, 16) {
-            Ok(seq) if !shard.is_empty() && hex.len() == 16 => {
-                Ok(Self { shard: shard.into(), seq })
+            Ok(number) if !shard.is_empty() && hex.len() == 16 => {
+                Ok(Self { shard: shard.into(), number })
             }
             _ => Err(bad()),
         }
--- a/src/job.rs
+++ b/src/job.rs
@@ -22,15 +22,17 @@
     /// What each task needs.
     pub size: Size,
     /// The declared run time of a task, in milliseconds; 0 for a service.
-    pub run: Millis,
+    #[serde(rename = "run")]
+    pub run_time: Millis,
     /// Whether a task may be started again once it has been started.
-    pub repeat: bool,
+    #[serde(rename = "repeat")]
+    pub repeatable: bool,
 }
 
 /// How a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Outcome {
+pub enum TaskOutcome {
     /// It finished.
     Done,
     /// It ran and failed.
@@ -46,7 +48,7 @@
 /// Where an accepted job is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kept {
+pub enum JobStorage {
     /// In the platform's log: the record was read back.
     Log,
     /// At every replica of its shard; the log was not reachable.
@@ -55,7 +57,7 @@
 
 /// One change of a shard's replicated state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Note {
+pub enum StateChange {
     /// Nothing: its arrival at all replicas proves that its sender still owns the shard.
     Barrier,
     /// After a rebuild every worker has said what it runs.
@@ -63,9 +65,15 @@
     /// A job was accepted.
     Submit { job: JobId, spec: JobSpec, at: Millis },
     /// A task is about to be started on a worker: nothing may start it anywhere else.
-    Bind { task: TaskId, worker: Name, inc: u64, owner: EntryId },
+    Bind {
+        task: TaskId,
+        worker: Name,
+        #[serde(rename = "inc")]
+        incarnation: u64,
+        owner: EntryId,
+    },
     /// A task ended, for good.
-    Finish { task: TaskId, outcome: Outcome },
+    Finish { task: TaskId, outcome: TaskOutcome },
     /// A task's attempt is surely over; it waits again under the next attempt.
     Requeue { task: TaskId },
     /// The caller withdrew the job.
@@ -90,7 +98,8 @@
     /// What was asked for.
     pub spec: JobSpec,
     /// When it was accepted.
-    pub at: Millis,
+    #[serde(rename = "at")]
+    pub accepted_at: Millis,
     /// Whether it was withdrawn.
     pub cancelled: bool,
     /// Tasks waiting.
@@ -98,7 +107,8 @@
     /// Tasks bound to a worker and not known to have ended.
     pub running: u32,
     /// Ended tasks by outcome.
-    pub ended: Vec<(Outcome, u32)>,
+    pub ended: Vec<(TaskOutcome, u32)>,
     /// Why it waits, if it does.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub wait_reason: String,
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,6 +6,6 @@
 fn main() -> ExitCode {
     match cmd::options().run_inner(bpaf::Args::current_args()) {
         Ok(command) => command.run().map_or_else(|err| cmd::report(&err), |()| ExitCode::SUCCESS),
-        Err(failure) => cmd::misuse(failure),
+        Err(failure) => cmd::report_usage(failure),
     }
 }
--- a/src/node/http_server.rs
+++ b/src/node/http_server.rs
@@ -191,7 +191,7 @@
 
 /// Answers whoever collects metrics.
 pub(super) async fn handle_metrics(node: Arc<Node>, _: Request<Incoming>) -> Response<Full<Bytes>> {
-    match node.metrics.render(crate::logs::dropped()) {
+    match node.metrics.render(crate::logs::dropped_lines()) {
         Ok(text) => Response::new(Full::from(text)),
         Err(err) => {
             log::warn!("event=metrics-failed error={err:?}");
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -42,9 +42,9 @@
     pub fn new() -> prometheus::Result<Self> {
         let registry = registry::Metrics::default();
         let counts =
-            |name: &str, help: &str, labels: &[&str]| registry.counters(name, help, labels);
+            |name: &str, help: &str, labels: &[&str]| registry.counter_vec(name, help, labels);
         let gauge = |name: &str, help: &str| registry.gauge(name, help);
-        let times = |name: &str, help: &str| registry.times(name, help, &BUCKETS_SECONDS);
+        let times = |name: &str, help: &str| registry.histogram(name, help, &BUCKETS_SECONDS);
         Ok(Self {
             requests: counts("sprucerudder_calls_total", "Callers' calls", &["call", "status"])?,
             request_time: times("sprucerudder_call_seconds", "Time of callers' calls")?,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -91,7 +91,7 @@
     /// # Errors
     /// See [`NodeError`].
     pub async fn run(settings: Settings, stop: watch::Receiver<bool>) -> Result<(), NodeError> {
-        let id = EntryId { name: settings.name.clone(), inc: Millis::now().0 };
+        let id = EntryId { name: settings.name.clone(), incarnation: Millis::now().0 };
         let http = HttpClient::default();
         let clock = Clock::default();
         let node = Arc::new(Self {
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -112,7 +112,7 @@
             authority: Mutex::new(authority),
             witnesses: Mutex::default(),
             lag: Mutex::new(Lag::new(self.now())),
-            known_pauses: AtomicU64::new(node.clock.pauses()),
+            known_pauses: AtomicU64::new(node.clock.pause_count()),
             is_unconfirmed: AtomicBool::new(false),
             store_up: AtomicBool::new(true),
             report_wakes: Mutex::default(),
@@ -189,7 +189,7 @@
     /// After a pause of the process or its machine, what the cell believes of workers is too old: nothing
     /// starts before the list of them is read again, and each has reported.
     fn check_for_pause(&self, now: Millis) {
-        let pauses = self.node.clock.pauses();
+        let pauses = self.node.clock.pause_count();
         if self.known_pauses.swap(pauses, Ordering::Relaxed) != pauses {
             self.is_unconfirmed.store(true, Ordering::Relaxed);
             lock(&self.cell).resume_after_pause(now);
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -200,7 +200,7 @@
         let mut read_all_at = Millis(0);
         loop {
             let now = self.node.now();
-            let pauses = self.node.clock.pauses();
+            let pauses = self.node.clock.pause_count();
             let result = if read_all_at == Millis(0) || now.since(read_all_at) >= FULL_READ_INTERVAL
             {
                 self.view.list_workers().await.map(|(listed, end)| {
@@ -214,7 +214,7 @@
             self.check_for_pause(self.node.now());
             match result {
                 // It may have been read before the pause.
-                _ if self.node.clock.pauses() != pauses => {
+                _ if self.node.clock.pause_count() != pauses => {
                     read_all_at = Millis(0);
                     continue;
                 }
--- a/src/platform/api.rs
+++ b/src/platform/api.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::{Name, TaskId};
-use crate::job::Outcome;
+use crate::job::TaskOutcome;
 use crate::size::Size;
 use crate::trace::Stamp;
 use serde::{Deserialize, Serialize};
@@ -71,7 +71,7 @@
     /// It runs.
     Running,
     /// It ended, now or earlier.
-    Ended(Outcome),
+    Ended(TaskOutcome),
     /// The worker would not start it.
     Refused,
 }
@@ -115,5 +115,5 @@
     /// Tasks that run.
     pub running: Vec<Running>,
     /// Tasks that ended.
-    pub ended: Vec<(TaskId, Outcome)>,
+    pub ended: Vec<(TaskId, TaskOutcome)>,
 }
--- a/src/record.rs
+++ b/src/record.rs
@@ -4,12 +4,12 @@
 use crate::controller::replica::State;
 use crate::controller::table::Revision;
 use crate::id::{EntryId, JobId, Name};
-use crate::job::{JobSpec, Note, Outcome};
+use crate::job::{JobSpec, StateChange, TaskOutcome};
 use crate::trace::Stamp;
 use serde::{Deserialize, Serialize};
 
 /// The format of batches; a reader skips batches with a higher one.
-pub const VERSION: u32 = 1;
+pub const BATCH_FORMAT: u32 = 1;
 
 /// One append. Every record is idempotent, so an append that was repeated has one effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 
 /// An order by an operator to use a table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Publish {
+pub struct TablePublish {
     /// Names this publish, so that its operator finds the answer to it.
     pub id: Name,
     /// The revision that the table was edited from.
@@ -59,7 +59,7 @@
 #[serde(rename_all = "lowercase")]
 pub enum Record {
     /// An operator publishes a table.
-    Publish(Publish),
+    Publish(TablePublish),
     /// An entry claims a shard.
     Claim(Claim),
     /// An owner's state is at its replicas, and all former owners are fenced: claims before this
@@ -73,7 +73,8 @@
     /// The table and the claims, repeated so that retention does not drop them.
     Snapshot {
         /// The first offset that is not in it.
-        upto: u64,
+        #[serde(rename = "upto")]
+        end_offset: u64,
         /// The table that the log has.
         table: Option<Revision>,
         /// The claims on each shard in order.
@@ -95,7 +96,7 @@
         /// Its place in the job.
         index: u32,
         /// How it ended.
-        outcome: Outcome,
+        outcome: TaskOutcome,
     },
     /// A job is over: it ended or was withdrawn.
     Closed {
@@ -118,6 +119,6 @@
         /// The number of the first change.
         first: u64,
         /// The changes.
-        notes: Vec<Note>,
+        notes: Vec<StateChange>,
     },
 }
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// Their name is taken.
-    pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
+    pub fn counter_vec(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
         let counters = IntCounterVec::new(Opts::new(name, help), labels)?;
         self.0.register(Box::new(counters.clone()))?;
         Ok(counters)
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// Their name is taken.
-    pub fn times(&self, name: &str, help: &str, buckets: &[f64]) -> Result<Histogram> {
+    pub fn histogram(&self, name: &str, help: &str, buckets: &[f64]) -> Result<Histogram> {
         let opts = HistogramOpts::new(name, help).buckets(buckets.to_vec());
         let histogram = Histogram::with_opts(opts)?;
         self.0.register(Box::new(histogram.clone()))?;
--- a/src/server.rs
+++ b/src/server.rs
@@ -9,11 +9,11 @@
 use tokio::net::TcpListener;
 
 /// The path where every process gives out its time line.
-pub const TRACE_PATH: &str = "/timeline";
+pub const TIMELINE_PATH: &str = "/timeline";
 
 /// Asks for events of a time line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TraceRequest {
+pub struct TimelineRequest {
     /// Events after this stamp.
     pub since: Stamp,
     /// The most events.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -46,7 +46,7 @@
 }
 
 /// The longest time that a setting may have, in milliseconds.
-const HOUR: u64 = 3_600_000;
+const MAX_INTERVAL_MS: u64 = 3_600_000;
 
 const PLATFORM: [Field; 2] = [
     field("log", Kind::Addr, None, "Address of the platform's log."),
@@ -92,13 +92,13 @@
     field("sync_every", Kind::Millis(100, 2_000), Some("1000"), "Contact with each worker, ms."),
     field(
         "log_refresh",
-        Kind::Millis(1_000, HOUR),
+        Kind::Millis(1_000, MAX_INTERVAL_MS),
         Some("120000"),
         "What must live is appended again, ms; under half the log's retention.",
     ),
     field(
         "stop_grace",
-        Kind::Millis(0, HOUR),
+        Kind::Millis(0, MAX_INTERVAL_MS),
         Some("3000"),
         "A stopping entry still takes callers for this long, ms.",
     ),
@@ -185,15 +185,20 @@
     /// What is logged.
     pub log_level: Name,
     /// Largest body taken, in bytes.
-    pub body_max: usize,
+    #[serde(rename = "body_max")]
+    pub max_body: usize,
     /// Time between heartbeats.
-    pub beat_every: Millis,
+    #[serde(rename = "beat_every")]
+    pub heartbeat_interval: Millis,
     /// Time between reads of the VM list.
-    pub list_every: Millis,
+    #[serde(rename = "list_every")]
+    pub list_interval: Millis,
     /// Time between contacts with each worker.
-    pub sync_every: Millis,
+    #[serde(rename = "sync_every")]
+    pub sync_interval: Millis,
     /// Time between repeats of what retention would drop.
-    pub log_refresh: Millis,
+    #[serde(rename = "log_refresh")]
+    pub refresh_interval: Millis,
     /// How long a stopping entry still takes callers.
     pub stop_grace: Millis,
     /// The newest version of messages that this entry speaks with others.
@@ -208,12 +213,12 @@
     /// The setting, with dots between levels.
     pub path: String,
     /// What would be right.
-    pub want: String,
+    pub expected: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}: want {}", self.line, self.path, self.want)
+        write!(f, "line {}: {}: want {}", self.line, self.path, self.expected)
     }
 }
 
@@ -223,12 +228,12 @@
 }
 
 impl Checker<'_> {
-    fn fault(&mut self, at: usize, path: &str, want: &str) {
-        let line = self.text[..at].matches('\n').count() + 1;
-        self.faults.push(Fault { line, path: path.to_string(), want: want.to_string() });
+    fn add_fault(&mut self, offset: usize, path: &str, expected: &str) {
+        let line = self.text[..offset].matches('\n').count() + 1;
+        self.faults.push(Fault { line, path: path.to_string(), expected: expected.to_string() });
     }
 
-    fn object(&mut self, object: &Object<'_>, fields: &[Field], path: &str) {
+    fn check_object(&mut self, object: &Object<'_>, fields: &[Field], path: &str) {
         let inner =
             |name: &str| if path.is_empty() { name.into() } else { format!("{path}.{name}") };
         let mut seen = Vec::new();
@@ -236,39 +241,41 @@
             let name = prop.name.as_str();
             let at = prop.range().start;
             match fields.iter().find(|field| field.name == name) {
-                _ if seen.contains(&name) => self.fault(at, &inner(name), "each setting once"),
-                Some(field) => self.value(&prop.value, field, &inner(name)),
-                None => self.fault(at, &inner(name), &format!("one of {}", names(fields))),
+                _ if seen.contains(&name) => self.add_fault(at, &inner(name), "each setting once"),
+                Some(field) => self.check_value(&prop.value, field, &inner(name)),
+                None => {
+                    self.add_fault(at, &inner(name), &format!("one of {}", field_names(fields)))
+                }
             }
             seen.push(name);
         }
         for field in fields {
             if field.default.is_none() && !seen.contains(&field.name) {
-                self.fault(object.range().start, &inner(field.name), &want(field.kind));
+                self.add_fault(object.range().start, &inner(field.name), &expected(field.kind));
             }
         }
     }
 
-    fn value(&mut self, value: &Value<'_>, field: &Field, path: &str) {
+    fn check_value(&mut self, value: &Value<'_>, field: &Field, path: &str) {
         match (field.kind, value) {
-            (Kind::Group(fields), Value::Object(object)) => self.object(object, fields, path),
+            (Kind::Group(fields), Value::Object(object)) => self.check_object(object, fields, path),
             (Kind::List(fields), Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
                     let path = format!("{path}[{index}]");
                     match element {
-                        Value::Object(object) => self.object(object, fields, &path),
-                        other => self.fault(other.range().start, &path, "an object"),
+                        Value::Object(object) => self.check_object(object, fields, &path),
+                        other => self.add_fault(other.range().start, &path, "an object"),
                     }
                 }
             }
             (kind, Value::StringLit(text)) if text_fits(kind, &text.value) => {}
             (kind, Value::NumberLit(number)) if number_fits(kind, number.value) => {}
-            (kind, other) => self.fault(other.range().start, path, &want(kind)),
+            (kind, other) => self.add_fault(other.range().start, path, &expected(kind)),
         }
     }
 }
 
-fn names(fields: &[Field]) -> String {
+fn field_names(fields: &[Field]) -> String {
     let names: Vec<&str> = fields.iter().map(|field| field.name).collect();
     names.join(", ")
 }
@@ -293,7 +300,7 @@
     }
 }
 
-fn want(kind: Kind) -> String {
+fn expected(kind: Kind) -> String {
     match kind {
         Kind::Name => "a text of letters, digits, '-' and '_'".into(),
         Kind::Addr => "a text IP:PORT".into(),
@@ -303,8 +310,8 @@
         Kind::Pem => "PEM text".into(),
         Kind::Token => "a text of 16 or more printable characters without blanks".into(),
         Kind::Right => "\"operator\" or \"team:NAME\"".into(),
-        Kind::Group(fields) => format!("an object with {}", names(fields)),
-        Kind::List(fields) => format!("a list of objects with {}", names(fields)),
+        Kind::Group(fields) => format!("an object with {}", field_names(fields)),
+        Kind::List(fields) => format!("a list of objects with {}", field_names(fields)),
     }
 }
 
@@ -314,21 +321,22 @@
     /// # Errors
     /// Every fault of the text, each with its line.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
-        let whole = |want: String| vec![Fault { line: 1, path: "file".into(), want }];
+        let file_fault = |expected: String| vec![Fault { line: 1, path: "file".into(), expected }];
         let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
         let ast = match parsed {
             Ok(result) => result.value,
-            Err(err) => return Err(whole(format!("JSON with comments: {err}"))),
+            Err(err) => return Err(file_fault(format!("JSON with comments: {err}"))),
         };
-        let Some(Value::Object(object)) = ast else { return Err(whole("an object".into())) };
+        let Some(Value::Object(object)) = ast else { return Err(file_fault("an object".into())) };
         let mut checker = Checker { text, faults: Vec::new() };
-        checker.object(&object, &FIELDS, "");
+        checker.check_object(&object, &FIELDS, "");
         if !checker.faults.is_empty() {
             return Err(checker.faults);
         }
         let mut value: serde_json::Value = Value::Object(object).into();
         add_defaults(&mut value);
-        let settings: Self = serde_json::from_value(value).map_err(|err| whole(err.to_string()))?;
+        let settings: Self =
+            serde_json::from_value(value).map_err(|err| file_fault(err.to_string()))?;
         let faults = settings.conflicts();
         if faults.is_empty() { Ok(settings) } else { Err(faults) }
     }
@@ -336,8 +344,8 @@
     /// Combinations that cannot work.
     fn conflicts(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut add = |path: &str, want: &str| {
-            faults.push(Fault { line: 1, path: path.into(), want: want.into() });
+        let mut add = |path: &str, expected: &str| {
+            faults.push(Fault { line: 1, path: path.into(), expected: expected.into() });
         };
         let mut names: Vec<&Name> = self.peers.iter().map(|peer| &peer.name).collect();
         names.push(&self.name);
--- a/src/size.rs
+++ b/src/size.rs
@@ -25,12 +25,12 @@
     }
 
     /// Whether `self` has room for `need` in every dimension.
-    pub fn fits(&self, need: &Self) -> bool {
+    pub fn can_fit(&self, need: &Self) -> bool {
         need.cpu <= self.cpu && need.mem <= self.mem && need.acc <= self.acc
     }
 
     /// `self + other`, or `None` on overflow.
-    pub fn plus(&self, other: &Self) -> Option<Self> {
+    pub fn checked_add(&self, other: &Self) -> Option<Self> {
         Some(Self {
             cpu: self.cpu.checked_add(other.cpu)?,
             mem: self.mem.checked_add(other.mem)?,
@@ -39,7 +39,7 @@
     }
 
     /// `self - other`, zero in a dimension where `other` is larger.
-    pub fn minus(&self, other: &Self) -> Self {
+    pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
             mem: self.mem.saturating_sub(other.mem),
@@ -48,7 +48,7 @@
     }
 
     /// The larger of each dimension.
-    pub fn most(&self, other: &Self) -> Self {
+    pub fn component_max(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
             mem: self.mem.max(other.mem),
@@ -57,13 +57,13 @@
     }
 
     /// How many times `need` fits into `self`; a need of nothing fits without limit.
-    pub fn times(&self, need: &Self) -> u32 {
+    pub fn max_copies(&self, need: &Self) -> u32 {
         let per = |have: u32, want: u32| have.checked_div(want).unwrap_or(u32::MAX);
         per(self.cpu, need.cpu).min(per(self.mem, need.mem)).min(per(self.acc, need.acc))
     }
 
     /// The largest used share of `self` over the dimensions, in thousandths, if `used` is taken.
-    pub fn share(&self, used: &Self) -> u32 {
+    pub fn dominant_share(&self, used: &Self) -> u32 {
         let part = |used: u32, all: u32| (used as u64 * 1000).checked_div(all as u64).unwrap_or(0);
         part(used.cpu, self.cpu).max(part(used.mem, self.mem)).max(part(used.acc, self.acc)) as u32
     }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -8,7 +8,7 @@
 pub mod site;
 pub mod worker;
 
-use crate::server::TraceRequest;
+use crate::server::TimelineRequest;
 use crate::trace::{Event, Trace};
 use poem::handler;
 use poem::web::{Data, Json};
@@ -16,6 +16,6 @@
 
 /// Gives out the time line.
 #[handler]
-pub fn timeline(trace: Data<&Arc<Trace>>, ask: Json<TraceRequest>) -> Json<Vec<Event>> {
-    Json(trace.after(ask.since, ask.max))
+pub fn timeline(trace: Data<&Arc<Trace>>, ask: Json<TimelineRequest>) -> Json<Vec<Event>> {
+    Json(trace.events_after(ask.since, ask.max))
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -5,9 +5,9 @@
 use crate::id::Name;
 use crate::platform::api::{AppendReply, LogRecord, ReadReply, ReadRequest};
 use crate::platform::http::CALLER_HEADER;
-use crate::server::TRACE_PATH;
+use crate::server::TIMELINE_PATH;
 use crate::standin::timeline;
-use crate::trace::{Trace, What};
+use crate::trace::{EventKind, Trace};
 use poem::http::StatusCode;
 use poem::web::{Data, Json};
 use poem::{EndpointExt, IntoEndpoint, Route, handler, post};
@@ -70,7 +70,7 @@
     /// A platform that keeps records for `retention`.
     pub fn new(retention: Millis) -> Arc<Self> {
         let trace = Arc::new(Trace::new("platform".into()));
-        trace.add(What::Up { role: "platform".into() });
+        trace.record(EventKind::ProcessStarted { role: "platform".into() });
         Arc::new(Self {
             retention,
             log: Mutex::default(),
@@ -83,7 +83,7 @@
 
     /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
-        self.trace.add(What::Platform { part: "log".into(), up: !faults.log_down });
+        self.trace.record(EventKind::Platform { part: "log".into(), up: !faults.log_down });
         *lock(&self.faults) = faults;
     }
 
@@ -140,7 +140,7 @@
             .at("/set/list", post(set_list))
             .at("/set/faults", post(set_faults))
             .at("/usage", post(usage))
-            .at(TRACE_PATH, post(timeline))
+            .at(TIMELINE_PATH, post(timeline))
             .data(trace)
             .data(self)
     }
--- a/src/standin/runner.rs
+++ b/src/standin/runner.rs
@@ -3,9 +3,9 @@
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
-use crate::server::TRACE_PATH;
+use crate::server::TIMELINE_PATH;
 use crate::standin::timeline;
-use crate::trace::{Trace, What};
+use crate::trace::{EventKind, Trace};
 use bytes::Bytes;
 use poem::http::StatusCode;
 use poem::http::header::CONTENT_LENGTH;
@@ -48,7 +48,7 @@
     /// A runner with this many slots.
     pub fn new(name: Name, slots: u32) -> Arc<Self> {
         let trace = Arc::new(Trace::new(name));
-        trace.add(What::Up { role: "runner".into() });
+        trace.record(EventKind::ProcessStarted { role: "runner".into() });
         Arc::new(Self {
             slots: Semaphore::new(slots as usize),
             open: Semaphore::new(CONNECTIONS),
@@ -72,7 +72,7 @@
         Route::new()
             .at("/run/:kind", post(run))
             .at("/set/faults", post(set_faults))
-            .at(TRACE_PATH, post(timeline))
+            .at(TIMELINE_PATH, post(timeline))
             .data(trace)
             .data(self)
     }
@@ -94,7 +94,7 @@
     let number = request.header(RUN_HEADER).and_then(|text| text.parse().ok());
     tokio::time::sleep(Millis(number.unwrap_or(DEFAULT_RUN.0)).duration()).await;
     let id: Name = request.header(REQUEST_ID_HEADER).unwrap_or("").into();
-    runner.trace.add(What::RunnerRan { request: id });
+    runner.trace.record(EventKind::RunnerRan { request: id });
     let faults = runner.faults().clone();
     let mut answer = format!("{}:", kind.0).into_bytes();
     answer.extend_from_slice(&body);
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -3,12 +3,12 @@
 
 use crate::clock::Millis;
 use crate::id::{Name, TaskId};
-use crate::job::Outcome;
+use crate::job::TaskOutcome;
 use crate::platform::api::{Report, Running, StartOrder, StopOrder, SyncOrder, TaskReply};
-use crate::server::TRACE_PATH;
+use crate::server::TIMELINE_PATH;
 use crate::size::Size;
 use crate::standin::timeline;
-use crate::trace::{Trace, What};
+use crate::trace::{EventKind, Trace};
 use poem::web::{Data, Json};
 use poem::{EndpointExt, IntoEndpoint, Route, handler, post};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 enum Task {
     Running { order: StartOrder, ends: Option<Millis>, lease: Millis, throttled: bool },
-    Ended(Outcome),
+    Ended(TaskOutcome),
 }
 
 /// The stand-in.
@@ -56,8 +56,8 @@
     /// A worker of this name and size.
     pub fn new(name: Name, size: Size) -> Arc<Self> {
         let trace = Arc::new(Trace::new(name));
-        trace.add(What::Up { role: "worker".into() });
-        trace.add(What::WorkerUp { total: size });
+        trace.record(EventKind::ProcessStarted { role: "worker".into() });
+        trace.record(EventKind::WorkerRestarted { total: size });
         Arc::new(Self {
             inc: Millis::now().0,
             size,
@@ -82,18 +82,18 @@
         for (id, task) in tasks.iter_mut() {
             let Task::Running { ends, lease, .. } = task else { continue };
             let outcome = match () {
-                _ if *lease <= now => Outcome::Stopped,
-                _ if fail => Outcome::Failed,
-                _ if ends.is_some_and(|ends| ends <= now) => Outcome::Done,
+                _ if *lease <= now => TaskOutcome::Stopped,
+                _ if fail => TaskOutcome::Failed,
+                _ if ends.is_some_and(|ends| ends <= now) => TaskOutcome::Done,
                 _ => continue,
             };
-            self.trace.add(What::WorkerEnded { task: id.clone(), outcome });
+            self.trace.record(EventKind::WorkerEnded { task: id.clone(), outcome });
             *task = Task::Ended(outcome);
         }
     }
 
     fn start(&self, order: StartOrder) -> TaskReply {
-        self.trace.seen(order.stamp);
+        self.trace.observe(order.stamp);
         let faults = lock(&self.faults).clone();
         let mut tasks = lock(&self.tasks);
         match tasks.get(&order.task) {
@@ -107,7 +107,12 @@
         let run = Millis(order.run.0 * stretch / 100);
         let ends = (order.run > Millis(0)).then(|| now + run);
         let (task, size, repeat) = (order.task.clone(), order.size, order.repeat);
-        self.trace.add(What::WorkerStarted { task: task.clone(), size, total: self.size, repeat });
+        self.trace.record(EventKind::WorkerStarted {
+            task: task.clone(),
+            size,
+            total: self.size,
+            repeat,
+        });
         let lease = now + order.lease;
         tasks.insert(task, Task::Running { order, ends, lease, throttled: false });
         TaskReply::Running
@@ -118,11 +123,11 @@
         let outcome = match tasks.get(&id) {
             Some(Task::Ended(outcome)) => return TaskReply::Ended(*outcome),
             Some(Task::Running { .. }) => {
-                let outcome = Outcome::Stopped;
-                self.trace.add(What::WorkerEnded { task: id.clone(), outcome });
+                let outcome = TaskOutcome::Stopped;
+                self.trace.record(EventKind::WorkerEnded { task: id.clone(), outcome });
                 outcome
             }
-            None => Outcome::Cancelled,
+            None => TaskOutcome::Cancelled,
         };
         tasks.insert(id, Task::Ended(outcome));
         TaskReply::Ended(outcome)
@@ -171,7 +176,7 @@
             .at("/throttle", post(throttle))
             .at("/sync", post(sync))
             .at("/set/faults", post(set_faults))
-            .at(TRACE_PATH, post(timeline))
+            .at(TIMELINE_PATH, post(timeline))
             .data(trace)
             .data(self)
     }
--- a/src/table.rs
+++ b/src/table.rs
@@ -11,20 +11,20 @@
 /// Prefix of a row that marks a VM instead of a kind of work.
 const VM_PREFIX: &str = "vm:";
 /// Prefix of a column that holds the weight of a failure domain.
-const SITE_PREFIX: &str = "site:";
+const DOMAIN_PREFIX: &str = "site:";
 /// The largest table accepted, in bytes.
-pub const MAX_TABLE: usize = 256 * 1024;
+pub const MAX_TABLE_BYTES: usize = 256 * 1024;
 /// The largest weight of any column.
 const MAX_WEIGHT: u32 = 1000;
 /// The longest deadline, in milliseconds: one day.
-const MAX_DEADLINE: u64 = 86_400_000;
+const MAX_DEADLINE_MS: u64 = 86_400_000;
 /// The most attempts a row may ask for.
 const MAX_RETRIES: u32 = 10;
 
 /// How a kind of work is scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Class {
+pub enum WorkClass {
     /// Answered by a runner within one HTTP exchange.
     Request,
     /// Runs on a worker until it finishes.
@@ -41,7 +41,7 @@
     /// The team that the row belongs to.
     pub team: Name,
     /// How the kind is scheduled.
-    pub class: Class,
+    pub class: WorkClass,
     /// Urgency: a waiting task gains this many points for each second.
     pub weight: u32,
     /// The most running at once: requests for each entry, tasks in the whole cell.
@@ -62,7 +62,8 @@
     /// of this row to start; 0: no limit.
     pub quota: u32,
     /// Weight of each failure domain; one not named has weight 0.
-    pub sites: BTreeMap<Name, u32>,
+    #[serde(rename = "sites")]
+    pub domain_weights: BTreeMap<Name, u32>,
 }
 
 /// A table whose every cell was checked.
@@ -71,7 +72,8 @@
     /// The rows by kind.
     pub rows: BTreeMap<Name, Row>,
     /// VMs that the table takes out of use.
-    pub leaving: BTreeSet<Name>,
+    #[serde(rename = "leaving")]
+    pub excluded_vms: BTreeSet<Name>,
     /// The largest quota of each team that has one.
     quotas: BTreeMap<Name, u64>,
 }
@@ -88,7 +90,8 @@
     /// The value found.
     pub value: String,
     /// What would be right.
-    pub want: String,
+    #[serde(rename = "want")]
+    pub expected: String,
 }
 
 impl fmt::Display for Fault {
@@ -96,7 +99,7 @@
         write!(
             f,
             "line {}: row {:?}, column {:?}: {:?} is wrong: want {}",
-            self.line, self.row, self.column, self.value, self.want
+            self.line, self.row, self.column, self.value, self.expected
         )
     }
 }
@@ -118,7 +121,7 @@
 ];
 
 /// What the cell of a site column holds.
-const SITE_WANT: &str = "a whole number from 0 to 1000";
+const DOMAIN_WEIGHT_HELP: &str = "a whole number from 0 to 1000";
 
 /// Whether `s` can name a kind, a team, a VM, a shard or a failure domain.
 pub fn is_name(s: &str) -> bool {
@@ -129,24 +132,24 @@
 /// One line under its headings, with the faults found so far.
 struct Line<'a> {
     no: u64,
-    heads: &'a [String],
+    headings: &'a [String],
     cells: csv::StringRecord,
     faults: Vec<Fault>,
 }
 
 impl Line<'_> {
     fn text(&self, column: &str) -> &str {
-        let at = self.heads.iter().position(|head| head == column);
+        let at = self.headings.iter().position(|head| head == column);
         at.and_then(|i| self.cells.get(i)).unwrap_or("").trim()
     }
 
-    fn fault(&mut self, column: &str, want: &str) {
+    fn add_fault(&mut self, column: &str, expected: &str) {
         let fault = Fault {
             line: self.no,
             row: self.text("kind").to_string(),
             column: column.to_string(),
             value: self.text(column).to_string(),
-            want: want.to_string(),
+            expected: expected.to_string(),
         };
         self.faults.push(fault);
     }
@@ -154,7 +157,7 @@
     fn read<T>(&mut self, column: &str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
         let got = parse(self.text(column));
         if got.is_none() {
-            self.fault(column, want(column));
+            self.add_fault(column, expected_value(column));
         }
         got
     }
@@ -163,7 +166,7 @@
         self.read(column, |s| s.parse().ok().filter(|n| (min..=max).contains(n)))
     }
 
-    fn small(&mut self, column: &str, min: u32, max: u32) -> Option<u32> {
+    fn number_u32(&mut self, column: &str, min: u32, max: u32) -> Option<u32> {
         self.number(column, min as u64, max as u64).map(|n| n as u32)
     }
 
@@ -171,38 +174,38 @@
         self.read(column, |s| is_name(s).then(|| s.into()))
     }
 
-    fn sites(&mut self) -> BTreeMap<Name, u32> {
-        let mut sites = BTreeMap::new();
-        for head in self.heads.iter().filter(|head| head.starts_with(SITE_PREFIX)) {
+    fn domain_weights(&mut self) -> BTreeMap<Name, u32> {
+        let mut weights = BTreeMap::new();
+        for head in self.headings.iter().filter(|head| head.starts_with(DOMAIN_PREFIX)) {
             let weight = match self.text(head) {
                 "" => Some(0),
                 s => s.parse().ok().filter(|n| *n <= MAX_WEIGHT),
             };
             match weight {
                 Some(0) => {}
-                Some(n) => drop(sites.insert(head[SITE_PREFIX.len()..].into(), n)),
-                None => self.fault(head, SITE_WANT),
+                Some(n) => drop(weights.insert(head[DOMAIN_PREFIX.len()..].into(), n)),
+                None => self.add_fault(head, DOMAIN_WEIGHT_HELP),
             }
         }
-        sites
+        weights
     }
 
     fn row(&mut self) -> Option<Row> {
         let kind = self.name("kind");
         let team = self.name("team");
         let class = self.read("class", parse_class);
-        let weight = self.small("weight", 0, MAX_WEIGHT);
-        let limit = self.small("limit", 1, 1_000_000);
-        let queue = self.small("queue", 0, 1_000_000);
-        let deadline = self.number("deadline", 1, MAX_DEADLINE);
-        let repeat = self.read("repeat", parse_yes);
-        let retries = self.small("retries", 0, MAX_RETRIES);
-        let pack = self.small("pack", 0, MAX_WEIGHT);
-        let spread = self.small("spread", 0, MAX_WEIGHT);
-        let quota = self.small("quota", 0, 4_000_000_000);
-        let sites = self.sites();
+        let weight = self.number_u32("weight", 0, MAX_WEIGHT);
+        let limit = self.number_u32("limit", 1, 1_000_000);
+        let queue = self.number_u32("queue", 0, 1_000_000);
+        let deadline = self.number("deadline", 1, MAX_DEADLINE_MS);
+        let repeat = self.read("repeat", parse_yes_no);
+        let retries = self.number_u32("retries", 0, MAX_RETRIES);
+        let pack = self.number_u32("pack", 0, MAX_WEIGHT);
+        let spread = self.number_u32("spread", 0, MAX_WEIGHT);
+        let quota = self.number_u32("quota", 0, 4_000_000_000);
+        let domain_weights = self.domain_weights();
         if repeat == Some(false) && retries.is_some_and(|n| n > 0) {
-            self.fault("retries", want("retries"));
+            self.add_fault("retries", expected_value("retries"));
         }
         Some(Row {
             kind: kind?,
@@ -217,25 +220,25 @@
             pack: pack?,
             spread: spread?,
             quota: quota?,
-            sites,
+            domain_weights,
         })
     }
 }
 
-fn want(column: &str) -> &'static str {
-    COLUMNS.iter().find(|(name, _)| *name == column).map_or("", |(_, want)| want)
+fn expected_value(column: &str) -> &'static str {
+    COLUMNS.iter().find(|(name, _)| *name == column).map_or("", |(_, expected)| expected)
 }
 
-fn parse_class(s: &str) -> Option<Class> {
+fn parse_class(s: &str) -> Option<WorkClass> {
     match s {
-        "request" => Some(Class::Request),
-        "batch" => Some(Class::Batch),
-        "service" => Some(Class::Service),
+        "request" => Some(WorkClass::Request),
+        "batch" => Some(WorkClass::Batch),
+        "service" => Some(WorkClass::Service),
         _ => None,
     }
 }
 
-fn parse_yes(s: &str) -> Option<bool> {
+fn parse_yes_no(s: &str) -> Option<bool> {
     match s {
         "yes" => Some(true),
         "no" => Some(false),
@@ -243,24 +246,29 @@
     }
 }
 
-fn file_fault(line: u64, column: &str, value: &str, want: &str) -> Fault {
-    let [column, value, want] = [column, value, want].map(str::to_string);
-    Fault { line, row: String::new(), column, value, want }
+fn file_fault(line: u64, column: &str, value: &str, expected: &str) -> Fault {
+    let [column, value, expected] = [column, value, expected].map(str::to_string);
+    Fault { line, row: String::new(), column, value, expected }
 }
 
-fn check_heads(heads: &[String]) -> Vec<Fault> {
+fn check_headings(headings: &[String]) -> Vec<Fault> {
     let mut faults = Vec::new();
-    for (name, want) in COLUMNS {
-        if !heads.iter().any(|head| head == name) {
-            faults.push(file_fault(1, name, "", &format!("a column with this heading, of {want}")));
+    for (name, expected) in COLUMNS {
+        if !headings.iter().any(|head| head == name) {
+            faults.push(file_fault(
+                1,
+                name,
+                "",
+                &format!("a column with this heading, of {expected}"),
+            ));
         }
     }
     let mut seen = BTreeSet::new();
-    for head in heads {
+    for head in headings {
         let known = COLUMNS.iter().any(|(name, _)| name == head);
-        let site = head.strip_prefix(SITE_PREFIX).is_some_and(is_name);
+        let is_domain = head.strip_prefix(DOMAIN_PREFIX).is_some_and(is_name);
         match seen.insert(head) {
-            true if known || site => {}
+            true if known || is_domain => {}
             true => faults.push(file_fault(1, head, head, "a known heading or site:DOMAIN")),
             false => faults.push(file_fault(1, head, head, "each heading once")),
         }
@@ -288,17 +296,17 @@
     }
 
     fn read(text: &str) -> Result<Self, Vec<Fault>> {
-        if text.len() > MAX_TABLE {
-            let want = format!("a file of at most {MAX_TABLE} bytes");
-            return Err(vec![file_fault(0, "", &text.len().to_string(), &want)]);
+        if text.len() > MAX_TABLE_BYTES {
+            let expected = format!("a file of at most {MAX_TABLE_BYTES} bytes");
+            return Err(vec![file_fault(0, "", &text.len().to_string(), &expected)]);
         }
         let text = text.strip_prefix('\u{feff}').unwrap_or(text);
         let mut reader = csv::ReaderBuilder::new().flexible(true).from_reader(text.as_bytes());
-        let heads: Vec<String> = match reader.headers() {
+        let headings: Vec<String> = match reader.headers() {
             Ok(record) => record.iter().map(|s| s.trim().to_string()).collect(),
             Err(err) => return Err(vec![file_fault(1, "", &err.to_string(), "CSV in UTF-8")]),
         };
-        let mut faults = check_heads(&heads);
+        let mut faults = check_headings(&headings);
         if !faults.is_empty() {
             return Err(faults);
         }
@@ -306,7 +314,7 @@
         for record in reader.records() {
             match record {
                 Ok(cells) if cells.iter().all(|cell| cell.trim().is_empty()) => {}
-                Ok(cells) => faults.append(&mut table.add_line(&heads, cells)),
+                Ok(cells) => faults.append(&mut table.add_line(&headings, cells)),
                 Err(err) => faults.push(file_fault(0, "", &err.to_string(), "CSV in UTF-8")),
             }
         }
@@ -316,22 +324,26 @@
         if faults.is_empty() { Ok(table) } else { Err(faults) }
     }
 
-    fn add_line(&mut self, heads: &[String], cells: csv::StringRecord) -> Vec<Fault> {
+    fn add_line(&mut self, headings: &[String], cells: csv::StringRecord) -> Vec<Fault> {
         let no = cells.position().map_or(0, |at| at.line());
-        let mut line = Line { no, heads, cells, faults: Vec::new() };
-        if line.cells.len() > heads.len() {
-            let extra = line.cells.get(heads.len()).unwrap_or("").to_string();
+        let mut line = Line { no, headings, cells, faults: Vec::new() };
+        if line.cells.len() > headings.len() {
+            let extra = line.cells.get(headings.len()).unwrap_or("").to_string();
             let mut fault = file_fault(no, "", &extra, "no more cells than headings");
             fault.row = line.text("kind").to_string();
             line.faults.push(fault);
         }
         match line.text("kind").strip_prefix(VM_PREFIX) {
             Some(vm) if is_name(vm) && line.text("weight") == "0" => {
-                self.leaving.insert(vm.into());
+                self.excluded_vms.insert(vm.into());
+            }
+            Some(_) => {
+                line.add_fault("weight", "0 in a row vm:NAME, which takes the VM out of use")
             }
-            Some(_) => line.fault("weight", "0 in a row vm:NAME, which takes the VM out of use"),
             None => match line.row() {
-                Some(row) if self.rows.contains_key(&row.kind) => line.fault("kind", want("kind")),
+                Some(row) if self.rows.contains_key(&row.kind) => {
+                    line.add_fault("kind", expected_value("kind"))
+                }
                 Some(row) => drop(self.rows.insert(row.kind.clone(), row)),
                 None => {}
             },
@@ -351,8 +363,12 @@
         }
         let added = other.rows.keys().filter(|kind| !self.rows.contains_key(*kind));
         lines.extend(added.map(|kind| format!("+ {kind}")));
-        lines.extend(other.leaving.difference(&self.leaving).map(|vm| format!("+ vm:{vm}")));
-        lines.extend(self.leaving.difference(&other.leaving).map(|vm| format!("- vm:{vm}")));
+        lines.extend(
+            other.excluded_vms.difference(&self.excluded_vms).map(|vm| format!("+ vm:{vm}")),
+        );
+        lines.extend(
+            self.excluded_vms.difference(&other.excluded_vms).map(|vm| format!("- vm:{vm}")),
+        );
         lines
     }
 }
@@ -372,7 +388,7 @@
                 ("pack", row.pack.to_string()),
                 ("spread", row.spread.to_string()),
                 ("quota", row.quota.to_string()),
-                ("sites", format!("{:?}", row.sites)),
+                ("sites", format!("{:?}", row.domain_weights)),
             ]
         };
         let pairs = cells(self).into_iter().zip(cells(new));
@@ -381,7 +397,7 @@
     }
 
     /// The weight of `domain` for this kind of work.
-    pub fn site(&self, domain: &str) -> u32 {
-        self.sites.get(domain).copied().unwrap_or(0)
+    pub fn domain_weight(&self, domain: &str) -> u32 {
+        self.domain_weights.get(domain).copied().unwrap_or(0)
     }
 }
--- a/src/wire/quic.rs
+++ b/src/wire/quic.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::settings::Keys;
-use crate::trace::{Trace, What};
+use crate::trace::{EventKind, Trace};
 use crate::wire::keys::{self, KeyError};
 use crate::wire::msg::{Ask, CodecError, Envelope, Tell, decode, encode};
 use quinn::crypto::rustls::HandshakeData;
@@ -190,7 +190,7 @@
         let bytes = self.swap(name, addr, &connection, &message).await?;
         self.count(message.len() + bytes.len());
         let envelope: Envelope<Tell> = decode(version, &bytes)?;
-        self.trace.seen(envelope.stamp);
+        self.trace.observe(envelope.stamp);
         Ok(envelope.body)
     }
 
@@ -234,7 +234,7 @@
         let connection = connecting.await.map_err(|_| failed())?;
         self.connections().insert(key, connection.clone());
         if let Some(version) = agreed(&connection) {
-            self.trace.add(What::PeerConnected { peer: name.clone(), version });
+            self.trace.record(EventKind::PeerConnected { peer: name.clone(), version });
         }
         Ok(connection)
     }
@@ -269,7 +269,7 @@
                     Ok(envelope) => envelope,
                     Err(err) => return log::warn!("event=message-refused error={err:?}"),
                 };
-                quic.trace.seen(envelope.stamp);
+                quic.trace.observe(envelope.stamp);
                 let body = answer(envelope.body).await;
                 let reply = encode(version, &Envelope { stamp: quic.trace.stamp(), body });
                 let Ok(reply) = reply else { return };
--- a/src/workspace.rs
+++ b/src/workspace.rs
@@ -27,20 +27,20 @@
 #[derive(Debug, Clone, Default)]
 pub struct Workspaces {
     by_name: HashMap<Name, Arc<Workspace>>,
-    by_key: HashMap<Name, Arc<Workspace>>,
+    by_api_key: HashMap<Name, Arc<Workspace>>,
 }
 
 impl Workspaces {
     /// Adds a workspace with its callers' keys.
     pub fn add(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = Name>) {
         let workspace = Arc::new(workspace);
-        self.by_key.extend(keys.into_iter().map(|key| (key, workspace.clone())));
+        self.by_api_key.extend(keys.into_iter().map(|key| (key, workspace.clone())));
         self.by_name.insert(workspace.name.clone(), workspace);
     }
 
     /// The workspace of a caller's key.
-    pub fn of_key(&self, key: &str) -> Option<&Arc<Workspace>> {
-        self.by_key.get(key)
+    pub fn by_api_key(&self, key: &str) -> Option<&Arc<Workspace>> {
+        self.by_api_key.get(key)
     }
 
     /// A workspace by its name.
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -17,12 +17,12 @@
         TIME.fetch_add(270, Ordering::Relaxed);
         clock.now();
     }
-    assert_eq!(clock.pauses(), 0, "it looked every 270 ms");
+    assert_eq!(clock.pause_count(), 0, "it looked every 270 ms");
     TIME.fetch_add(20_000, Ordering::Relaxed);
     assert_eq!(clock.now(), Millis(47_001));
-    assert_eq!(clock.pauses(), 1);
+    assert_eq!(clock.pause_count(), 1);
     clock.now();
-    assert_eq!(clock.pauses(), 1, "a pause is noticed once");
+    assert_eq!(clock.pause_count(), 1, "a pause is noticed once");
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -427,7 +427,7 @@
         for process in all {
             events.extend(self.events_of(process.addr).await);
         }
-        events.sort_by(|a, b| (a.at, &a.who).cmp(&(b.at, &b.who)));
+        events.sort_by(|a, b| (a.at, &a.process).cmp(&(b.at, &b.process)));
         events
     }
 
@@ -443,7 +443,7 @@
     pub async fn check(&self) {
         let events = self.timeline().await;
         assert!(events.len() > 10, "time line too short: {}", events.len());
-        let broken = check::check(&events);
+        let broken = check::find_violations(&events);
         assert!(broken.is_empty(), "{broken:#?}");
     }
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -10,7 +10,7 @@
 const SMALL: u32 = 120;
 
 fn entry(name: &str) -> EntryId {
-    EntryId { name: name.into(), inc: 1 }
+    EntryId { name: name.into(), incarnation: 1 }
 }
 
 /// An entry that has read a claim and a heartbeat of an owner, which hears from a large entry.
@@ -83,7 +83,7 @@
 
 #[test]
 fn the_restarted_process_of_the_last_owner_claims_at_once() {
-    let restarted = EntryId { name: "owner".into(), inc: 2 };
+    let restarted = EntryId { name: "owner".into(), incarnation: 2 };
     let mut election = Election::new(restarted, LARGE, Millis(0));
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
     election.add(Millis(1), 0, Record::Claim { owner: owner.clone(), addr });
--- a/tests/failure.rs
+++ b/tests/failure.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
-use sprucerudder::trace::What;
+use sprucerudder::trace::EventKind;
 
 const SHARD: &str = "nasr-hall-a";
 
@@ -375,9 +375,11 @@
 async fn most_at_once(cell: &Cell, jobs: &[String]) -> usize {
     let (mut now, mut most) = (0_usize, 0);
     for event in cell.timeline().await {
-        match event.what {
-            What::WorkerStarted { task, .. } if jobs.contains(&task.job.to_string()) => now += 1,
-            What::WorkerEnded { task, .. } if jobs.contains(&task.job.to_string()) => now -= 1,
+        match event.kind {
+            EventKind::WorkerStarted { task, .. } if jobs.contains(&task.job.to_string()) => {
+                now += 1
+            }
+            EventKind::WorkerEnded { task, .. } if jobs.contains(&task.job.to_string()) => now -= 1,
             _ => {}
         }
         most = most.max(now);
--- a/tests/fold.rs
+++ b/tests/fold.rs
@@ -5,7 +5,7 @@
 use sprucerudder::controller::fold::Fold;
 use sprucerudder::controller::table::{Revision, Verdict};
 use sprucerudder::id::EntryId;
-use sprucerudder::record::{Claim, Publish, Record};
+use sprucerudder::record::{Claim, Record, TablePublish};
 
 const HEAD: &str =
     "kind,team,class,weight,limit,queue,deadline,repeat,retries,pack,spread,quota,site:d";
@@ -14,12 +14,12 @@
     format!("{HEAD}\nbuild,t,batch,{weight},10,10,60000,yes,2,1,1,0,9\n")
 }
 
-fn publish(id: &str, base: u64, by: &str) -> Publish {
-    Publish { id: id.into(), base, by: by.into(), csv: csv(base as u32 % 1000).into() }
+fn publish(id: &str, base: u64, by: &str) -> TablePublish {
+    TablePublish { id: id.into(), base, by: by.into(), csv: csv(base as u32 % 1000).into() }
 }
 
 fn claim(shard: &str, epoch: u64, owner: &str) -> Claim {
-    let owner = EntryId { name: owner.into(), inc: 1 };
+    let owner = EntryId { name: owner.into(), incarnation: 1 };
     Claim { shard: shard.into(), domain: "d".into(), epoch, owner, replicas: Vec::new() }
 }
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -69,7 +69,7 @@
 }
 
 fn claims() -> Vec<Record> {
-    let owner = EntryId { name: "entry-1".into(), inc: 7 };
+    let owner = EntryId { name: "entry-1".into(), incarnation: 7 };
     let addr: sprucerudder::id::Name = "10.1.0.13:7720".into();
     vec![
         Record::Claim { owner: owner.clone(), addr: addr.clone() },
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -39,8 +39,8 @@
     vec(step, 1..60)
 }
 
-fn entry(name: &str, inc: u64) -> EntryId {
-    EntryId { name: name.into(), inc }
+fn entry(name: &str, incarnation: u64) -> EntryId {
+    EntryId { name: name.into(), incarnation }
 }
 
 fn beat(shard: usize, epoch: u64) -> ShardBeat {
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -8,7 +8,7 @@
 use sprucerudder::id::{EntryId, JobId};
 use sprucerudder::settings::Settings;
 use sprucerudder::table::Table;
-use sprucerudder::trace::{Event, Stamp, What};
+use sprucerudder::trace::{Event, EventKind, Stamp};
 use sprucerudder::wire::msg::{
     Ask, Beat, CodecError, Envelope, NEWEST, OLDEST, ShardBeat, Tell, decode, encode,
 };
@@ -48,7 +48,7 @@
             let named = faults.iter().any(|fault| {
                 fault.column == heads[column] && fault.value == *value && fault.line == 2
             });
-            assert!(named && faults.iter().all(|fault| !fault.want.is_empty()), "{faults:?}");
+            assert!(named && faults.iter().all(|fault| !fault.expected.is_empty()), "{faults:?}");
         }
     }
 }
@@ -71,7 +71,7 @@
     let missing = Table::parse(&HEAD.replace("weight", "wait")).expect_err("heading");
     assert_eq!(missing.len(), 2, "{missing:?}");
     let vm = format!("{HEAD}\n{row}\nvm:w1,,,0\n");
-    assert!(Table::parse(&vm).expect("table").leaving.contains("w1"));
+    assert!(Table::parse(&vm).expect("table").excluded_vms.contains("w1"));
     let vm = format!("{HEAD}\n{row}\nvm:w1,,,7\n");
     assert_eq!(Table::parse(&vm).expect_err("vm")[0].column, "weight");
     let extra = Table::parse(&format!("{HEAD}\n{row},more\n")).expect_err("cells");
@@ -146,7 +146,7 @@
     let missing = settings(|all| drop(all.as_object_mut().expect("map").remove("peer")));
     assert_eq!(Settings::parse(&missing).expect_err("missing")[0].path, "peer");
     let good = Settings::parse(&settings(|_| {})).expect("good");
-    assert_eq!((good.beat_every, good.stop_grace), (Millis(500), Millis(3_000)));
+    assert_eq!((good.heartbeat_interval, good.stop_grace), (Millis(500), Millis(3_000)));
 }
 
 #[test]
@@ -168,7 +168,7 @@
 /// The bytes of version 1 as entries of that version write them: they must never change.
 #[test]
 fn version_1_keeps_its_bytes() {
-    let from = EntryId { name: "e1".into(), inc: 300 };
+    let from = EntryId { name: "e1".into(), incarnation: 300 };
     let room = Room { urgent: 9, backlog: 5, ..Room::default() };
     let shard =
         ShardBeat { shard: "r".into(), epoch: 2, owner: true, flying: false, room: Some(room) };
@@ -214,7 +214,7 @@
     let text = r#"[{"at": 1, "who": "e1", "event": "stopping"},
         {"at": 2, "who": "e1", "event": "from-the-future", "what": {"ever": [1]}}]"#;
     let events: Vec<Event> = serde_json::from_str(text).expect("events");
-    assert_eq!(events[0].what, What::Stopping);
+    assert_eq!(events[0].kind, EventKind::Stopping);
     assert_eq!(events[1].to_string(), "at=2 who=e1 event=other");
 }
 
@@ -242,8 +242,8 @@
     }
 
     #[test]
-    fn job_ids_come_back_from_text(counter in any::<u64>(), inc in any::<u64>()) {
-        let me = EntryId { name: "e".into(), inc };
+    fn job_ids_come_back_from_text(counter in any::<u64>(), incarnation in any::<u64>()) {
+        let me = EntryId { name: "e".into(), incarnation };
         let id = JobId::new("rack-1".into(), &me, counter);
         prop_assert_eq!(id.to_string().parse::<JobId>(), Ok(id));
     }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,6 +1,6 @@
 //! Log lines reach their reader whole, numbered and in order.
 
-use sprucerudder::logs::{Lines, WRITE_MAX, write_lines};
+use sprucerudder::logs::{LineNumberer, MAX_WRITE_BYTES, write_lines};
 use std::io::{self, Write};
 
 /// A reader that takes each write as a unit and keeps so many bytes of it.
@@ -11,7 +11,7 @@
 
 impl Write for Reader {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        assert!(bytes.len() <= WRITE_MAX, "a write of {} bytes may be split", bytes.len());
+        assert!(bytes.len() <= MAX_WRITE_BYTES, "a write of {} bytes may be split", bytes.len());
         self.text.extend_from_slice(bytes);
         self.writes += 1;
         Ok(bytes.len())
@@ -23,7 +23,7 @@
 }
 
 fn numbered(count: usize, length: usize) -> Vec<Vec<u8>> {
-    let mut lines = Lines::default();
+    let mut lines = LineNumberer::default();
     let text = format!("event=test text={}\n", "x".repeat(length));
     (0..count).filter_map(|_| lines.add(text.as_bytes())).collect()
 }
@@ -45,12 +45,12 @@
 fn a_line_that_is_too_long_says_that_it_is_cut() {
     let lines = numbered(1, 10_000);
     let text = String::from_utf8(lines[0].clone()).expect("text");
-    assert!(text.len() < WRITE_MAX && text.ends_with(" cut=true line=1\n"), "{text}");
+    assert!(text.len() < MAX_WRITE_BYTES && text.ends_with(" cut=true line=1\n"), "{text}");
 }
 
 #[test]
 fn a_line_that_comes_in_pieces_has_one_number() {
-    let mut lines = Lines::default();
+    let mut lines = LineNumberer::default();
     assert_eq!(lines.add(b"event="), None);
     assert_eq!(lines.add(b"up\n"), Some(b"event=up line=1\n".to_vec()));
     assert_eq!(lines.add(b"event=down\n"), Some(b"event=down line=2\n".to_vec()));
--- a/tests/office.rs
+++ b/tests/office.rs
@@ -6,7 +6,7 @@
 use sprucerudder::controller::shard::Source;
 use sprucerudder::controller::shard::office::{Action, Answer, Event, Office, Refusal};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
-use sprucerudder::job::{JobSpec, Outcome};
+use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, TaskReply};
 use sprucerudder::record::Claim;
 use sprucerudder::size::Size;
@@ -54,7 +54,7 @@
 
 impl Desk {
     fn new(sizes: &[Size]) -> Self {
-        let owner = EntryId { name: "e".into(), inc: 1 };
+        let owner = EntryId { name: "e".into(), incarnation: 1 };
         let [shard, domain] = ["rack", "d"].map(Name::from);
         let claim = Claim { shard, domain, epoch: 1, owner, replicas: Vec::new() };
         let now = Millis(1_000_000);
@@ -90,7 +90,7 @@
                 Action::Stop { task, .. } => {
                     self.running.remove(&task);
                     self.stopped.push(task.clone());
-                    let reply = Some(TaskReply::Ended(Outcome::Stopped));
+                    let reply = Some(TaskReply::Ended(TaskOutcome::Stopped));
                     self.step(Event::Told { task, stop: true, reply });
                 }
                 Action::Reply { answer, .. } => self.answers.push(answer),
@@ -115,7 +115,7 @@
         }
     }
 
-    fn end(&mut self, task: &TaskId, outcome: Outcome) {
+    fn end(&mut self, task: &TaskId, outcome: TaskOutcome) {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
         self.step(Event::Told { task, stop: false, reply });
@@ -123,7 +123,7 @@
 
     fn submit(&mut self, kind: &str, tasks: u32, gang: bool, size: Size) -> JobId {
         self.jobs += 1;
-        let job = JobId { shard: "rack".into(), seq: self.jobs };
+        let job = JobId { shard: "rack".into(), number: self.jobs };
         let team = if kind == "small-team" { "u" } else { "t" };
         let spec = JobSpec {
             kind: kind.into(),
@@ -131,8 +131,8 @@
             tasks,
             gang,
             size,
-            run: Millis(1_000),
-            repeat: kind != "once",
+            run_time: Millis(1_000),
+            repeatable: kind != "once",
         };
         self.step(Event::Submit { token: self.jobs, job: job.clone(), spec });
         job
@@ -175,13 +175,13 @@
     let bulk = desk.submit("bulk", 1, false, ROOM);
     let urgent = desk.submit("urgent", 1, false, ROOM);
     let task = desk.tasks_of(&holder).remove(0);
-    desk.end(&task, Outcome::Done);
+    desk.end(&task, TaskOutcome::Done);
     assert_eq!((desk.running_of(&urgent).len(), desk.running_of(&bulk).len()), (1, 0));
     desk.now = desk.now + Millis(150_000);
     desk.report_all();
     let late = desk.submit("urgent", 1, false, ROOM);
     let task = desk.tasks_of(&urgent).remove(0);
-    desk.end(&task, Outcome::Done);
+    desk.end(&task, TaskOutcome::Done);
     assert_eq!((desk.running_of(&late).len(), desk.running_of(&bulk).len()), (0, 1));
 }
 
@@ -212,10 +212,10 @@
     let gang = desk.submit("urgent", 4, true, HALF);
     assert!(desk.running_of(&gang).is_empty());
     let task = desk.tasks_of(&block).remove(0);
-    desk.end(&task, Outcome::Done);
+    desk.end(&task, TaskOutcome::Done);
     assert_eq!(desk.running_of(&gang).len(), 4);
     let failed = desk.tasks_of(&gang).remove(0);
-    desk.end(&failed, Outcome::Failed);
+    desk.end(&failed, TaskOutcome::Failed);
     assert_eq!(desk.stopped.len(), 3, "the others are stopped");
     let again = desk.tasks_of(&gang);
     assert_eq!(again.len(), 4, "and all start again");
@@ -242,14 +242,14 @@
     let mut desk = Desk::up(&[ROOM]);
     let job = desk.submit("bulk", 3, false, HALF);
     let first = desk.tasks_of(&job).remove(0);
-    desk.end(&first, Outcome::Done);
+    desk.end(&first, TaskOutcome::Done);
     desk.cancel(&job);
     let state = desk.office.status(&job, desk.now).expect("job");
     desk.cancel(&job);
-    desk.end(&first, Outcome::Failed);
+    desk.end(&first, TaskOutcome::Failed);
     let again = desk.office.status(&job, desk.now).expect("job");
     assert_eq!(state, again);
-    assert_eq!(state.ended, [(Outcome::Done, 1), (Outcome::Stopped, 2)]);
+    assert_eq!(state.ended, [(TaskOutcome::Done, 1), (TaskOutcome::Stopped, 2)]);
     assert_eq!((state.queued, state.running), (0, 0));
 }
 
@@ -262,7 +262,7 @@
         desk.cancel(job);
     }
     let task = desk.tasks_of(&holder).remove(0);
-    desk.end(&task, Outcome::Done);
+    desk.end(&task, TaskOutcome::Done);
     assert_eq!(desk.running.len(), 1);
     assert_eq!(desk.running_of(&waiting[99]).len(), 1);
     let load = desk.office.loads()["bulk"];
@@ -276,10 +276,10 @@
         let job = desk.submit("apart", 8, false, Size::new(100, 100, 0));
         for task in desk.tasks_of(&job) {
             let bad = *desk.running[&task] == *"w3";
-            desk.end(&task, if bad { Outcome::Failed } else { Outcome::Done });
+            desk.end(&task, if bad { TaskOutcome::Failed } else { TaskOutcome::Done });
         }
         for task in desk.tasks_of(&job) {
-            desk.end(&task, Outcome::Failed);
+            desk.end(&task, TaskOutcome::Failed);
         }
         desk.now = desk.now + Millis(100);
         desk.report_all();
@@ -289,7 +289,7 @@
     for _ in 0..20 {
         let job = desk.submit("bulk", 8, false, HALF);
         for task in desk.tasks_of(&job) {
-            desk.end(&task, Outcome::Failed);
+            desk.end(&task, TaskOutcome::Failed);
         }
         assert!(desk.office.aside().is_empty());
     }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, TestError, TestRng, TestRunner};
-use sprucerudder::job::Outcome;
+use sprucerudder::job::TaskOutcome;
 use sprucerudder::size::Size;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use world::{Flaw, InFlight, Message, SHARD, World};
@@ -39,15 +39,15 @@
     Mend,
     Submit { entry: usize, once: bool, tasks: u32, gang: bool, cpu: u32 },
     Cancel(usize, usize),
-    End(usize, usize, Outcome),
+    End(usize, usize, TaskOutcome),
 }
 
 fn op() -> impl Strategy<Value = Op> {
     let entry = 0..ENTRIES;
     let outcome = prop_oneof![
-        4 => Just(Outcome::Done),
-        1 => Just(Outcome::Failed),
-        1 => Just(Outcome::Stopped)
+        4 => Just(TaskOutcome::Done),
+        1 => Just(TaskOutcome::Failed),
+        1 => Just(TaskOutcome::Stopped)
     ];
     prop_oneof![
         8 => (10..3_000_u64).prop_map(Op::Advance),
@@ -188,11 +188,11 @@
         Op::Round,
         Op::Advance(10),
         Op::Round,
-        Op::End(0, 0, Outcome::Done),
+        Op::End(0, 0, TaskOutcome::Done),
         submit(2, true, 2, 1),
         Op::Round,
         Op::RoughRound(9_595_081_733_285_599_201),
-        Op::End(1, 0, Outcome::Done),
+        Op::End(1, 0, TaskOutcome::Done),
         Op::Round,
         Op::Round,
         Op::Round,
@@ -285,7 +285,7 @@
         Op::Round,
         Op::RoughRound(1_056_971_282_929_222_461),
         Op::Restart(2),
-        Op::End(1, 0, Outcome::Done),
+        Op::End(1, 0, TaskOutcome::Done),
         Op::Round,
         Op::Round,
         Op::Round,
@@ -317,7 +317,7 @@
         Op::Advance(1116),
         Op::RoughRound(8_341_133_467_295_257_235),
         Op::Advance(1503),
-        Op::End(1, 0, Outcome::Done),
+        Op::End(1, 0, TaskOutcome::Done),
         Op::Round,
         Op::Advance(1378),
         Op::Advance(2079),
@@ -338,7 +338,7 @@
         Op::Advance(770),
         Op::Advance(1730),
         Op::Read(2),
-        Op::End(0, 0, Outcome::Done),
+        Op::End(0, 0, TaskOutcome::Done),
         Op::Round,
         Op::Round,
         Op::Round,
@@ -435,7 +435,7 @@
         Op::Advance(2490),
         Op::RoughRound(177_299_075_142_756_831),
         Op::Advance(500),
-        Op::End(0, 0, Outcome::Done),
+        Op::End(0, 0, TaskOutcome::Done),
         Op::RoughRound(60_805_130_449_435_116),
         Op::Advance(10),
         Op::Round,
@@ -537,11 +537,11 @@
     world.hand_over(2, 0);
     rounds(&mut world, 2);
     assert_eq!(world.owners(), [0], "{:#?}", world.history);
-    world.end_task(0, 0, Outcome::Done);
+    world.end_task(0, 0, TaskOutcome::Done);
     rounds(&mut world, 3);
     world.entries[0].paused = true;
     world.restart_entry(1);
-    world.end_task(1, 0, Outcome::Done);
+    world.end_task(1, 0, TaskOutcome::Done);
     world.cuts.insert((2, 1));
     world.log_down = false;
     rounds(&mut world, 12);
@@ -575,7 +575,7 @@
     let message = Message::Beat { from, to, epoch, owner: false, flying: false };
     world.net.push(InFlight { sent: world.now, message });
     rounds(&mut world, 4);
-    world.end_task(0, 0, Outcome::Done);
+    world.end_task(0, 0, TaskOutcome::Done);
     rounds(&mut world, 4);
     world.release(0);
     world.check();
--- a/tests/request.rs
+++ b/tests/request.rs
@@ -72,7 +72,8 @@
     let refused = cell.request(ENTRY, "preview", &[("prefer", "wait=0.5")], "new").await;
     assert_eq!(problem(&refused), (503, json!("too-late"), json!("no")));
     let events = cell.timeline().await;
-    let ran = events.iter().filter(|e| *e.who == *RUNNER && e.to_string().contains("runner-ran"));
+    let ran =
+        events.iter().filter(|e| *e.process == *RUNNER && e.to_string().contains("runner-ran"));
     let sent = events.iter().filter(|e| e.to_string().contains(&format!("runner={RUNNER}")));
     assert_eq!(ran.count(), sent.count());
     cell.check().await;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use goldenscript::{Argument, Command};
-use sprucerudder::job::Outcome;
+use sprucerudder::job::TaskOutcome;
 use sprucerudder::size::Size;
 use std::error::Error;
 use std::fmt::Write;
@@ -58,7 +58,7 @@
                 writeln!(
                     out,
                     "job {} queued {} running {} ended {:?}",
-                    status.job.seq, status.queued, status.running, status.ended
+                    status.job.number, status.queued, status.running, status.ended
                 )?;
             }
         }
@@ -95,8 +95,8 @@
             "resume" => self.world.entries[index()?].paused = false,
             "kill" => self.world.restart_entry(index()?),
             "lose-worker" => self.world.replace_worker(index()?),
-            "end" => self.world.end_task(index()?, 0, Outcome::Done),
-            "fail" => self.world.end_task(index()?, 0, Outcome::Failed),
+            "end" => self.world.end_task(index()?, 0, TaskOutcome::Done),
+            "fail" => self.world.end_task(index()?, 0, TaskOutcome::Failed),
             "log-down" => self.world.log_down = true,
             "log-up" => self.world.log_down = false,
             "hold-messages" => {
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -8,7 +8,7 @@
 use sprucerudder::controller::gossip::{Inbox, Outbox};
 use sprucerudder::controller::shard::office::Event;
 use sprucerudder::id::{EntryId, TaskId};
-use sprucerudder::job::{Note, Outcome};
+use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::size::Size;
 use sprucerudder::trace::Stamp;
 use sprucerudder::wire::msg::{Ask, Envelope, NEWEST, ShardBeat, encode};
@@ -79,7 +79,7 @@
         let at = draw.below(desks.len() as u64) as usize;
         let (job, did) = desks[at].submit(spec("urgent", 1, false, SMALL));
         assert_eq!(did.len(), 1, "placed at once");
-        desks[at].end(&TaskId { job, index: 0, attempt: 0 }, Outcome::Done);
+        desks[at].end(&TaskId { job, index: 0, attempt: 0 }, TaskOutcome::Done);
     })
 }
 
@@ -133,13 +133,13 @@
 fn a_note_for_replicas_stays_small() {
     let mut desk =
         Desk::new("nasr-hall-rack-12", &[WORKER; RACK], table(&[("build", "batch", 50, 10, 0)]));
-    let bind = |index| Note::Bind {
+    let bind = |index| StateChange::Bind {
         task: TaskId { job: desk.job(), index, attempt: 0 },
         worker: "nasr-hall-rack-12-w3".into(),
-        inc: 1_764_000_000_000,
-        owner: EntryId { name: "nasr-hall-entry-1".into(), inc: 1_764_000_000_000 },
+        incarnation: 1_764_000_000_000,
+        owner: EntryId { name: "nasr-hall-entry-1".into(), incarnation: 1_764_000_000_000 },
     };
-    let notes: Vec<Note> = (0..100).map(bind).collect();
+    let notes: Vec<StateChange> = (0..100).map(bind).collect();
     let update =
         sprucerudder::controller::replica::Update { epoch: 9, base: None, first: 1, notes };
     let size = bytes(Ask::Update { shard: "nasr-hall-rack-12".into(), update });
@@ -155,8 +155,8 @@
         flying: false,
         room: None,
     };
-    let me = EntryId { name: "a".into(), inc: 1 };
-    let peer = EntryId { name: "b".into(), inc: 1 };
+    let me = EntryId { name: "a".into(), incarnation: 1 };
+    let peer = EntryId { name: "b".into(), incarnation: 1 };
     let after_one_change = |shards: u32| {
         let (mut outbox, mut inbox) = (Outbox::default(), Inbox::default());
         outbox.update((0..shards).map(|index| shard(index, 1)).collect());
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -225,10 +225,10 @@
     assert!(!policy.route("h", "/b/1").unwrap().is_anonymous);
     assert!(policy.requires_keys);
     let all = policy.workspaces;
-    let of_key = all.of_key("k2").unwrap();
+    let of_key = all.by_api_key("k2").unwrap();
     let limit = Resources { cpu: 4_000, ..Resources::UNLIMITED };
     assert_eq!(**of_key, Workspace { name: "t".into(), weight: 18, limit });
-    assert!(all.of_key("k3").is_none());
+    assert!(all.by_api_key("k3").is_none());
     let none = Policy::parse(br#"{"version":7}"#).unwrap();
     assert!(none.workspaces.is_empty() && !none.requires_keys);
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use sprucerudder::controller::shard::office::{Action, Answer, Event, MAX_FLIGHT, Office};
 use sprucerudder::controller::shard::{Search, Shard, Source};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId, hash};
-use sprucerudder::job::{JobSpec, Outcome};
+use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, StartOrder, SyncOrder, TaskReply};
 use sprucerudder::record::Record;
 use sprucerudder::size::Size;
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone)]
 pub enum Task {
     Running(StartOrder),
-    Ended(Outcome),
+    Ended(TaskOutcome),
 }
 
 #[derive(Debug, Default)]
@@ -163,7 +163,7 @@
     }
 
     fn new_entry(&mut self, name: Name) -> Entry {
-        let id = EntryId { name, inc: self.next() };
+        let id = EntryId { name, incarnation: self.next() };
         let mut fold = Fold::new("d".into());
         let table = Table::parse(TABLE).expect("table");
         assert!(!table.rows.is_empty());
@@ -606,8 +606,8 @@
         let tasks = &mut self.workers.get_mut(worker)?.tasks;
         let outcome = match tasks.get(task) {
             Some(Task::Ended(outcome)) => *outcome,
-            Some(Task::Running(_)) => Outcome::Stopped,
-            None => Outcome::Cancelled,
+            Some(Task::Running(_)) => TaskOutcome::Stopped,
+            None => TaskOutcome::Cancelled,
         };
         tasks.insert(task.clone(), Task::Ended(outcome));
         Some(TaskReply::Ended(outcome))
@@ -640,7 +640,7 @@
     }
 
     /// A running task of a worker ends.
-    pub fn end_task(&mut self, worker: usize, task: usize, outcome: Outcome) {
+    pub fn end_task(&mut self, worker: usize, task: usize, outcome: TaskOutcome) {
         let Some(name) = self.workers.keys().nth(worker).cloned() else { return };
         let Some(worker) = self.workers.get_mut(&name) else { return };
         let running = worker.tasks.iter_mut().filter(|(_, t)| matches!(t, Task::Running(_)));
@@ -694,15 +694,15 @@
 
     pub fn submit(&mut self, index: usize, kind: &str, tasks: u32, gang: bool, size: Size) -> u64 {
         let token = self.next();
-        let job = JobId { shard: SHARD.into(), seq: token };
+        let job = JobId { shard: SHARD.into(), number: token };
         let spec = JobSpec {
             kind: kind.into(),
             team: "t".into(),
             tasks,
             gang,
             size,
-            run: Millis(1_000),
-            repeat: kind != "once",
+            run_time: Millis(1_000),
+            repeatable: kind != "once",
         };
         self.jobs.push(job.clone());
         if !self.entries[index].paused {
@@ -727,11 +727,11 @@
             let mut used = Size::default();
             for (id, task) in &worker.tasks {
                 if let Task::Running(order) = task {
-                    used = used.plus(&order.size).expect("sum");
+                    used = used.checked_add(&order.size).expect("sum");
                     *places.entry((id.job.clone(), id.index)).or_insert(0) += 1;
                 }
             }
-            assert!(WORKER_SIZE.fits(&used), "{name} over: {used} {:#?}", self.history);
+            assert!(WORKER_SIZE.can_fit(&used), "{name} over: {used} {:#?}", self.history);
         }
         let twice = places.iter().find(|(_, places)| **places > 1);
         assert!(twice.is_none(), "two places: {twice:?} {:#?}", self.history);
@@ -785,7 +785,7 @@
         }
         if finish {
             for worker in 0..self.workers.len() {
-                self.end_task(worker, 0, Outcome::Done);
+                self.end_task(worker, 0, TaskOutcome::Done);
             }
         }
         self.check();
