--- a/src/cmd/client.rs
+++ b/src/cmd/client.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 /// How long a call may take.
-const LIMIT: Millis = Millis(15_000);
+const CALL_TIMEOUT: Millis = Millis(15_000);
 
 /// Which entry to call, and as whom.
 #[derive(Debug, Clone, Bpaf)]
@@ -43,7 +43,7 @@
         &self,
         method: Method,
         path: &str,
-        content: &str,
+        content_type: &str,
         key: Option<&str>,
         body: String,
     ) -> Result<Value> {
@@ -52,17 +52,18 @@
             .method(method)
             .uri(uri(&addr, path)?)
             .header(AUTHORIZATION, format!("Bearer {}", self.target.token))
-            .header(CONTENT_TYPE, content);
+            .header(CONTENT_TYPE, content_type);
         if let Some(key) = key {
             builder = builder.header("idempotency-key", key);
         }
         let request = builder.body(Full::from(Bytes::from(body)))?;
-        let answer = self.http.send(&addr, request, LIMIT).await.context("cannot ask the entry")?;
+        let answer =
+            self.http.send(&addr, request, CALL_TIMEOUT).await.context("cannot ask the entry")?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let value: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
         match answer.status.is_success() {
             true => Ok(value),
-            false => bail!(RefusedError(explain(answer.status.as_u16(), &value))),
+            false => bail!(RefusedError(describe_refusal(answer.status.as_u16(), &value))),
         }
     }
 
@@ -73,31 +74,32 @@
 }
 
 /// A refusal in words.
-fn explain(status: u16, problem: &Value) -> String {
-    let part = |name: &str| match problem.get(name) {
+fn describe_refusal(status: u16, problem: &Value) -> String {
+    let field = |name: &str| match problem.get(name) {
         Some(Value::String(text)) => format!(" {name}={text}"),
         Some(value) => format!(" {name}={value}"),
         None => String::new(),
     };
-    let parts: String = ["reason", "run", "rev", "by", "faults"].iter().map(|n| part(n)).collect();
-    format!("refused: status={status}{parts}")
+    let fields_text: String =
+        ["reason", "run", "rev", "by", "faults"].iter().map(|n| field(n)).collect();
+    format!("refused: status={status}{fields_text}")
 }
 
 /// Prints a value as JSON, or as one line of key=value pairs for each object.
-pub fn print(value: &Value, json: bool) -> Result<()> {
+pub fn print_value(value: &Value, json: bool) -> Result<()> {
     if json {
         println!("{}", serde_json::to_string_pretty(value)?);
         return Ok(());
     }
     match value {
-        Value::Array(items) => items.iter().for_each(|item| println!("{}", line(item))),
-        other => println!("{}", line(other)),
+        Value::Array(items) => items.iter().for_each(|item| println!("{}", format_line(item))),
+        other => println!("{}", format_line(other)),
     }
     Ok(())
 }
 
 /// One line of key=value pairs.
-pub fn line(value: &Value) -> String {
+pub fn format_line(value: &Value) -> String {
     let Value::Object(fields) = value else { return value.to_string() };
     let pair = |(key, value): (&String, &Value)| match value {
         Value::String(text) => format!("{key}={text}"),
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -15,10 +15,10 @@
 
 impl Run for DrainArgs {
     fn run(self) -> Result<()> {
-        let content = "application/json; charset=utf-8";
+        let content_type = "application/json; charset=utf-8";
         runtime()?.block_on(async {
             let client = Client::new(self.target);
-            client.call(Method::POST, "/v1/drain", content, None, String::new()).await
+            client.call(Method::POST, "/v1/drain", content_type, None, String::new()).await
         })?;
         println!("stopping");
         Ok(())
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -39,24 +39,24 @@
 async fn serve(settings: Settings) -> Result<()> {
     let (entry, listener) = Entry::bind(settings).await?;
     let signals = count_signals()?;
-    let run = entry.clone().run(listener, stopped(entry, signals.clone()));
+    let run = entry.clone().run(listener, planned_stop_done(entry, signals.clone()));
     tokio::select! {
         result = run => result?,
-        () = reached(signals, 2) => log::warn!("event=stopped-at-once"),
+        () = wait_for_signals(signals, 2) => log::warn!("event=stopped-at-once"),
     }
     Ok(())
 }
 
 /// Counts SIGTERM and SIGINT.
 fn count_signals() -> Result<watch::Receiver<u32>> {
-    let mut term = signal(SignalKind::terminate())?;
-    let mut int = signal(SignalKind::interrupt())?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
     let (count, signals) = watch::channel(0);
     tokio::spawn(async move {
         loop {
             tokio::select! {
-                _ = term.recv() => {}
-                _ = int.recv() => {}
+                _ = terminate.recv() => {}
+                _ = interrupt.recv() => {}
             }
             count.send_modify(|count| *count += 1);
         }
@@ -64,14 +64,14 @@
     Ok(signals)
 }
 
-async fn reached(mut signals: watch::Receiver<u32>, wanted: u32) {
-    let _ = signals.wait_for(|count| *count >= wanted).await;
+async fn wait_for_signals(mut signals: watch::Receiver<u32>, min_count: u32) {
+    let _ = signals.wait_for(|count| *count >= min_count).await;
 }
 
 /// Ready when the planned stop that a signal or a drain began is done.
-async fn stopped(entry: Arc<Entry>, signals: watch::Receiver<u32>) {
+async fn planned_stop_done(entry: Arc<Entry>, signals: watch::Receiver<u32>) {
     tokio::select! {
-        () = reached(signals, 1) => entry.stop().await,
+        () = wait_for_signals(signals, 1) => entry.stop().await,
         () = entry.drained() => {}
     }
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -17,15 +17,15 @@
 
 impl Run for ExplainArgs {
     fn run(self) -> Result<()> {
-        let (mut waits, mut gaps) = (Waits::default(), Gaps::default());
+        let (mut waits, mut missing) = (WaitTimes::default(), MissingLines::default());
         for line in std::io::stdin().lock().lines() {
             let line = line.context("cannot read standard input")?;
             waits.add(&line, self.job.as_deref());
-            gaps.add(&line);
+            missing.add(&line);
         }
         print!("{}", waits.table());
-        if gaps.missing > 0 {
-            println!("{} log lines are missing in {} places", gaps.missing, gaps.places);
+        if missing.lines > 0 {
+            println!("{} log lines are missing in {} places", missing.lines, missing.gaps);
         }
         Ok(())
     }
@@ -38,33 +38,35 @@
 
 /// Where numbers of lines leap, in logs that follow each other process by process.
 #[derive(Debug, Default)]
-pub struct Gaps {
-    last: Option<u64>,
+pub struct MissingLines {
+    last_number: Option<u64>,
     /// Lines that are missing.
-    pub missing: u64,
+    pub lines: u64,
     /// How often lines are missing.
-    pub places: u64,
+    pub gaps: u64,
 }
 
-impl Gaps {
+impl MissingLines {
     /// Takes in one line.
     pub fn add(&mut self, line: &str) {
-        let Some(no) = field(line, "line").and_then(|no| no.parse::<u64>().ok()) else { return };
+        let Some(number) = field(line, "line").and_then(|text| text.parse::<u64>().ok()) else {
+            return;
+        };
         // A lower number is the first of another process.
-        let left_out = self.last.map_or(0, |last| no.saturating_sub(last + 1));
-        self.missing += left_out;
-        self.places += u64::from(left_out > 0);
-        self.last = Some(no);
+        let skipped = self.last_number.map_or(0, |last| number.saturating_sub(last + 1));
+        self.lines += skipped;
+        self.gaps += u64::from(skipped > 0);
+        self.last_number = Some(number);
     }
 }
 
 /// How long steps waited, by queue and reason.
 #[derive(Debug, Default)]
-pub struct Waits {
+pub struct WaitTimes {
     rows: BTreeMap<(String, String), Vec<u64>>,
 }
 
-impl Waits {
+impl WaitTimes {
     /// Takes in one line of a log, if it tells of a wait, and of `job` if one is wanted.
     pub fn add(&mut self, line: &str, job: Option<&str>) {
         let field = |name: &str| field(line, name);
@@ -82,15 +84,22 @@
     /// A row for each queue and reason: how many waits, the sum, the median, one in ten, the longest.
     pub fn table(&mut self) -> String {
         let mut text = String::new();
-        let head = ["queue", "waited for", "waits", "sum s", "median ms", "90 % ms", "most ms"];
-        let [queue, reason, rest @ ..] = head;
+        let headings = ["queue", "waited for", "waits", "sum s", "median ms", "90 % ms", "most ms"];
+        let [queue, reason, rest @ ..] = headings;
         let rest: String = rest.iter().map(|name| format!("{name:>11}")).collect();
         text.push_str(&format!("{queue:<24}{reason:<14}{rest}\n"));
         for ((queue, reason), waits) in &mut self.rows {
             waits.sort_unstable();
-            let at = |part: usize| waits.get((waits.len() * part / 100).min(waits.len() - 1));
+            let percentile =
+                |percent: usize| waits.get((waits.len() * percent / 100).min(waits.len() - 1));
             let sum = waits.iter().sum::<u64>() / 1_000;
-            let figures = [Some(&(waits.len() as u64)), Some(&sum), at(50), at(90), waits.last()];
+            let figures = [
+                Some(&(waits.len() as u64)),
+                Some(&sum),
+                percentile(50),
+                percentile(90),
+                waits.last(),
+            ];
             let figures: String =
                 figures.into_iter().flatten().map(|figure| format!("{figure:>11}")).collect();
             // Writing to a string does not fail.
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -1,6 +1,6 @@
 //! `job`: submits, shows, withdraws and lists jobs.
 
-use crate::cmd::client::{Client, Target, print, target};
+use crate::cmd::client::{Client, Target, print_value, target};
 use crate::cmd::{Run, runtime};
 use anyhow::Result;
 use bpaf::Bpaf;
@@ -82,8 +82,8 @@
 }
 
 async fn run(args: JobArgs) -> Result<()> {
-    let content = "application/json; charset=utf-8";
-    let none = String::new();
+    let content_type = "application/json; charset=utf-8";
+    let empty_body = String::new();
     let (answer, json) = match args {
         JobArgs::Submit { target, kind, tasks, gang, cpu, mem, acc, run, once, key, json } => {
             let repeat = !once;
@@ -93,16 +93,21 @@
             });
             let client = Client::new(target);
             let body = body.to_string();
-            (client.call(Method::POST, "/v1/jobs", content, key.as_deref(), body).await?, json)
+            (client.call(Method::POST, "/v1/jobs", content_type, key.as_deref(), body).await?, json)
         }
         JobArgs::Status { target, json, job } => {
             (Client::new(target).get(&format!("/v1/jobs/{job}")).await?, json)
         }
         JobArgs::Cancel { target, json, job } => {
             let path = format!("/v1/jobs/{job}");
-            (Client::new(target).call(Method::DELETE, &path, content, None, none).await?, json)
+            (
+                Client::new(target)
+                    .call(Method::DELETE, &path, content_type, None, empty_body)
+                    .await?,
+                json,
+            )
         }
         JobArgs::List { target, json } => (Client::new(target).get("/v1/jobs").await?, json),
     };
-    print(&answer, json)
+    print_value(&answer, json)
 }
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 /// The part of the output that holds the authority.
-const AUTHORITY: &str = "authority";
+const AUTHORITY_FIELD: &str = "authority";
 
 /// What `keys` takes.
 #[derive(Debug, Clone, Bpaf)]
@@ -27,7 +27,7 @@
 impl Run for KeysArgs {
     fn run(self) -> Result<()> {
         let authority = match &self.authority {
-            Some(path) => load(path)?,
+            Some(path) => load_authority(path)?,
             None => Authority::new(&self.cell)?,
         };
         let mut entries = serde_json::Map::new();
@@ -40,19 +40,20 @@
             });
             entries.insert(name.clone(), part);
         }
-        let own = json!({"certificate": authority.certificate(), "secret": authority.secret()});
-        let all = json!({AUTHORITY: own, "entries": entries});
-        println!("{}", serde_json::to_string_pretty(&all)?);
+        let authority_keys =
+            json!({"certificate": authority.certificate(), "secret": authority.secret()});
+        let output = json!({AUTHORITY_FIELD: authority_keys, "entries": entries});
+        println!("{}", serde_json::to_string_pretty(&output)?);
         Ok(())
     }
 }
 
-fn load(path: &Path) -> Result<Authority> {
+fn load_authority(path: &Path) -> Result<Authority> {
     let text = std::fs::read_to_string(path);
     let text = text.with_context(|| format!("cannot read {}", path.display()))?;
-    let all: Value = serde_json::from_str(&text).context("not the output of keys")?;
+    let output: Value = serde_json::from_str(&text).context("not the output of keys")?;
     let part = |name: &str| {
-        let text = all[AUTHORITY][name].as_str();
+        let text = output[AUTHORITY_FIELD][name].as_str();
         text.with_context(|| format!("no authority.{name} in {}", path.display()))
     };
     Ok(Authority::load(part("certificate")?, part("secret")?)?)
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -74,16 +74,16 @@
 
 /// Serves until a planned stop is done: SIGTERM or SIGINT begins one.
 async fn serve(settings: Settings, path: PathBuf) -> Result<()> {
-    let mut term = signal(SignalKind::terminate())?;
-    let mut int = signal(SignalKind::interrupt())?;
-    let mut hup = signal(SignalKind::hangup())?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     let (stop, stopped) = watch::channel(false);
     tokio::spawn(async move {
         loop {
             tokio::select! {
-                _ = term.recv() => drop(stop.send_replace(true)),
-                _ = int.recv() => drop(stop.send_replace(true)),
-                _ = hup.recv() => reload(&path),
+                _ = terminate.recv() => drop(stop.send_replace(true)),
+                _ = interrupt.recv() => drop(stop.send_replace(true)),
+                _ = hangup.recv() => check_changed_settings(&path),
             }
         }
     });
@@ -93,10 +93,10 @@
 }
 
 /// Checks changed settings. Addresses and bounds hold for the life of a process.
-fn reload(path: &std::path::Path) {
+fn check_changed_settings(path: &std::path::Path) {
     let text = std::fs::read_to_string(path).map_err(|err| err.to_string());
-    let checked = text.and_then(|text| Settings::parse(&text).map_err(|err| err.to_string()));
-    match checked {
+    let result = text.and_then(|text| Settings::parse(&text).map_err(|err| err.to_string()));
+    match result {
         Ok(_) => log::info!("event=reload outcome=unchanged"),
         Err(err) => log::warn!("event=reload outcome=refused error={err:?}"),
     }
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -11,7 +11,7 @@
 
 impl Run for SettingsArgs {
     fn run(self) -> Result<()> {
-        print!("{}", Settings::explain());
+        print!("{}", Settings::template());
         Ok(())
     }
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,6 +1,6 @@
 //! `status`: shows one entry's view of the cell.
 
-use crate::cmd::client::{Client, Target, line, print, target};
+use crate::cmd::client::{Client, Target, format_line, print_value, target};
 use crate::cmd::{Run, runtime};
 use anyhow::Result;
 use bpaf::Bpaf;
@@ -20,12 +20,12 @@
         let mut status =
             runtime()?.block_on(async { Client::new(self.target).get("/v1/status").await })?;
         if self.json {
-            return print(&status, true);
+            return print_value(&status, true);
         }
         let shards = status.as_object_mut().and_then(|fields| fields.remove("shards"));
-        println!("{}", line(&status));
+        println!("{}", format_line(&status));
         if let Some(Value::Array(shards)) = shards {
-            shards.iter().for_each(|shard| println!("  {}", line(shard)));
+            shards.iter().for_each(|shard| println!("  {}", format_line(shard)));
         }
         Ok(())
     }
--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -1,6 +1,6 @@
 //! `table`: checks, shows, compares and publishes tables.
 
-use crate::cmd::client::{Client, Target, print, target};
+use crate::cmd::client::{Client, Target, print_value, target};
 use crate::cmd::{RefusedError, Run, runtime};
 use crate::table::Table;
 use anyhow::{Context, Result, bail};
@@ -60,7 +60,7 @@
 impl Run for TableArgs {
     fn run(self) -> Result<()> {
         match self {
-            Self::Check { json, file } => check(&file, json),
+            Self::Check { json, file } => check_file(&file, json),
             Self::Show { target, json } => runtime()?.block_on(show(target, json)),
             Self::Diff { target, file } => runtime()?.block_on(diff(target, &file)),
             Self::Publish { target, base, key, json, file } => {
@@ -70,26 +70,26 @@
     }
 }
 
-fn read(file: &Path) -> Result<String> {
+fn read_file(file: &Path) -> Result<String> {
     std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))
 }
 
-fn parse(text: &str) -> Result<Table> {
+fn parse_table(text: &str) -> Result<Table> {
     Table::parse(text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
         RefusedError(lines.join("\n")).into()
     })
 }
 
-fn check(file: &Path, json: bool) -> Result<()> {
-    let text = read(file)?;
+fn check_file(file: &Path, json: bool) -> Result<()> {
+    let text = read_file(file)?;
     match Table::parse(&text) {
         Ok(table) => println!("ok rows={} leaving={}", table.rows.len(), table.excluded_vms.len()),
         Err(faults) if json => {
             println!("{}", serde_json::to_string_pretty(&faults)?);
             bail!(RefusedError(format!("{} faults", faults.len())));
         }
-        Err(_) => drop(parse(&text)?),
+        Err(_) => drop(parse_table(&text)?),
     }
     Ok(())
 }
@@ -97,22 +97,22 @@
 async fn show(target: Target, json: bool) -> Result<()> {
     let table = Client::new(target).get("/v1/table").await?;
     if json {
-        return print(&table, true);
+        return print_value(&table, true);
     }
-    print!("{}", csv(&table));
+    print!("{}", csv_text(&table));
     Ok(())
 }
 
-fn csv(table: &Value) -> &str {
+fn csv_text(table: &Value) -> &str {
     table.get("csv").and_then(Value::as_str).unwrap_or("")
 }
 
 async fn diff(target: Target, file: &Path) -> Result<()> {
-    let new = parse(&read(file)?)?;
+    let new = parse_table(&read_file(file)?)?;
     let table = Client::new(target).get("/v1/table").await?;
-    let old = match csv(&table) {
+    let old = match csv_text(&table) {
         "" => Table::default(),
-        text => parse(text)?,
+        text => parse_table(text)?,
     };
     old.diff(&new).iter().for_each(|line| println!("{line}"));
     Ok(())
@@ -125,8 +125,8 @@
     json: bool,
     file: &Path,
 ) -> Result<()> {
-    let text = read(file)?;
-    parse(&text)?;
+    let text = read_file(file)?;
+    parse_table(&text)?;
     let client = Client::new(target);
     let base = match base {
         Some(base) => base,
@@ -136,7 +136,7 @@
         }
     };
     let path = format!("/v1/table?base={base}");
-    let content = "text/plain; charset=utf-8";
-    let answer = client.call(Method::PUT, &path, content, key.as_deref(), text).await?;
-    print(&answer, json)
+    let content_type = "text/plain; charset=utf-8";
+    let answer = client.call(Method::PUT, &path, content_type, key.as_deref(), text).await?;
+    print_value(&answer, json)
 }
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 /// How long a process may take to answer.
-const LIMIT: Millis = Millis(15_000);
+const CALL_TIMEOUT: Millis = Millis(15_000);
 
 /// What `timeline` takes.
 #[derive(Debug, Clone, Bpaf)]
@@ -44,21 +44,22 @@
 async fn run(args: TimelineArgs) -> Result<()> {
     let mut events = Vec::new();
     for addr in &args.addrs {
-        let found = fetch(&HttpClient::default(), *addr, &args.token).await;
-        events.extend(found.with_context(|| format!("no time line from {addr}"))?);
+        let timeline = fetch_timeline(&HttpClient::default(), *addr, &args.token).await;
+        events.extend(timeline.with_context(|| format!("no time line from {addr}"))?);
     }
     events.sort_by(|a, b| (a.at, &a.process).cmp(&(b.at, &b.process)));
-    let wanted = |text: &str| args.only.as_ref().is_none_or(|only| text.contains(only.as_str()));
+    let is_selected =
+        |text: &str| args.only.as_ref().is_none_or(|only| text.contains(only.as_str()));
     for event in &events {
         let text = if args.json { serde_json::to_string(event)? } else { event.to_string() };
-        if wanted(&text) {
+        if is_selected(&text) {
             println!("{text}");
         }
     }
     if args.check {
-        let broken = check::find_violations(&events);
-        if !broken.is_empty() {
-            let lines: Vec<String> = broken.iter().map(ToString::to_string).collect();
+        let violations = check::find_violations(&events);
+        if !violations.is_empty() {
+            let lines: Vec<String> = violations.iter().map(ToString::to_string).collect();
             bail!(RefusedError(lines.join("\n")));
         }
         println!("checked events={} broken=0", events.len());
@@ -67,16 +68,20 @@
 }
 
 /// The whole time line of one process.
-pub async fn fetch(http: &HttpClient, addr: SocketAddr, token: &str) -> Result<Vec<Event>> {
-    let ask = TimelineRequest { since: Stamp(0), max: usize::MAX };
+pub async fn fetch_timeline(
+    http: &HttpClient,
+    addr: SocketAddr,
+    token: &str,
+) -> Result<Vec<Event>> {
+    let query = TimelineRequest { since: Stamp(0), max: usize::MAX };
     let addr = addr.to_string();
     let request = Request::builder()
         .method(Method::POST)
         .uri(uri(&addr, TIMELINE_PATH)?)
         .header(AUTHORIZATION, format!("Bearer {token}"))
         .header(CONTENT_TYPE, "application/json")
-        .body(Full::from(Bytes::from(serde_json::to_vec(&ask)?)))?;
-    let answer = http.send(&addr, request, LIMIT).await?;
+        .body(Full::from(Bytes::from(serde_json::to_vec(&query)?)))?;
+    let answer = http.send(&addr, request, CALL_TIMEOUT).await?;
     if !answer.status.is_success() {
         bail!("status {}", answer.status);
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -13,7 +13,7 @@
 
 /// What a value has to be.
 #[derive(Debug, Clone, Copy)]
-enum Kind {
+enum ValueKind {
     Name,
     Addr,
     Millis(u64, u64),
@@ -22,15 +22,15 @@
     Pem,
     Token,
     Right,
-    Group(&'static [Field]),
-    List(&'static [Field]),
+    Group(&'static [SettingField]),
+    List(&'static [SettingField]),
 }
 
 /// One setting.
 #[derive(Debug, Clone, Copy)]
-struct Field {
+struct SettingField {
     name: &'static str,
-    kind: Kind,
+    kind: ValueKind,
     /// JSON text; `None`: the setting is required.
     default: Option<&'static str>,
     help: &'static str,
@@ -38,73 +38,98 @@
 
 const fn field(
     name: &'static str,
-    kind: Kind,
+    kind: ValueKind,
     default: Option<&'static str>,
     help: &'static str,
-) -> Field {
-    Field { name, kind, default, help }
+) -> SettingField {
+    SettingField { name, kind, default, help }
 }
 
 /// The longest time that a setting may have, in milliseconds.
 const MAX_INTERVAL_MS: u64 = 3_600_000;
 
-const PLATFORM: [Field; 2] = [
-    field("log", Kind::Addr, None, "Address of the platform's log."),
-    field("list", Kind::Addr, None, "Address of the platform's VM list."),
+const PLATFORM_FIELDS: [SettingField; 2] = [
+    field("log", ValueKind::Addr, None, "Address of the platform's log."),
+    field("list", ValueKind::Addr, None, "Address of the platform's VM list."),
 ];
 
-const PEERS: [Field; 3] = [
-    field("name", Kind::Name, None, "The other entry's name."),
-    field("domain", Kind::Name, None, "Its failure domain."),
-    field("addr", Kind::Addr, None, "Its address for other entries (UDP)."),
+const PEER_FIELDS: [SettingField; 3] = [
+    field("name", ValueKind::Name, None, "The other entry's name."),
+    field("domain", ValueKind::Name, None, "Its failure domain."),
+    field("addr", ValueKind::Addr, None, "Its address for other entries (UDP)."),
 ];
 
-const TOKENS: [Field; 3] = [
-    field("name", Kind::Name, None, "Who uses the token."),
-    field("token", Kind::Token, None, "The bearer token, 16 characters or more."),
-    field("right", Kind::Right, None, "\"operator\", or \"team:NAME\" for one team."),
+const TOKEN_FIELDS: [SettingField; 3] = [
+    field("name", ValueKind::Name, None, "Who uses the token."),
+    field("token", ValueKind::Token, None, "The bearer token, 16 characters or more."),
+    field("right", ValueKind::Right, None, "\"operator\", or \"team:NAME\" for one team."),
 ];
 
-const KEYS: [Field; 3] = [
-    field("authority", Kind::Pem, None, "The cell's certificate authority, PEM."),
-    field("certificate", Kind::Pem, None, "This entry's certificate, PEM."),
-    field("secret", Kind::Pem, None, "This entry's private key, PEM."),
+const KEY_FIELDS: [SettingField; 3] = [
+    field("authority", ValueKind::Pem, None, "The cell's certificate authority, PEM."),
+    field("certificate", ValueKind::Pem, None, "This entry's certificate, PEM."),
+    field("secret", ValueKind::Pem, None, "This entry's private key, PEM."),
 ];
 
-const FIELDS: [Field; 16] = [
-    field("name", Kind::Name, None, "This entry's name, once in the cell."),
-    field("domain", Kind::Name, None, "This entry's failure domain."),
-    field("http", Kind::Addr, None, "Address for callers and operators (TCP)."),
-    field("peer", Kind::Addr, None, "Address for other entries (UDP)."),
-    field("platform", Kind::Group(&PLATFORM), None, "The platform's services."),
+const SETTINGS_FIELDS: [SettingField; 16] = [
+    field("name", ValueKind::Name, None, "This entry's name, once in the cell."),
+    field("domain", ValueKind::Name, None, "This entry's failure domain."),
+    field("http", ValueKind::Addr, None, "Address for callers and operators (TCP)."),
+    field("peer", ValueKind::Addr, None, "Address for other entries (UDP)."),
+    field("platform", ValueKind::Group(&PLATFORM_FIELDS), None, "The platform's services."),
     field(
         "keys",
-        Kind::Group(&KEYS),
+        ValueKind::Group(&KEY_FIELDS),
         None,
         "Keys between entries; `sprucerudder keys` makes them.",
     ),
-    field("peers", Kind::List(&PEERS), Some("[]"), "Other entries; the VM list may name more."),
-    field("tokens", Kind::List(&TOKENS), Some("[]"), "Who may call, and with what rights."),
-    field("log_level", Kind::Level, Some("\"info\""), "error, warn, info, debug or trace."),
-    field("body_max", Kind::Count(1, 16_777_216), Some("1048576"), "Largest body taken, bytes."),
-    field("beat_every", Kind::Millis(50, 1_000), Some("500"), "Heartbeats between entries, ms."),
-    field("list_every", Kind::Millis(100, 2_000), Some("1000"), "Reads of the VM list, ms."),
-    field("sync_every", Kind::Millis(100, 2_000), Some("1000"), "Contact with each worker, ms."),
+    field(
+        "peers",
+        ValueKind::List(&PEER_FIELDS),
+        Some("[]"),
+        "Other entries; the VM list may name more.",
+    ),
+    field(
+        "tokens",
+        ValueKind::List(&TOKEN_FIELDS),
+        Some("[]"),
+        "Who may call, and with what rights.",
+    ),
+    field("log_level", ValueKind::Level, Some("\"info\""), "error, warn, info, debug or trace."),
+    field(
+        "body_max",
+        ValueKind::Count(1, 16_777_216),
+        Some("1048576"),
+        "Largest body taken, bytes.",
+    ),
+    field(
+        "beat_every",
+        ValueKind::Millis(50, 1_000),
+        Some("500"),
+        "Heartbeats between entries, ms.",
+    ),
+    field("list_every", ValueKind::Millis(100, 2_000), Some("1000"), "Reads of the VM list, ms."),
+    field(
+        "sync_every",
+        ValueKind::Millis(100, 2_000),
+        Some("1000"),
+        "Contact with each worker, ms.",
+    ),
     field(
         "log_refresh",
-        Kind::Millis(1_000, MAX_INTERVAL_MS),
+        ValueKind::Millis(1_000, MAX_INTERVAL_MS),
         Some("120000"),
         "What must live is appended again, ms; under half the log's retention.",
     ),
     field(
         "stop_grace",
-        Kind::Millis(0, MAX_INTERVAL_MS),
+        ValueKind::Millis(0, MAX_INTERVAL_MS),
         Some("3000"),
         "A stopping entry still takes callers for this long, ms.",
     ),
     field(
         "wire_version",
-        Kind::Count(OLDEST as u64, NEWEST as u64),
+        ValueKind::Count(OLDEST as u64, NEWEST as u64),
         Some("2"),
         "Newest version of messages between entries; two entries use the newest both know.",
     ),
@@ -233,7 +258,7 @@
         self.faults.push(Fault { line, path: path.to_string(), expected: expected.to_string() });
     }
 
-    fn check_object(&mut self, object: &Object<'_>, fields: &[Field], path: &str) {
+    fn check_object(&mut self, object: &Object<'_>, fields: &[SettingField], path: &str) {
         let inner =
             |name: &str| if path.is_empty() { name.into() } else { format!("{path}.{name}") };
         let mut seen = Vec::new();
@@ -256,10 +281,12 @@
         }
     }
 
-    fn check_value(&mut self, value: &Value<'_>, field: &Field, path: &str) {
+    fn check_value(&mut self, value: &Value<'_>, field: &SettingField, path: &str) {
         match (field.kind, value) {
-            (Kind::Group(fields), Value::Object(object)) => self.check_object(object, fields, path),
-            (Kind::List(fields), Value::Array(array)) => {
+            (ValueKind::Group(fields), Value::Object(object)) => {
+                self.check_object(object, fields, path)
+            }
+            (ValueKind::List(fields), Value::Array(array)) => {
                 for (index, element) in array.elements.iter().enumerate() {
                     let path = format!("{path}[{index}]");
                     match element {
@@ -268,50 +295,56 @@
                     }
                 }
             }
-            (kind, Value::StringLit(text)) if text_fits(kind, &text.value) => {}
-            (kind, Value::NumberLit(number)) if number_fits(kind, number.value) => {}
+            (kind, Value::StringLit(text)) if is_valid_text(kind, &text.value) => {}
+            (kind, Value::NumberLit(number)) if is_valid_number(kind, number.value) => {}
             (kind, other) => self.add_fault(other.range().start, path, &expected(kind)),
         }
     }
 }
 
-fn field_names(fields: &[Field]) -> String {
+fn field_names(fields: &[SettingField]) -> String {
     let names: Vec<&str> = fields.iter().map(|field| field.name).collect();
     names.join(", ")
 }
 
-fn text_fits(kind: Kind, text: &str) -> bool {
+fn is_valid_text(kind: ValueKind, text: &str) -> bool {
     match kind {
-        Kind::Name => is_name(text),
-        Kind::Addr => text.parse::<SocketAddr>().is_ok(),
-        Kind::Level => text.parse::<log::LevelFilter>().is_ok(),
-        Kind::Pem => text.starts_with("-----BEGIN "),
-        Kind::Token => text.len() >= 16 && text.chars().all(|c| c.is_ascii_graphic()),
-        Kind::Right => text == "operator" || text.strip_prefix("team:").is_some_and(is_name),
-        Kind::Millis(..) | Kind::Count(..) | Kind::Group(_) | Kind::List(_) => false,
+        ValueKind::Name => is_name(text),
+        ValueKind::Addr => text.parse::<SocketAddr>().is_ok(),
+        ValueKind::Level => text.parse::<log::LevelFilter>().is_ok(),
+        ValueKind::Pem => text.starts_with("-----BEGIN "),
+        ValueKind::Token => text.len() >= 16 && text.chars().all(|c| c.is_ascii_graphic()),
+        ValueKind::Right => text == "operator" || text.strip_prefix("team:").is_some_and(is_name),
+        ValueKind::Millis(..) | ValueKind::Count(..) | ValueKind::Group(_) | ValueKind::List(_) => {
+            false
+        }
     }
 }
 
-fn number_fits(kind: Kind, text: &str) -> bool {
+fn is_valid_number(kind: ValueKind, text: &str) -> bool {
     let number = text.parse::<u64>();
     match (kind, number) {
-        (Kind::Millis(min, max) | Kind::Count(min, max), Ok(n)) => (min..=max).contains(&n),
+        (ValueKind::Millis(min, max) | ValueKind::Count(min, max), Ok(n)) => {
+            (min..=max).contains(&n)
+        }
         _ => false,
     }
 }
 
-fn expected(kind: Kind) -> String {
+fn expected(kind: ValueKind) -> String {
     match kind {
-        Kind::Name => "a text of letters, digits, '-' and '_'".into(),
-        Kind::Addr => "a text IP:PORT".into(),
-        Kind::Millis(min, max) => format!("a whole number of milliseconds from {min} to {max}"),
-        Kind::Count(min, max) => format!("a whole number from {min} to {max}"),
-        Kind::Level => "error, warn, info, debug or trace".into(),
-        Kind::Pem => "PEM text".into(),
-        Kind::Token => "a text of 16 or more printable characters without blanks".into(),
-        Kind::Right => "\"operator\" or \"team:NAME\"".into(),
-        Kind::Group(fields) => format!("an object with {}", field_names(fields)),
-        Kind::List(fields) => format!("a list of objects with {}", field_names(fields)),
+        ValueKind::Name => "a text of letters, digits, '-' and '_'".into(),
+        ValueKind::Addr => "a text IP:PORT".into(),
+        ValueKind::Millis(min, max) => {
+            format!("a whole number of milliseconds from {min} to {max}")
+        }
+        ValueKind::Count(min, max) => format!("a whole number from {min} to {max}"),
+        ValueKind::Level => "error, warn, info, debug or trace".into(),
+        ValueKind::Pem => "PEM text".into(),
+        ValueKind::Token => "a text of 16 or more printable characters without blanks".into(),
+        ValueKind::Right => "\"operator\" or \"team:NAME\"".into(),
+        ValueKind::Group(fields) => format!("an object with {}", field_names(fields)),
+        ValueKind::List(fields) => format!("a list of objects with {}", field_names(fields)),
     }
 }
 
@@ -329,7 +362,7 @@
         };
         let Some(Value::Object(object)) = ast else { return Err(file_fault("an object".into())) };
         let mut checker = Checker { text, faults: Vec::new() };
-        checker.check_object(&object, &FIELDS, "");
+        checker.check_object(&object, &SETTINGS_FIELDS, "");
         if !checker.faults.is_empty() {
             return Err(checker.faults);
         }
@@ -337,12 +370,12 @@
         add_defaults(&mut value);
         let settings: Self =
             serde_json::from_value(value).map_err(|err| file_fault(err.to_string()))?;
-        let faults = settings.conflicts();
+        let faults = settings.find_conflicts();
         if faults.is_empty() { Ok(settings) } else { Err(faults) }
     }
 
     /// Combinations that cannot work.
-    fn conflicts(&self) -> Vec<Fault> {
+    fn find_conflicts(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut add = |path: &str, expected: &str| {
             faults.push(Fault { line: 1, path: path.into(), expected: expected.into() });
@@ -366,53 +399,53 @@
     }
 
     /// A settings file with every setting, its default and what it means.
-    pub fn explain() -> String {
+    pub fn template() -> String {
         let mut text = String::from("// Settings of an entry. Required ones have no default.\n{\n");
-        explain_fields(&mut text, &FIELDS, "  ");
+        write_fields(&mut text, &SETTINGS_FIELDS, "  ");
         text.push_str("}\n");
         text
     }
 }
 
-fn explain_fields(text: &mut String, fields: &[Field], indent: &str) {
+fn write_fields(text: &mut String, fields: &[SettingField], indent: &str) {
     for field in fields {
         text.push_str(&format!("{indent}// {}\n", field.help));
         match (field.kind, field.default) {
-            (Kind::Group(inner), _) => {
+            (ValueKind::Group(inner), _) => {
                 text.push_str(&format!("{indent}\"{}\": {{\n", field.name));
-                explain_fields(text, inner, &format!("{indent}  "));
+                write_fields(text, inner, &format!("{indent}  "));
                 text.push_str(&format!("{indent}}},\n"));
             }
-            (Kind::List(inner), _) => {
+            (ValueKind::List(inner), _) => {
                 text.push_str(&format!("{indent}\"{}\": [{{\n", field.name));
-                explain_fields(text, inner, &format!("{indent}  "));
+                write_fields(text, inner, &format!("{indent}  "));
                 text.push_str(&format!("{indent}}}],\n"));
             }
             (_, Some(default)) => {
                 text.push_str(&format!("{indent}\"{}\": {default},\n", field.name));
             }
             (kind, None) => {
-                let sample = example(kind);
+                let sample = example_value(kind);
                 text.push_str(&format!("{indent}\"{}\": {sample}, // required\n", field.name));
             }
         }
     }
 }
 
-fn example(kind: Kind) -> &'static str {
+fn example_value(kind: ValueKind) -> &'static str {
     match kind {
-        Kind::Name => "\"nasr-1\"",
-        Kind::Addr => "\"127.0.0.1:7000\"",
-        Kind::Pem => "\"-----BEGIN ...\"",
-        Kind::Token => "\"0123456789abcdef\"",
-        Kind::Right => "\"operator\"",
+        ValueKind::Name => "\"nasr-1\"",
+        ValueKind::Addr => "\"127.0.0.1:7000\"",
+        ValueKind::Pem => "\"-----BEGIN ...\"",
+        ValueKind::Token => "\"0123456789abcdef\"",
+        ValueKind::Right => "\"operator\"",
         _ => "null",
     }
 }
 
 fn add_defaults(value: &mut serde_json::Value) {
     let Some(map) = value.as_object_mut() else { return };
-    for field in &FIELDS {
+    for field in &SETTINGS_FIELDS {
         let default = field.default.and_then(|text| serde_json::from_str(text).ok());
         if let Some(default) = default {
             map.entry(field.name).or_insert(default);
--- a/src/table.rs
+++ b/src/table.rs
@@ -130,32 +130,32 @@
 }
 
 /// One line under its headings, with the faults found so far.
-struct Line<'a> {
-    no: u64,
+struct TableLine<'a> {
+    number: u64,
     headings: &'a [String],
     cells: csv::StringRecord,
     faults: Vec<Fault>,
 }
 
-impl Line<'_> {
-    fn text(&self, column: &str) -> &str {
+impl TableLine<'_> {
+    fn cell(&self, column: &str) -> &str {
         let at = self.headings.iter().position(|head| head == column);
         at.and_then(|i| self.cells.get(i)).unwrap_or("").trim()
     }
 
     fn add_fault(&mut self, column: &str, expected: &str) {
         let fault = Fault {
-            line: self.no,
-            row: self.text("kind").to_string(),
+            line: self.number,
+            row: self.cell("kind").to_string(),
             column: column.to_string(),
-            value: self.text(column).to_string(),
+            value: self.cell(column).to_string(),
             expected: expected.to_string(),
         };
         self.faults.push(fault);
     }
 
-    fn read<T>(&mut self, column: &str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
-        let got = parse(self.text(column));
+    fn parse_cell<T>(&mut self, column: &str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
+        let got = parse(self.cell(column));
         if got.is_none() {
             self.add_fault(column, expected_value(column));
         }
@@ -163,7 +163,7 @@
     }
 
     fn number(&mut self, column: &str, min: u64, max: u64) -> Option<u64> {
-        self.read(column, |s| s.parse().ok().filter(|n| (min..=max).contains(n)))
+        self.parse_cell(column, |s| s.parse().ok().filter(|n| (min..=max).contains(n)))
     }
 
     fn number_u32(&mut self, column: &str, min: u32, max: u32) -> Option<u32> {
@@ -171,13 +171,13 @@
     }
 
     fn name(&mut self, column: &str) -> Option<Name> {
-        self.read(column, |s| is_name(s).then(|| s.into()))
+        self.parse_cell(column, |s| is_name(s).then(|| s.into()))
     }
 
     fn domain_weights(&mut self) -> BTreeMap<Name, u32> {
         let mut weights = BTreeMap::new();
         for head in self.headings.iter().filter(|head| head.starts_with(DOMAIN_PREFIX)) {
-            let weight = match self.text(head) {
+            let weight = match self.cell(head) {
                 "" => Some(0),
                 s => s.parse().ok().filter(|n| *n <= MAX_WEIGHT),
             };
@@ -193,12 +193,12 @@
     fn row(&mut self) -> Option<Row> {
         let kind = self.name("kind");
         let team = self.name("team");
-        let class = self.read("class", parse_class);
+        let class = self.parse_cell("class", parse_class);
         let weight = self.number_u32("weight", 0, MAX_WEIGHT);
         let limit = self.number_u32("limit", 1, 1_000_000);
         let queue = self.number_u32("queue", 0, 1_000_000);
         let deadline = self.number("deadline", 1, MAX_DEADLINE_MS);
-        let repeat = self.read("repeat", parse_yes_no);
+        let repeat = self.parse_cell("repeat", parse_yes_no);
         let retries = self.number_u32("retries", 0, MAX_RETRIES);
         let pack = self.number_u32("pack", 0, MAX_WEIGHT);
         let spread = self.number_u32("spread", 0, MAX_WEIGHT);
@@ -282,7 +282,7 @@
     /// # Errors
     /// Every fault of the file, in the order of its lines.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
-        let mut table = Self::read(text)?;
+        let mut table = Self::parse_rows(text)?;
         for row in table.rows.values().filter(|row| row.quota > 0) {
             let quota = table.quotas.entry(row.team.clone()).or_insert(0);
             *quota = (*quota).max(row.quota as u64);
@@ -295,12 +295,12 @@
         self.quotas.get(team).copied().unwrap_or(0)
     }
 
-    fn read(text: &str) -> Result<Self, Vec<Fault>> {
+    fn parse_rows(text: &str) -> Result<Self, Vec<Fault>> {
         if text.len() > MAX_TABLE_BYTES {
             let expected = format!("a file of at most {MAX_TABLE_BYTES} bytes");
             return Err(vec![file_fault(0, "", &text.len().to_string(), &expected)]);
         }
-        let text = text.strip_prefix('\u{feff}').unwrap_or(text);
+        let text = text.strip_prefix('\u{feff}').unwrap_or(cell);
         let mut reader = csv::ReaderBuilder::new().flexible(true).from_reader(text.as_bytes());
         let headings: Vec<String> = match reader.headers() {
             Ok(record) => record.iter().map(|s| s.trim().to_string()).collect(),
@@ -325,16 +325,16 @@
     }
 
     fn add_line(&mut self, headings: &[String], cells: csv::StringRecord) -> Vec<Fault> {
-        let no = cells.position().map_or(0, |at| at.line());
-        let mut line = Line { no, headings, cells, faults: Vec::new() };
+        let number = cells.position().map_or(0, |at| at.line());
+        let mut line = TableLine { number, headings, cells, faults: Vec::new() };
         if line.cells.len() > headings.len() {
             let extra = line.cells.get(headings.len()).unwrap_or("").to_string();
-            let mut fault = file_fault(no, "", &extra, "no more cells than headings");
-            fault.row = line.text("kind").to_string();
+            let mut fault = file_fault(number, "", &extra, "no more cells than headings");
+            fault.row = line.cell("kind").to_string();
             line.faults.push(fault);
         }
-        match line.text("kind").strip_prefix(VM_PREFIX) {
-            Some(vm) if is_name(vm) && line.text("weight") == "0" => {
+        match line.cell("kind").strip_prefix(VM_PREFIX) {
+            Some(vm) if is_name(vm) && line.cell("weight") == "0" => {
                 self.excluded_vms.insert(vm.into());
             }
             Some(_) => {
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -152,7 +152,7 @@
 #[test]
 fn the_explained_settings_file_is_what_the_code_has() {
     let file = include_str!("../docs/example/settings.jsonc");
-    assert_eq!(file, Settings::explain());
+    assert_eq!(file, Settings::template());
 }
 
 #[test]
