--- a/src/table.rs
+++ b/src/table.rs
@@ -300,7 +300,7 @@
             let expected = format!("a file of at most {MAX_TABLE_BYTES} bytes");
             return Err(vec![file_fault(0, "", &text.len().to_string(), &expected)]);
         }
-        let text = text.strip_prefix('\u{feff}').unwrap_or(cell);
+        let text = text.strip_prefix('\u{feff}').unwrap_or(text);
         let mut reader = csv::ReaderBuilder::new().flexible(true).from_reader(text.as_bytes());
         let headings: Vec<String> = match reader.headers() {
             Ok(record) => record.iter().map(|s| s.trim().to_string()).collect(),
