--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -20,7 +20,7 @@
 use crate::cell::workers::worker::{Run, Worker};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Life;
+use crate::order::Incarnation;
 use crate::workload::{JobKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -70,7 +70,7 @@
 
 /// Incarnations of workers whose crashes are not confirmed yet.
 #[derive(Debug, Default)]
-pub(in crate::cell) struct UnconfirmedCrashes(BTreeMap<Life, PossibleCrash>);
+pub(in crate::cell) struct UnconfirmedCrashes(BTreeMap<Incarnation, PossibleCrash>);
 
 impl UnconfirmedCrashes {
     /// Adds the unconfirmed crashes among the crashes of a task.
@@ -84,7 +84,7 @@
     }
 
     /// The incarnations that `wanted` selects.
-    fn find(&self, wanted: impl Fn(&Life, &PossibleCrash) -> bool) -> Vec<Life> {
+    fn find(&self, wanted: impl Fn(&Incarnation, &PossibleCrash) -> bool) -> Vec<Incarnation> {
         let found = self.0.iter().filter(|(incarnation, candidate)| wanted(incarnation, candidate));
         found.map(|(incarnation, _)| incarnation.clone()).collect()
     }
@@ -101,7 +101,7 @@
     ) {
         let Some(worker) = self.workers.get(name) else { return };
         let sent: Vec<SentRun> = sent_runs(worker);
-        if worker.listed.leaving.is_some() || sent.is_empty() {
+        if worker.listed.leaves_in.is_some() || sent.is_empty() {
             return;
         }
         let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
@@ -137,7 +137,7 @@
             return;
         };
         let Some(run) = sent_runs(worker).into_iter().find(|run| run.task == task) else { return };
-        if worker.listed.leaving.is_some() {
+        if worker.listed.leaves_in.is_some() {
             return;
         }
         let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
@@ -182,9 +182,9 @@
 
     /// Confirms the possible crashes of other incarnations at an address, because `incarnation` is
     /// at it now.
-    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, incarnation: &Life, addr: &Name) {
-        let is_before = |other: &Life, candidate: &PossibleCrash| {
-            candidate.addr == *addr && other.differs(incarnation)
+    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, incarnation: &Incarnation, addr: &Name) {
+        let is_before = |other: &Incarnation, candidate: &PossibleCrash| {
+            candidate.addr == *addr && other.differs_from(incarnation)
         };
         for ended in self.unconfirmed_crashes.find(is_before) {
             self.resolve_crash(&ended, CrashResolution::Ended);
@@ -211,7 +211,7 @@
         let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
         // Includes records by the id alone, which were written before the worker told when it
         // started.
-        for same in self.unconfirmed_crashes.find(|other, _| !other.differs(&incarnation)) {
+        for same in self.unconfirmed_crashes.find(|other, _| !other.differs_from(&incarnation)) {
             self.resolve_crash(&same, CrashResolution::Alive);
         }
         self.confirm_earlier_crashes(&incarnation, &addr);
@@ -222,7 +222,7 @@
     /// for others.
     pub(in crate::cell) fn resolve_crash(
         &mut self,
-        incarnation: &Life,
+        incarnation: &Incarnation,
         resolution: CrashResolution,
     ) {
         let Some(PossibleCrash { tasks, .. }) = self.unconfirmed_crashes.0.remove(incarnation)
@@ -351,7 +351,7 @@
 
 /// Whether a task runs until its job is cancelled.
 fn is_long_running(job: &Job, task: TaskKey) -> bool {
-    job.spec(task.step.step).is_some_and(|spec| spec.lasting)
+    job.spec(task.step.step).is_some_and(|spec| spec.long_running)
 }
 
 /// The first task of a job whose crashes have reached the limit, and how many they are.
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -7,7 +7,7 @@
 };
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{JobKey, Queue, Step, StepKey, TaskKey, Work};
+use crate::workload::{JobDefinition, JobKey, Queue, Step, StepKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -155,7 +155,7 @@
     /// Its queue.
     pub queue: Arc<Queue>,
     /// What the caller submitted.
-    pub work: Arc<Work>,
+    pub work: Arc<JobDefinition>,
     /// The workspace of its caller; `None` if any caller may ask for it.
     pub workspace: Option<Name>,
     /// Its workspace had used up its share of submissions when the job was submitted.
@@ -185,14 +185,14 @@
 
 impl Job {
     /// Creates a job of which no task has run.
-    pub fn new(queue: Arc<Queue>, work: Arc<Work>, now: Millis, batch: u64) -> Self {
+    pub fn new(queue: Arc<Queue>, work: Arc<JobDefinition>, now: Millis, batch: u64) -> Self {
         let new_step = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             unfinished: step.count,
             waiting: (0..step.count).collect(),
             ..StepState::default()
         };
-        let steps = (0..work.times).flat_map(|_| work.steps.iter().map(new_step)).collect();
+        let steps = (0..work.repetitions).flat_map(|_| work.steps.iter().map(new_step)).collect();
         Self {
             queue,
             work,
@@ -213,12 +213,12 @@
 
     /// Creates a job that ended under an earlier owner. Only how it ended is known.
     pub fn ended(queue: Arc<Queue>, outcome: JobOutcome, now: Millis) -> Self {
-        let work = Work {
-            spec: "".into(),
+        let work = JobDefinition {
+            payload: "".into(),
             steps: Vec::new(),
-            times: 0,
-            first: Millis(0),
-            every: Millis(0),
+            repetitions: 0,
+            first_due: Millis(0),
+            interval: Millis(0),
         };
         let job = Self::new(queue, Arc::new(work), now, 0);
         Self {
@@ -242,12 +242,12 @@
 
     /// Returns the state of a step.
     pub fn step(&self, key: StepKey) -> Option<&StepState> {
-        self.steps.get(self.step_position(key.time, key.step))
+        self.steps.get(self.step_position(key.repetition, key.step))
     }
 
     /// Returns the mutable state of a step.
     pub fn step_mut(&mut self, key: StepKey) -> Option<&mut StepState> {
-        let at = self.step_position(key.time, key.step);
+        let at = self.step_position(key.repetition, key.step);
         self.steps.get_mut(at)
     }
 
@@ -271,9 +271,9 @@
     /// Whether all steps that a step depends on are done.
     pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(spec) = self.spec(key.step) else { return false };
-        spec.after.iter().all(|after| {
+        spec.dependencies.iter().all(|after| {
             self.steps
-                .get(self.step_position(key.time, *after))
+                .get(self.step_position(key.repetition, *after))
                 .is_some_and(|step| step.unfinished == 0)
         })
     }
@@ -281,7 +281,7 @@
     /// The steps of the same repetition that depend on a step.
     pub fn dependents(&self, key: StepKey) -> Vec<StepKey> {
         let steps = self.work.steps.iter().enumerate();
-        let dependents = steps.filter(|(_, spec)| spec.after.contains(&key.step));
+        let dependents = steps.filter(|(_, spec)| spec.dependencies.contains(&key.step));
         dependents.map(|(index, _)| StepKey { step: index as u16, ..key }).collect()
     }
 
@@ -289,7 +289,7 @@
     /// because they may have waited for long under an earlier owner.
     pub fn mark_idle_at_takeover(&mut self) {
         let steps = self.steps.iter_mut().zip(self.work.steps.iter().cycle());
-        for (step, _) in steps.filter(|(_, spec)| spec.lasting) {
+        for (step, _) in steps.filter(|(_, spec)| spec.long_running) {
             step.mark_idle(Millis(0));
         }
     }
@@ -302,8 +302,10 @@
     /// The keys of every step in every repetition.
     pub fn step_keys(&self, job: JobKey) -> Vec<StepKey> {
         let steps = self.work.steps.len() as u16;
-        let times = 0..self.work.times;
-        times.flat_map(|time| (0..steps).map(move |step| StepKey { job, time, step })).collect()
+        let times = 0..self.work.repetitions;
+        times
+            .flat_map(|repetition| (0..steps).map(move |step| StepKey { job, repetition, step }))
+            .collect()
     }
 
     /// The runs that are assigned to workers, with the workers.
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -8,8 +8,8 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Listed;
-use crate::workload::{JobKey, Queue, Room, StepKey, TaskKey};
+use crate::order::WorkerInfo;
+use crate::workload::{JobKey, Queue, Resources, StepKey, TaskKey};
 use std::sync::Arc;
 
 /// The interval between calls of [`Cell::tick`], which sends unanswered stops again and expires
@@ -55,8 +55,8 @@
                         job.restore_crashes(crashes);
                         self.recount_jobs.insert(key);
                         for record in crashes {
-                            let (time, step) = record.step_index;
-                            let step = StepKey { job: key, time, step };
+                            let (repetition, step) = record.step_index;
+                            let step = StepKey { job: key, repetition, step };
                             let task = TaskKey { step, index: record.index };
                             self.unconfirmed_crashes.add(now, task, &record.crashes);
                         }
@@ -85,7 +85,7 @@
         let owner = job.workspace.clone();
         for record in &progress.steps {
             let step_key =
-                StepKey { job: key, time: record.step_index.0, step: record.step_index.1 };
+                StepKey { job: key, repetition: record.step_index.0, step: record.step_index.1 };
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
             for task in &record.tasks {
@@ -97,7 +97,7 @@
                 step.place(task.index, name.clone(), *number);
                 // The run is considered over unless the first report of the worker names it.
                 let mut run = Run::new(*number, &spec, Phase::Running(Millis(0)));
-                run.usage_guard = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
+                run.usage_guard = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
                 // The earlier owner may have sent the start.
                 (run.is_sent, run.known_since) = (true, now);
                 worker.add_run(TaskKey { step: step_key, index: task.index }, run);
@@ -112,7 +112,7 @@
                 name: name.clone(),
                 service: "".into(),
                 priority: 0,
-                attempts: 1,
+                max_attempts: 1,
                 stretch: 1_000,
                 target: Millis(0),
                 advice: None,
@@ -126,11 +126,11 @@
     /// the store.
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
-        let is_scheduled = job.work.first.0 > 0;
+        let is_scheduled = job.work.first_due.0 > 0;
         let keys = job.step_keys(key);
         let unblocked: Vec<StepKey> =
             keys.into_iter().filter(|step| job.dependencies_done(*step)).collect();
-        let due: Vec<Millis> = unblocked.iter().map(|step| job.work.due(step.time)).collect();
+        let due: Vec<Millis> = unblocked.iter().map(|step| job.work.due_at(step.repetition)).collect();
         for (step, due) in unblocked.into_iter().zip(due) {
             match is_scheduled {
                 true => drop(self.start_timers.insert((due, step))),
@@ -175,7 +175,7 @@
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
-        let gang = job.spec(task.step.step).is_some_and(|spec| spec.gang);
+        let gang = job.spec(task.step.step).is_some_and(|spec| spec.is_gang);
         let Some(step) = job.step_mut(task.step) else { return };
         let is_new = match gang {
             true => (0..step.tasks.len() as u32).filter(|index| step.finish(*index)).count() > 0,
@@ -293,7 +293,7 @@
     pub(in crate::cell) fn stop_incomplete_gang(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
-        if !spec.gang || step.waiting.is_empty() || step.unfinished == 0 {
+        if !spec.is_gang || step.waiting.is_empty() || step.unfinished == 0 {
             return;
         }
         let placed: Vec<(Name, TaskKey, u64)> = step
@@ -406,15 +406,15 @@
 
 /// A list entry for a worker that is only known from the store, without resources until it is
 /// listed.
-fn placeholder_listing(record: WorkerRecord, born: Option<Millis>) -> Listed {
-    Listed {
+fn placeholder_listing(record: WorkerRecord, started_at: Option<Millis>) -> WorkerInfo {
+    WorkerInfo {
         id: record.id,
-        born,
+        started_at,
         service: record.service,
         addr: record.addr,
         domain: "".into(),
-        room: Room::default(),
+        capacity: Resources::default(),
         labels: Vec::new(),
-        leaving: None,
+        leaves_in: None,
     }
 }
--- a/src/cell/jobs/restart_policy.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -1,7 +1,7 @@
 //! How a task may be started again after workers that ran it crashed.
 
 use crate::id::Name;
-use crate::order::Life;
+use crate::order::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// Number of crashes from which on a task is quarantined. After a single crash it is most likely
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
     /// The incarnation that ended. It counts once for a task, however often its end is noticed.
-    pub worker: Life,
+    pub worker: Incarnation,
     /// The address at which it was reached.
     pub addr: Name,
     /// How strongly the crash implicates the task.
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -14,8 +14,8 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed, Start};
-use crate::workload::{JobKey, Queue, StepKey, TaskKey, Work};
+use crate::order::{Incarnation, StartOrder, WorkerInfo};
+use crate::workload::{JobDefinition, JobKey, Queue, StepKey, TaskKey};
 use advice::queue::{AdviceQueue, AdviceRequest};
 use jobs::job::Job;
 use jobs::wait::WaitLogTimer;
@@ -54,13 +54,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start a run with a lease until this time on the worker's clock.
-    Start { worker: Name, start: Start, until: u64 },
+    Start { worker: Name, start: StartOrder, until: u64 },
     /// Stop a run.
     Stop { worker: Name, task: TaskKey, run: u64 },
     /// Change the speed of a run, in percent of its full speed.
     Pace { worker: Name, task: TaskKey, run: u64, percent: u32 },
     /// Start polling this worker for reports.
-    Watch(Listed),
+    Watch(WorkerInfo),
     /// Stop polling this worker.
     Unwatch(Name),
     /// A job, with its workspace if any, was removed. If another cell forwarded it, that cell may
@@ -125,7 +125,7 @@
     /// Worker processes that may have crashed.
     unconfirmed_crashes: jobs::crash::UnconfirmedCrashes,
     /// Worker processes that have ended but may still be listed, with when the end was noticed.
-    ended_lives: BTreeMap<Life, Millis>,
+    ended_lives: BTreeMap<Incarnation, Millis>,
     /// Jobs whose counts of crashes have changed.
     recount_jobs: BTreeSet<JobKey>,
     /// Counts of worker crashes by their outcome, since the takeover.
@@ -154,7 +154,7 @@
     /// held back until the state of all workers is known.
     unrecorded_starts: Option<WaitLogTimer>,
     /// Starts that wait until the batch with their assignment is stored, in order, with the worker.
-    unsent_starts: VecDeque<(u64, Name, Start)>,
+    unsent_starts: VecDeque<(u64, Name, StartOrder)>,
     actions: Vec<Action>,
 }
 
@@ -220,14 +220,14 @@
     }
 
     /// The current process of a worker, if the worker is known.
-    pub fn worker_life(&self, worker: &Name) -> Option<Life> {
+    pub fn worker_life(&self, worker: &Name) -> Option<Incarnation> {
         self.workers.get(worker).map(Worker::life)
     }
 
     /// Whether a worker is known to have restarted since `life`. Returns false if either start time
     /// is unknown.
-    pub fn has_restarted(&self, life: &Life) -> bool {
-        self.worker_life(&life.id).is_some_and(|now| now.differs(life))
+    pub fn has_restarted(&self, life: &Incarnation) -> bool {
+        self.worker_life(&life.id).is_some_and(|now| now.differs_from(life))
     }
 
     /// The address at which a worker is called.
@@ -308,7 +308,7 @@
         now: Millis,
         key: JobKey,
         queue: &str,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
     ) -> Option<u64> {
         self.submit_for_workspace(now, key, queue, work, None)
     }
@@ -319,7 +319,7 @@
         now: Millis,
         key: JobKey,
         queue: &str,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
         workspace: Option<Name>,
     ) -> Option<u64> {
         if let Some(job) = self.jobs.get(&key) {
--- a/src/cell/owner/access.rs
+++ b/src/cell/owner/access.rs
@@ -32,7 +32,7 @@
     key: Option<&str>,
     policy_age: Millis,
 ) -> Access {
-    let workspace = key.and_then(|key| workspaces.of_key(key)).cloned();
+    let workspace = key.and_then(|key| workspaces.by_api_key(key)).cloned();
     match workspace {
         Some(workspace) => Access::Granted(Some(workspace)),
         None if allows_anonymous => Access::Granted(None),
--- a/src/cell/owner/forward.rs
+++ b/src/cell/owner/forward.rs
@@ -37,7 +37,7 @@
     /// The total CPU of the workers of a service, in millicores.
     pub fn service_cpu(&self, service: &str) -> u64 {
         let of_service = self.workers.values().filter(|worker| *worker.listed.service == *service);
-        of_service.map(|worker| worker.listed.room.cpu).sum()
+        of_service.map(|worker| worker.listed.capacity.cpu).sum()
     }
 
     /// The load on the workers of each service: the CPU in use, plus the CPU that waiting tasks
@@ -47,14 +47,14 @@
         for worker in self.workers.values().filter(|worker| worker.accepts_tasks(self.stored_batch))
         {
             let (used, total) = services.entry(&worker.listed.service).or_default();
-            *used += worker.used.cpu.min(worker.listed.room.cpu);
-            *total += worker.listed.room.cpu;
+            *used += worker.used.cpu.min(worker.listed.capacity.cpu);
+            *total += worker.listed.capacity.cpu;
         }
         for (_, _, key) in &self.ready_steps {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let (Some(spec), Some(step)) = (job.spec(key.step), job.step(*key)) else { continue };
             if let Some((used, _)) = services.get_mut(&job.queue.service) {
-                *used += spec.charge().cpu * step.waiting.len() as u64;
+                *used += spec.charged_resources().cpu * step.waiting.len() as u64;
             }
         }
         let load = |(service, (used, total)): (&Name, (u64, u64))| ServiceLoad {
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -11,7 +11,7 @@
 use crate::cell::workers::worker::Phase;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, Step, TaskKey};
+use crate::workload::{Resources, Step, TaskKey};
 
 /// How long a step waits, from when it became ready, before tasks are stopped for it. A stop takes up to 900 ms, and in
 /// most cases enough small tasks end by themselves before that.
@@ -25,7 +25,7 @@
 struct Victim {
     task: TaskKey,
     run: u64,
-    charge: Room,
+    charge: Resources,
 }
 
 /// The runs to stop on one worker so that a number of tasks can start there.
@@ -79,11 +79,12 @@
             missing -= trimmed.tasks;
             chosen.push(trimmed);
         }
-        if spec.gang && missing > 0 {
+        if spec.is_gang && missing > 0 {
             return;
         }
         for PreemptionPlan { worker, tasks, victims } in chosen {
-            let room = (0..tasks).fold(Room::default(), |sum, _| sum.plus(&spec.charge()));
+            let room =
+                (0..tasks).fold(Resources::default(), |sum, _| sum.plus(&spec.charged_resources()));
             self.reservations.reserve(&worker, key, step_rank, room, now + RESERVATION_TIME);
             for Victim { task, run, .. } in victims {
                 log::info!(
@@ -109,10 +110,10 @@
         {
             return;
         }
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let mut candidates = self.cleared_candidates(now, key, spec);
         candidates
-            .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.holds(&charge));
+            .retain(|candidate| candidate.is_below_limit(spec) && !candidate.free.can_fit(&charge));
         candidates
             .sort_by_key(|candidate| std::cmp::Reverse((candidate.free.gpu, candidate.free.cpu)));
         for candidate in candidates.into_iter().take(unplaced as usize) {
@@ -136,7 +137,7 @@
         let victims = self.victims(&candidate.name, priority);
         let mut after_stops = candidate.clone();
         victims.iter().for_each(|victim| after_stops.release(&victim.charge));
-        after_stops.has_room(spec, &spec.charge())
+        after_stops.has_room(spec, &spec.charged_resources())
     }
 
     /// Runs on a worker that can be stopped for a job with this priority, the least urgent first.
@@ -152,7 +153,7 @@
             .filter_map(|((task, run_number), run)| {
                 let job = self.jobs.get(&task.step.job)?;
                 let spec = job.spec(task.step.step)?;
-                let can_stop = job.priority() > priority && spec.can_stop();
+                let can_stop = job.priority() > priority && spec.is_preemptible();
                 let victim = Victim { task: *task, run: *run_number, charge: run.charge };
                 can_stop.then_some((queue_rank(job), victim))
             })
@@ -169,13 +170,13 @@
     max: u32,
     victims: Vec<Victim>,
 ) -> PreemptionPlan {
-    let charge = spec.charge();
+    let charge = spec.charged_resources();
     let mut candidate = candidate.clone();
     let (mut tasks, mut stopped, mut needed) = (0, 0, 0);
     while tasks < max {
         match victims.get(stopped) {
             _ if candidate.has_room(spec, &charge) => {
-                candidate.free = candidate.free.less(&charge);
+                candidate.free = candidate.free.saturating_sub(&charge);
                 candidate.step_runs += 1;
                 tasks += 1;
                 needed = stopped;
--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -8,7 +8,7 @@
 use crate::cell::jobs::job::Job;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, StepKey};
+use crate::workload::{Resources, StepKey};
 
 /// How long a step waits without any of its tasks being placed before its placement is relaxed, if half of the cores
 /// are free. By the platform's contract a task for which there is room waits for at most 3 s.
@@ -47,18 +47,18 @@
         let (used, total) = self.service_usage(&job.queue.service);
         match used.plus(&used) {
             doubled if doubled.cpu >= total.cpu => Relaxation::None,
-            doubled if total.holds(&doubled) => Relaxation::Full,
+            doubled if total.can_fit(&doubled) => Relaxation::Full,
             _ => Relaxation::Partial,
         }
     }
 
     /// The resources in use and the total resources of the workers of a service that currently report.
-    fn service_usage(&self, service: &Name) -> (Room, Room) {
+    fn service_usage(&self, service: &Name) -> (Resources, Resources) {
         let heard = self.workers.values().filter(|worker| worker.is_reachable);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
-        let zero = (Room::default(), Room::default());
+        let zero = (Resources::default(), Resources::default());
         of_service.fold(zero, |(used, total), worker| {
-            (used.plus(&worker.used), total.plus(&worker.listed.room))
+            (used.plus(&worker.used), total.plus(&worker.listed.capacity))
         })
     }
 }
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -14,7 +14,7 @@
 use crate::cell::{Action, Cell, RUN_NUMBER_BITS};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Start;
+use crate::order::StartOrder;
 use crate::workload::{JobKey, Step, StepKey, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -68,7 +68,7 @@
         };
         let waits_for_stable = self.retain_stable(key, &spec, &mut candidates);
         self.choose_home_domain(key, &candidates);
-        match spec.gang {
+        match spec.is_gang {
             true => self.place_gang(now, key, &spec, &candidates, waiting.len()),
             false => self.place_tasks(now, key, &spec, &mut candidates, &waiting),
         }
@@ -171,11 +171,11 @@
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
             let unavailable =
-                self.reservations.unavailable(name, key, step_rank, spec.can_stop(), relaxation);
-            let step_runs = if spec.apart == 0 { 0 } else { count_step_runs(worker, key) };
+                self.reservations.unavailable(name, key, step_rank, spec.is_preemptible(), relaxation);
+            let step_runs = if spec.worker_limit == 0 { 0 } else { count_step_runs(worker, key) };
             let is_reserved = self.reservations.has_gang_at(name, key);
             Candidate {
-                free: candidate.free.less(&unavailable),
+                free: candidate.free.saturating_sub(&unavailable),
                 step_runs,
                 is_reserved,
                 ..candidate
@@ -210,7 +210,7 @@
         candidates: &mut [Candidate],
         waiting: &[u32],
     ) {
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         for index in waiting {
             let task = TaskKey { step: key, index: *index };
             let Some(job) = self.jobs.get(&key.job) else { return };
@@ -219,7 +219,7 @@
             if is_paused(&state.crashes) {
                 continue;
             }
-            let home = job.home_domain.as_ref().filter(|_| !spec.lasting);
+            let home = job.home_domain.as_ref().filter(|_| !spec.long_running);
             let needs_stable = needs_stable_worker(&state.crashes);
             let candidate = match pick_worker(candidates, spec, home, state) {
                 Some(candidate) => candidate,
@@ -227,7 +227,7 @@
                 None if needs_stable => continue,
                 None => return,
             };
-            candidate.free = candidate.free.less(&charge);
+            candidate.free = candidate.free.saturating_sub(&charge);
             candidate.step_runs += 1;
             candidate.total_runs += 1;
             let name = candidate.name.clone();
@@ -291,34 +291,34 @@
         now: Millis,
         task: TaskKey,
         name: &Name,
-        run_number: u64,
+        no: u64,
         spec: &Step,
-        saved: &str,
+        checkpoint: &str,
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut run = Run::new(run_number, spec, Phase::Starting);
         run.known_since = now;
-        run.usage_guard = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
-        let run_times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
+        run.usage_guard = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
+        let run_times = self.run_times.get(&job.queue.name).filter(|_| !spec.long_running);
         run.late_after = run_times.and_then(|times| times.late_after(spec.estimate));
         worker.add_run(task, run);
         let age = now.since(job.known_since);
         job.was_placed = true;
-        let spec_text = job.work.spec.clone();
+        let spec_text = job.work.payload.clone();
         let Some(step) = job.step_mut(task.step) else { return };
         step.place(task.index, name.clone(), run_number);
         step.idle_since = None;
         let ticket = step.clearances.cleared.get(name).map(|ticket| ticket.text.clone());
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
         state.last_run = run_number;
-        let saved = match saved {
-            "" if !spec.gang => state.checkpoint.clone(),
-            saved => saved.into(),
+        let checkpoint = match checkpoint {
+            "" if !spec.is_gang => state.checkpoint.clone(),
+            checkpoint => checkpoint.into(),
         };
         log::info!("event=start task={task} run={run_number} worker={name} age_ms={age}");
         let ticket = ticket.unwrap_or_else(|| "".into());
-        let start = Start { task, run: run_number, spec: spec_text, saved, ticket };
+        let start = StartOrder { task, run: run_number, payload: spec_text, checkpoint, ticket };
         self.dirty_jobs.insert(task.step.job);
         if self.is_quarantined(task) {
             self.quarantine_worker(name, task);
@@ -335,7 +335,7 @@
     fn send_starts_if(&mut self, now: Millis, may_send: impl Fn(&Self, u64, TaskKey) -> bool) {
         let lease = self.config.lease;
         let unsent = std::mem::take(&mut self.unsent_starts);
-        let is_ready = |(batch, _, start): &(u64, Name, Start)| {
+        let is_ready = |(batch, _, start): &(u64, Name, StartOrder)| {
             self.is_accepted(start.task.step.job) && may_send(self, *batch, start.task)
         };
         let (ready, remaining): (VecDeque<_>, VecDeque<_>) = unsent.into_iter().partition(is_ready);
@@ -346,7 +346,7 @@
             if run.is_none_or(|run| run.phase != Phase::Starting) {
                 continue;
             }
-            if worker.is_other_incarnation(worker.listed.born) {
+            if worker.is_other_incarnation(worker.listed.started_at) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -3,7 +3,7 @@
 use crate::cell::jobs::restart_policy::Crash;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{JobKey, Queue, Work};
+use crate::workload::{JobDefinition, JobKey, Queue};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
         /// The job's queue at that time, as a queue may be removed while its jobs are open.
         queue: Queue,
         /// The submitted work.
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
     },
     /// The job ended.
     Closed {
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -10,7 +10,7 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Listed, Report};
+use crate::order::{WorkerInfo, WorkerReport};
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
@@ -34,7 +34,7 @@
         now: Millis,
         sent: Millis,
         name: &Name,
-        report: &Report,
+        report: &WorkerReport,
     ) {
         let reported = reported_runs(report);
         let classify = |(key, run): (&(TaskKey, u64), &Run)| {
@@ -57,7 +57,7 @@
         let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
         let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut previous = worker.restart(now, report.born, batch, lease_end);
+        let mut previous = worker.restart(now, report.started_at, batch, lease_end);
         log::info!(
             "event=worker-restarted worker={name} life={} was={ended} runs={} kept={}",
             worker.life(),
@@ -114,9 +114,10 @@
     /// Handles a list entry with another incarnation of a worker than the one that last reported.
     /// It is a later one, because incarnations that ended are known. The worker is asked for a
     /// report at once, and gets no new tasks until it reports.
-    pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &Listed) {
+    pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &WorkerInfo) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
-        let is_new = worker.is_other_incarnation(listed.born) && worker.listed.born != listed.born;
+        let is_new =
+            worker.is_other_incarnation(listed.started_at) && worker.listed.started_at != listed.started_at;
         if is_new {
             worker.mark_unanswered(now);
             self.actions.push(Action::PollNow(listed.id.clone()));
@@ -125,7 +126,7 @@
 }
 
 /// The runs that a report names as running or ended.
-fn reported_runs(report: &Report) -> BTreeSet<(TaskKey, u64)> {
+fn reported_runs(report: &WorkerReport) -> BTreeSet<(TaskKey, u64)> {
     let running = report.running.iter().map(|row| (row.task, row.run));
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -3,8 +3,8 @@
 use crate::cell::placing::usage::UsageGuard;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed, Report, differ};
-use crate::workload::{JobKey, Room, Step, TaskKey};
+use crate::order::{Incarnation, WorkerInfo, WorkerReport, start_times_differ};
+use crate::workload::{JobKey, Resources, Step, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The owner considers a lease expired after its length times this factor, in thousandths. A
@@ -50,7 +50,7 @@
     /// The run number, which rises with each start of the task.
     pub run: u64,
     /// The resources that it is charged.
-    pub charge: Room,
+    pub charge: Resources,
     /// Counts the run towards the usage of its workspace until it is dropped.
     pub usage_guard: Option<UsageGuard>,
     /// The phase of the run.
@@ -88,7 +88,7 @@
     pub fn new(run: u64, spec: &Step, phase: Phase) -> Self {
         Self {
             run,
-            charge: spec.charge(),
+            charge: spec.charged_resources(),
             usage_guard: None,
             phase,
             stop_pending: false,
@@ -97,9 +97,9 @@
             known_since: Millis(0),
             has_started: false,
             percent: 100,
-            is_filler: spec.filler,
-            tail_limit: spec.tail,
-            saves_progress: spec.saves,
+            is_filler: spec.best_effort,
+            tail_limit: spec.latency_bound,
+            saves_progress: spec.has_checkpoints,
             started_at: Millis(0),
             progressed_at: Millis(0),
             late_after: None,
@@ -129,7 +129,7 @@
 #[derive(Debug)]
 pub struct Worker {
     /// Its entry in the list of workers.
-    pub listed: Listed,
+    pub listed: WorkerInfo,
     /// When the current incarnation started: the one that reports, or on which an earlier owner
     /// left runs.
     born: Option<Millis>,
@@ -151,7 +151,7 @@
     /// ending.
     pub runs: BTreeMap<(TaskKey, u64), Run>,
     /// The resources charged for `runs`.
-    pub used: Room,
+    pub used: Resources,
     /// When the last order or report call was sent that was not answered, if no later one was.
     unanswered_at: Option<Millis>,
     /// Number of consecutive reports that are missing.
@@ -187,9 +187,9 @@
 
 impl Worker {
     /// Creates a worker that has not reported yet.
-    pub fn new(listed: Listed, roster_batch: u64, lease_end: Millis) -> Self {
+    pub fn new(listed: WorkerInfo, roster_batch: u64, lease_end: Millis) -> Self {
         Self {
-            born: listed.born,
+            born: listed.started_at,
             restarted_at: Millis(0),
             maybe_restarted: false,
             listed,
@@ -199,7 +199,7 @@
             has_reported: false,
             first_report: None,
             runs: BTreeMap::new(),
-            used: Room::default(),
+            used: Resources::default(),
             unanswered_at: None,
             missed_reports: 0,
             clock: None,
@@ -218,13 +218,13 @@
     }
 
     /// The incarnation that is known here.
-    pub fn life(&self) -> Life {
-        Life { id: self.listed.id.clone(), born: self.born }
+    pub fn life(&self) -> Incarnation {
+        Incarnation { id: self.listed.id.clone(), started_at: self.born }
     }
 
     /// Whether a process that started at `born` is another incarnation than the one known here.
     pub fn is_other_incarnation(&self, born: Option<Millis>) -> bool {
-        differ(self.born, born)
+        start_times_differ(self.born, born)
     }
 
     /// Resets the state to that of a new incarnation and returns the state of the previous one.
@@ -256,13 +256,13 @@
     }
 
     /// The free resources.
-    pub fn free(&self) -> Room {
-        self.listed.room.less(&self.used)
+    pub fn free(&self) -> Resources {
+        self.listed.capacity.saturating_sub(&self.used)
     }
 
     /// Whether the runs take more than the worker has, because its resources shrank.
     pub fn is_overcommitted(&self) -> bool {
-        !self.listed.room.holds(&self.used)
+        !self.listed.capacity.can_fit(&self.used)
     }
 
     /// The rack of the worker.
@@ -279,7 +279,7 @@
     /// Removes a run and frees its resources.
     pub fn remove_run(&mut self, task: TaskKey, run: u64) -> Option<Run> {
         let run = self.runs.remove(&(task, run))?;
-        self.used = self.used.less(&run.charge);
+        self.used = self.used.saturating_sub(&run.charge);
         Some(run)
     }
 
@@ -306,7 +306,7 @@
 
     /// The worker answered a report call that was sent at `sent`. Returns whether the report is the
     /// first to tell when the worker's process started.
-    pub fn record_report(&mut self, now: Millis, sent: Millis, report: &Report) -> bool {
+    pub fn record_report(&mut self, now: Millis, sent: Millis, report: &WorkerReport) -> bool {
         if self.unanswered_at.is_some_and(|unanswered| sent >= unanswered) {
             self.unanswered_at = None;
         }
@@ -315,8 +315,8 @@
         self.is_reachable = true;
         self.first_report.get_or_insert(now);
         self.missed_reports = 0;
-        let is_first_start_time = self.born.is_none() && report.born.is_some();
-        self.born = self.born.or(report.born);
+        let is_first_start_time = self.born.is_none() && report.started_at.is_some();
+        self.born = self.born.or(report.started_at);
         is_first_start_time
     }
 
@@ -436,7 +436,7 @@
         let is_known = self.is_listed
             && is_responsive
             && self.roster_batch <= stored_batch
-            && !self.is_other_incarnation(self.listed.born);
-        is_known && self.listed.leaving.is_none() && self.clock.is_some()
+            && !self.is_other_incarnation(self.listed.started_at);
+        is_known && self.listed.leaves_in.is_none() && self.clock.is_some()
     }
 }
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::CellStats;
 use crate::clock::Millis;
-use crate::order::Outcome;
+use crate::order::OrderOutcome;
 use crate::registry;
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
@@ -43,9 +43,9 @@
     pub fn new() -> prometheus::Result<Self> {
         let registry = registry::Metrics::default();
         let counts =
-            |name: &str, help: &str, labels: &[&str]| registry.counters(name, help, labels);
+            |name: &str, help: &str, labels: &[&str]| registry.counter_vec(name, help, labels);
         let gauge = |name: &str, help: &str| registry.gauge(name, help);
-        let times = |name: &str, help: &str| registry.times(name, help, &BUCKETS_SECONDS);
+        let times = |name: &str, help: &str| registry.histogram(name, help, &BUCKETS_SECONDS);
         Ok(Self {
             requests: counts("sprucerudder_calls_total", "Callers' calls", &["call", "status"])?,
             request_time: times("sprucerudder_call_seconds", "Time of callers' calls")?,
@@ -97,13 +97,13 @@
     }
 
     /// Counts an order to a worker, by its outcome.
-    pub fn observe_order(&self, is_start: bool, outcome: &Outcome, took: Millis) {
+    pub fn observe_order(&self, is_start: bool, outcome: &OrderOutcome, took: Millis) {
         let outcome = match outcome {
-            Outcome::Done(_) => "done",
-            Outcome::Refused(_) => "refused",
-            Outcome::Unsent => "unsent",
-            Outcome::Withheld => "withheld",
-            Outcome::Unknown => "unknown",
+            OrderOutcome::Done(_) => "done",
+            OrderOutcome::Refused(_) => "refused",
+            OrderOutcome::Unsent => "unsent",
+            OrderOutcome::Withheld => "withheld",
+            OrderOutcome::Unknown => "unknown",
         };
         let order = if is_start { "start" } else { "stop" };
         self.orders.with_label_values(&[order, outcome]).inc();
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -21,7 +21,7 @@
 use crate::node::msg::{EntryMessage, OwnerMessage, RefusalReason};
 use crate::node::view::CellView;
 use crate::node::{Node, lock};
-use crate::workload::{JobKey, Work};
+use crate::workload::{JobDefinition, JobKey};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -112,7 +112,7 @@
             authority: Mutex::new(authority),
             witnesses: Mutex::default(),
             lag: Mutex::new(TickLag::new(self.now())),
-            known_pauses: AtomicU64::new(node.clock.pauses()),
+            known_pauses: AtomicU64::new(node.clock.pause_count()),
             is_unconfirmed: AtomicBool::new(false),
             store_up: AtomicBool::new(true),
             report_wakes: Mutex::default(),
@@ -191,7 +191,7 @@
     /// outdated then, so it starts no task on a worker before the list of workers has been read
     /// again and that worker has reported.
     fn check_for_pause(&self, now: Millis) {
-        let pauses = self.node.clock.pauses();
+        let pauses = self.node.clock.pause_count();
         if self.known_pauses.swap(pauses, Ordering::Relaxed) != pauses {
             self.is_unconfirmed.store(true, Ordering::Relaxed);
             lock(&self.cell).resume_after_pause(now);
@@ -441,7 +441,7 @@
         self: &Arc<Self>,
         job: JobKey,
         queue: &str,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
         workspace: Option<Name>,
     ) -> OwnerMessage {
         let batch = {
