--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -49,7 +49,7 @@
 fn start(site: &Site) -> Entry {
     let path: PathBuf = std::env::temp_dir().join(format!("owner-{}.toml", std::process::id()));
     let program = env!("CARGO_BIN_EXE_sprucerudder");
-    Entry(Process::node(program, &path, &site.settings(0), &[], Stdio::null()).unwrap())
+    Entry(Process::start_node(program, &path, &site.settings(0), &[], Stdio::null()).unwrap())
 }
 
 async fn submit(http: &HttpClient, addr: &str, key: u64) -> StatusCode {
@@ -83,7 +83,7 @@
 async fn measure(workers: usize) {
     let site = Site::start(HOST, PORT + workers as u16 * 10, workers).await.unwrap();
     let entry = start(&site);
-    let (http, addr) = (HttpClient::default(), site.front(0));
+    let (http, addr) = (HttpClient::default(), site.front_addr(0));
     while submit(&http, &addr, 1).await != StatusCode::OK {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
--- a/src/standin/process.rs
+++ b/src/standin/process.rs
@@ -13,16 +13,16 @@
     ///
     /// # Errors
     /// The file cannot be written, or the program not started.
-    pub fn node(
+    pub fn start_node(
         program: &str,
         path: &Path,
         settings: &str,
-        more: &[&str],
+        extra_args: &[&str],
         log: Stdio,
     ) -> io::Result<Self> {
         std::fs::write(path, settings)?;
         let mut command = Command::new(program);
-        command.args(["node", "--settings"]).arg(path).args(more).stdout(log);
+        command.args(["node", "--settings"]).arg(path).args(extra_args).stdout(log);
         command.spawn().map(Self)
     }
 
--- a/src/standin/site/mod.rs
+++ b/src/standin/site/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use store::Store;
 use tokio::net::TcpListener;
-use worker::{Ledger, Worker};
+use worker::{RunLog, Worker};
 
 /// The largest body that is read, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
@@ -29,18 +29,18 @@
 pub(super) struct Call {
     pub path: String,
     pub query: HashMap<String, String>,
-    pub life: Option<String>,
+    pub instance: Option<String>,
     pub body: Bytes,
 }
 
 impl Call {
-    fn number(&self, name: &str) -> Option<u64> {
+    fn query_number(&self, name: &str) -> Option<u64> {
         let text = self.query.get(name)?;
         let parsed = text.parse();
         parsed.inspect_err(|err| log::warn!("event=bad-query {name}={text} error={err:?}")).ok()
     }
 
-    fn text(&self, name: &str) -> &str {
+    fn query_text(&self, name: &str) -> &str {
         self.query.get(name).map_or("", String::as_str)
     }
 
@@ -54,8 +54,8 @@
 }
 
 /// A number that a call may leave out: 0 then, by the platform's contract.
-pub(super) fn number(ask: &Value, name: &str) -> u64 {
-    match &ask[name] {
+pub(super) fn number_field(body: &Value, name: &str) -> u64 {
+    match &body[name] {
         Value::Null => 0,
         value => value.as_u64().unwrap_or_else(|| {
             log::warn!("event=bad-field {name}={value}");
@@ -65,8 +65,8 @@
 }
 
 /// A text that a call may leave out: empty then, by the platform's contract.
-pub(super) fn text<'a>(ask: &'a Value, name: &str) -> &'a str {
-    match &ask[name] {
+pub(super) fn text_field<'a>(body: &'a Value, name: &str) -> &'a str {
+    match &body[name] {
         Value::Null => "",
         value => value.as_str().unwrap_or_else(|| {
             log::warn!("event=bad-field {name}={value}");
@@ -78,26 +78,26 @@
 /// An answer; `None`: the connection stays silent.
 pub(super) type Reply = Option<(StatusCode, Bytes)>;
 
-pub(super) fn answer(status: StatusCode, body: &Value) -> Reply {
+pub(super) fn reply(status: StatusCode, body: &Value) -> Reply {
     Some((status, Bytes::from(body.to_string())))
 }
 
-async fn read(request: Request<Incoming>) -> Call {
-    const LIFE: &str = "X-Sprucerudder-Expected-Instance";
+async fn read_call(request: Request<Incoming>) -> Call {
+    const INSTANCE_HEADER: &str = "X-Sprucerudder-Expected-Instance";
     let path = request.uri().path().to_string();
     let pairs = request.uri().query().unwrap_or_default().split('&');
     let query = pairs.filter_map(|pair| pair.split_once('='));
     let query = query.map(|(name, value)| (name.to_string(), value.to_string())).collect();
     // One that is no text names no life of any worker, and is refused as such.
-    let life = request.headers().get(LIFE);
-    let life = life.map(|life| String::from_utf8_lossy(life.as_bytes()).into_owned());
+    let instance = request.headers().get(INSTANCE_HEADER);
+    let instance = instance.map(|value| String::from_utf8_lossy(value.as_bytes()).into_owned());
     let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_else(|err| {
         // The caller broke off or sent too much: without a body the call does nothing.
         log::warn!("event=body-unread path={path} error={err:?}");
         Bytes::new()
     });
-    Call { path, query, life, body }
+    Call { path, query, instance, body }
 }
 
 /// Answers calls on a listener until its task is dropped.
@@ -112,7 +112,7 @@
         let service = service_fn(move |request| {
             let state = state.clone();
             async move {
-                let reply = handle(state, read(request).await).await;
+                let reply = handle(state, read_call(request).await).await;
                 let Some((status, body)) = reply else { return std::future::pending().await };
                 let mut response = Response::new(Full::<Bytes>::from(body));
                 *response.status_mut() = status;
@@ -137,7 +137,7 @@
     /// The workers.
     pub workers: Vec<Arc<Worker>>,
     /// What they did.
-    pub ledger: Arc<Ledger>,
+    pub run_log: Arc<RunLog>,
     host: String,
     port: u16,
 }
@@ -146,9 +146,9 @@
 const SERVICE: &str = "desk";
 /// Entries have ten ports each from here on, counted from the site's first port: callers, the
 /// balancer, other entries, metrics.
-pub const ENTRY_PORTS: u16 = 2_000;
+pub const ENTRY_PORT_OFFSET: u16 = 2_000;
 /// Room of a worker, in thousandths of a core.
-pub const CPU: u64 = 8_000;
+pub const WORKER_CPU: u64 = 8_000;
 
 impl Site {
     /// Starts store, advice service and `workers` workers, spread over the failure domains `a`, `b`
@@ -158,13 +158,13 @@
     /// A port is in use.
     pub async fn start(host: &str, port: u16, workers: usize) -> io::Result<Self> {
         let store = Arc::new(Store::default());
-        store.put("keyed.op", "config", config().to_string().as_bytes());
+        store.put("keyed.op", "config", default_policy().to_string().as_bytes());
         let listener = TcpListener::bind((host, port)).await?;
         tokio::spawn(serve(listener, store.clone(), store::handle));
         let listener = TcpListener::bind((host, port + 1)).await?;
         tokio::spawn(serve(listener, Arc::new(()), advise));
         let host = host.to_string();
-        let mut site = Self { store, workers: Vec::new(), ledger: Arc::default(), host, port };
+        let mut site = Self { store, workers: Vec::new(), run_log: Arc::default(), host, port };
         for _ in 0..workers {
             site.add_worker().await?;
         }
@@ -172,14 +172,14 @@
     }
 
     /// Puts another version of the policy in force, with workspaces.
-    pub fn publish(&self, version: u64, workspaces: &[Workspace]) {
+    pub fn publish_policy(&self, version: u64, workspaces: &[Workspace]) {
         let row = |one: &Workspace| {
             json!({
                 "name": one.name, "api_keys": [one.key], "weight": 5,
                 "upper_bound": {"cpu": one.cpu, "mem_mb": 0, "gpu": 0}
             })
         };
-        let mut policy = config();
+        let mut policy = default_policy();
         policy["version"] = json!(version);
         policy["tenants"] = workspaces.iter().map(row).collect();
         self.store.put("keyed.op", "config", policy.to_string().as_bytes());
@@ -190,12 +190,12 @@
     /// # Errors
     /// Its port is in use.
     pub async fn add_worker(&mut self) -> io::Result<()> {
-        let addr = self.next_worker();
-        self.add_worker_listed(addr).await
+        let addr = self.next_worker_addr();
+        self.add_worker_at(addr).await
     }
 
     /// Where the next worker will listen.
-    pub fn next_worker(&self) -> String {
+    pub fn next_worker_addr(&self) -> String {
         format!("{}:{}", self.host, self.port + 2 + self.workers.len() as u16)
     }
 
@@ -203,14 +203,19 @@
     ///
     /// # Errors
     /// Its port is in use.
-    pub async fn add_worker_listed(&mut self, addr: String) -> io::Result<()> {
+    pub async fn add_worker_at(&mut self, addr: String) -> io::Result<()> {
         let no = self.workers.len() as u16;
-        let listener = TcpListener::bind(self.next_worker()).await?;
+        let listener = TcpListener::bind(self.next_worker_addr()).await?;
         let domain = ["a", "b", "c"][usize::from(no) % 3];
-        let worker =
-            Arc::new(Worker::new(format!("i-{no}"), addr, domain, CPU, self.ledger.clone()));
+        let worker = Arc::new(Worker::new(
+            format!("i-{no}"),
+            addr,
+            domain,
+            WORKER_CPU,
+            self.run_log.clone(),
+        ));
         tokio::spawn(serve(listener, worker.clone(), worker::handle));
-        tokio::spawn(worker.clone().list(self.store.clone(), SERVICE));
+        tokio::spawn(worker.clone().publish_entries(self.store.clone(), SERVICE));
         self.workers.push(worker);
         Ok(())
     }
@@ -251,21 +256,21 @@
     }
 
     fn entry_port(&self, no: u16) -> u16 {
-        self.port + ENTRY_PORTS + no * 10
+        self.port + ENTRY_PORT_OFFSET + no * 10
     }
 
     /// Where callers reach entry `no`.
-    pub fn front(&self, no: u16) -> String {
+    pub fn front_addr(&self, no: u16) -> String {
         format!("{}:{}", self.host, self.entry_port(no))
     }
 
     /// Where the balancer asks entry `no`.
-    pub fn ready(&self, no: u16) -> String {
+    pub fn ready_addr(&self, no: u16) -> String {
         format!("{}:{}", self.host, self.entry_port(no) + 1)
     }
 
     /// Where entry `no` tells its metrics.
-    pub fn metrics(&self, no: u16) -> String {
+    pub fn metrics_addr(&self, no: u16) -> String {
         format!("{}:{}", self.host, self.entry_port(no) + 3)
     }
 }
@@ -282,7 +287,7 @@
 }
 
 /// Three queues: one without and one with advice, and one that is open to callers without keys.
-fn config() -> Value {
+fn default_policy() -> Value {
     let route = |name: &str, prefix: &str, advice: Value| {
         json!({
             "name": name, "host": "desk.example", "path_prefix": prefix, "kind": "non_idempotent",
@@ -305,8 +310,8 @@
 async fn advise(_: Arc<()>, call: Call) -> Reply {
     const TIME: Millis = Millis(5);
     tokio::time::sleep(TIME.duration()).await;
-    let ask = call.json();
-    let workers = ask["workers"].as_array().cloned().unwrap_or_default();
+    let body = call.json();
+    let workers = body["workers"].as_array().cloned().unwrap_or_default();
     let rows: Vec<Value> = workers.into_iter().map(|worker| json!([worker, "ticket"])).collect();
-    answer(StatusCode::OK, &json!({"healthy": rows, "valid_ms": 2500}))
+    reply(StatusCode::OK, &json!({"healthy": rows, "valid_ms": 2500}))
 }
--- a/src/standin/site/store.rs
+++ b/src/standin/site/store.rs
@@ -1,6 +1,6 @@
 //! The store: topics of one partition each, conditions, producers, newest records of keys.
 
-use crate::standin::site::{Call, Reply, answer};
+use crate::standin::site::{Call, Reply, reply};
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -12,28 +12,28 @@
 use tokio::sync::watch;
 
 /// The most items of one page of newest records.
-const PAGE: usize = 500;
+const MAX_PAGE_ITEMS: usize = 500;
 
 /// Faults of the store.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     /// It refuses everything.
-    pub busy: bool,
+    pub refuses: bool,
     /// It answers nothing.
     pub silent: bool,
     /// This many appends are done and not answered.
-    pub lose: u32,
+    pub lost_replies: u32,
     /// This many appends without records are done and not answered: they fence a partition.
-    pub lose_fences: u32,
+    pub lost_fences: u32,
     /// Each answer comes this much later.
-    pub slow: Duration,
+    pub delay: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Topic {
     records: Vec<Bytes>,
     /// Reads find nothing before this place: the history was dropped.
-    first: usize,
+    first_kept: usize,
     /// By producer: epoch, last sequence number, and the answer to it.
     producers: HashMap<String, (u64, u64, u64)>,
 }
@@ -76,7 +76,7 @@
     /// Drops the history of all topics: of keyed ones the newest record of each key stays.
     pub fn compact(&self) {
         for topic in lock(&self.topics).values_mut() {
-            topic.first = topic.records.len();
+            topic.first_kept = topic.records.len();
         }
     }
 
@@ -108,9 +108,9 @@
 
     fn append(&self, call: &Call) -> (StatusCode, serde_json::Value) {
         let mut topics = lock(&self.topics);
-        let topic = topics.entry(call.text("topic").to_string()).or_default();
+        let topic = topics.entry(call.query_text("topic").to_string()).or_default();
         let end = topic.records.len() as u64;
-        if call.number("as_of").is_some_and(|as_of| as_of != end) {
+        if call.query_number("as_of").is_some_and(|as_of| as_of != end) {
             return (StatusCode::PRECONDITION_FAILED, json!({"end": end}));
         }
         let mut records = Vec::new();
@@ -119,8 +119,8 @@
             let len = (body.get_u32() as usize).min(body.remaining());
             records.push(body.split_to(len));
         }
-        if let (Some(epoch), Some(seq)) = (call.number("epoch"), call.number("seq")) {
-            let name = call.text("producer").to_string();
+        if let (Some(epoch), Some(seq)) = (call.query_number("epoch"), call.query_number("seq")) {
+            let name = call.query_text("producer").to_string();
             let known = topic.producers.get(&name).copied();
             match known {
                 Some((seen, ..)) if seen > epoch => {
@@ -137,37 +137,37 @@
                 _ => {}
             }
             // An append without records only sets the epoch: it has no place in the sequence.
-            let counted = match (records.is_empty(), known) {
+            let last_seq = match (records.is_empty(), known) {
                 (true, Some((seen, last, _))) if seen == epoch => last,
                 _ => seq,
             };
-            topic.producers.insert(name, (epoch, counted, end));
+            topic.producers.insert(name, (epoch, last_seq, end));
         }
         topic.records.append(&mut records);
-        let after = topic.records.len();
+        let new_end = topic.records.len();
         drop(topics);
         self.changed.send_modify(|count| *count += 1);
-        (StatusCode::OK, json!({"offset": end, "end": after}))
+        (StatusCode::OK, json!({"offset": end, "end": new_end}))
     }
 
-    fn read(&self, call: &Call) -> Option<Read> {
-        let from = call.number("from").unwrap_or(0) as usize;
+    fn read(&self, call: &Call) -> Option<ReadResult> {
+        let from = call.query_number("from").unwrap_or(0) as usize;
         let mut topics = lock(&self.topics);
-        let topic = topics.entry(call.text("topic").to_string()).or_default();
-        if from < topic.first {
-            return Some(Read::Gone(topic.first));
+        let topic = topics.entry(call.query_text("topic").to_string()).or_default();
+        if from < topic.first_kept {
+            return Some(ReadResult::Compacted(topic.first_kept));
         }
         let wanted = topic.records.get(from..).unwrap_or_default();
-        let waits = call.number("wait_ms").unwrap_or(0) > 0;
-        if wanted.is_empty() && waits {
+        let may_wait = call.query_number("wait_ms").unwrap_or(0) > 0;
+        if wanted.is_empty() && may_wait {
             return None;
         }
-        Some(Read::Records(raw(topic.records.len(), wanted)))
+        Some(ReadResult::Records(encode_records(topic.records.len(), wanted)))
     }
 
-    async fn await_read(&self, call: &Call) -> Read {
+    async fn wait_for_records(&self, call: &Call) -> ReadResult {
         let mut changed = self.changed.subscribe();
-        let wait = Duration::from_millis(call.number("wait_ms").unwrap_or(0));
+        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0));
         let read = async {
             loop {
                 changed.borrow_and_update();
@@ -175,39 +175,39 @@
                     return body;
                 }
                 if changed.changed().await.is_err() {
-                    return Read::Records(Bytes::new());
+                    return ReadResult::Records(Bytes::new());
                 }
             }
         };
         match tokio::time::timeout(wait, read).await {
             Ok(body) => body,
-            Err(_) => Read::Records(raw(self.len(call.text("topic")), &[])),
+            Err(_) => ReadResult::Records(encode_records(self.len(call.query_text("topic")), &[])),
         }
     }
 
-    fn page(&self, call: &Call) -> serde_json::Value {
-        let topic = call.text("topic");
-        let after = call.text("depends_on");
+    fn newest_page(&self, call: &Call) -> serde_json::Value {
+        let topic = call.query_text("topic");
+        let after = call.query_text("depends_on");
         let newest = self.newest(topic);
         let rest: Vec<_> = newest
             .into_iter()
             .filter(|(key, _)| after.is_empty() || key.as_str() > after)
             .collect();
-        let more = rest.len() > PAGE;
+        let has_more = rest.len() > MAX_PAGE_ITEMS;
         let item = |(key, value): &(String, Bytes)| json!({"key": key, "value": BASE64_STANDARD.encode(value), "offset": 0});
-        let items: Vec<_> = rest.iter().take(PAGE).map(item).collect();
-        json!({"items": items, "has_more": more, "end": self.len(topic)})
+        let items: Vec<_> = rest.iter().take(MAX_PAGE_ITEMS).map(item).collect();
+        json!({"items": items, "has_more": has_more, "end": self.len(topic)})
     }
 }
 
 /// What a read finds.
-enum Read {
+enum ReadResult {
     Records(Bytes),
     /// Records before this place are gone.
-    Gone(usize),
+    Compacted(usize),
 }
 
-fn raw(end: usize, records: &[Bytes]) -> Bytes {
+fn encode_records(end: usize, records: &[Bytes]) -> Bytes {
     let mut body = BytesMut::new();
     body.put_u64(end as u64);
     body.put_u64(0);
@@ -223,35 +223,35 @@
     if faults.silent {
         return None;
     }
-    tokio::time::sleep(faults.slow).await;
-    if faults.busy {
-        return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
+    tokio::time::sleep(faults.delay).await;
+    if faults.refuses {
+        return reply(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
     }
     match call.path.as_str() {
         "/log-append" => {
             let (status, body) = store.append(&call);
             let mut faults = lock(&store.faults);
-            if faults.lose_fences > 0 && call.body.is_empty() {
-                faults.lose_fences -= 1;
+            if faults.lost_fences > 0 && call.body.is_empty() {
+                faults.lost_fences -= 1;
                 return None;
             }
-            if faults.lose > 0 && status.is_success() {
-                faults.lose -= 1;
+            if faults.lost_replies > 0 && status.is_success() {
+                faults.lost_replies -= 1;
                 return None;
             }
-            answer(status, &body)
+            reply(status, &body)
         }
         "/log-read" => {
-            let read = store.await_read(&call).await;
+            let read = store.wait_for_records(&call).await;
             if lock(&store.faults).silent {
                 return None;
             }
             match read {
-                Read::Records(body) => Some((StatusCode::OK, body)),
-                Read::Gone(first) => answer(StatusCode::GONE, &json!({"first": first})),
+                ReadResult::Records(body) => Some((StatusCode::OK, body)),
+                ReadResult::Compacted(first) => reply(StatusCode::GONE, &json!({"first": first})),
             }
         }
-        "/log-newest" => answer(StatusCode::OK, &store.page(&call)),
-        _ => answer(StatusCode::NOT_FOUND, &json!({})),
+        "/log-newest" => reply(StatusCode::OK, &store.newest_page(&call)),
+        _ => reply(StatusCode::NOT_FOUND, &json!({})),
     }
 }
--- a/src/standin/site/worker.rs
+++ b/src/standin/site/worker.rs
@@ -1,7 +1,7 @@
 //! A worker without guards: it obeys the highest fence, runs under leases and lists its ends.
 
 use crate::standin::site::store::Store;
-use crate::standin::site::{Call, Reply, answer, number, text};
+use crate::standin::site::{Call, Reply, number_field, reply, text_field};
 use hyper::StatusCode;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -12,40 +12,40 @@
 use tokio::time::Instant;
 
 /// How long a task runs whose text does not say: the text is a number of milliseconds.
-const USUAL_RUN: u64 = 100;
+const DEFAULT_RUN_MS: u64 = 100;
 /// What the text of a task begins with that crashes each worker that starts it.
-pub const CRASHING: &str = "crash ";
+pub const CRASH_PREFIX: &str = "crash ";
 /// How long after the start of such a task its worker crashes.
-const FUSE: Duration = Duration::from_millis(10);
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 /// How long a worker is away after a crash.
-const AWAY: Duration = Duration::from_millis(1_200);
+const RESTART_TIME: Duration = Duration::from_millis(1_200);
 /// When the first life of each worker started, in milliseconds since 1970.
-const BIRTH: u64 = 1_700_000_000_000;
+const FIRST_START_MS: u64 = 1_700_000_000_000;
 /// How much earlier each life started than the one before, by its own time of day.
-const SET_BACK: u64 = 1_000;
+const START_STEP_MS: u64 = 1_000;
 /// A longer lease is cut down to this, by the platform's contract.
-const LEASE_MAX: u64 = 10_000;
+const MAX_LEASE_MS: u64 = 10_000;
 /// How long after a room shrank that counts, by the platform's contract.
-const SHRINK: Duration = Duration::from_millis(4_500);
+const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
 /// Time between two entries in the list.
-const BEAT: Duration = Duration::from_millis(1_500);
+const LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Default)]
 struct State {
     /// Lives that are over.
-    lives: u64,
+    restarts: u64,
     /// Lives that are over since the last one that had another id.
-    names: u64,
+    renames: u64,
     /// When its process started.
-    began: Option<Instant>,
+    started_at: Option<Instant>,
     fence: u64,
-    until: u64,
+    lease_end: u64,
     running: BTreeMap<String, u64>,
     ended: Vec<(u64, String, u64, &'static str)>,
-    count: u64,
+    end_count: u64,
     /// The lease has run out since this end and all before it.
-    lapsed: u64,
-    barred: HashMap<String, u64>,
+    lapsed_ends: u64,
+    ended_runs: HashMap<String, u64>,
     /// All starts that were carried out.
     starts: Vec<(String, u64)>,
 }
@@ -54,15 +54,15 @@
 #[derive(Debug, Default)]
 pub struct Faults {
     /// It answers nothing and lists itself no more.
-    pub dark: AtomicBool,
+    pub unreachable: AtomicBool,
     /// It is between two lives.
-    away: AtomicBool,
+    restarting: AtomicBool,
     /// After a crash it starts again under the id that it had.
-    pub keeps: AtomicBool,
+    pub keeps_id: AtomicBool,
     /// All that it starts fails.
-    pub grey: AtomicBool,
+    pub fails_tasks: AtomicBool,
     /// Orders are not answered, and carried out this much later, in milliseconds; 0: at once.
-    pub late: AtomicU64,
+    pub order_delay: AtomicU64,
 }
 
 /// What a worker did.
@@ -73,14 +73,14 @@
     /// A run ended like this; `crashed` with the worker's life.
     End(&'static str),
     /// It has so many processors by now, in thousandths of one; no task is named.
-    Room(u64),
+    Resized(u64),
     /// The end of a run was confirmed; whether the lease had run out since that end.
     Confirm { lapsed: bool },
 }
 
 /// One thing that a worker did, in the order over all workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LedgerRow {
+pub struct RunRecord {
     /// The worker's id.
     pub worker: String,
     /// The task.
@@ -95,18 +95,18 @@
 
 /// What all workers of a site did.
 #[derive(Debug, Default)]
-pub struct Ledger(Mutex<Vec<LedgerRow>>);
+pub struct RunLog(Mutex<Vec<RunRecord>>);
 
-impl Ledger {
+impl RunLog {
     /// Notes one thing.
-    pub fn add(&self, entry: LedgerRow) {
+    pub fn add(&self, entry: RunRecord) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(entry);
     }
 
     /// The entries from `from` on.
-    pub fn since(&self, from: usize) -> Vec<LedgerRow> {
+    pub fn since(&self, from: usize) -> Vec<RunRecord> {
         let entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        entries.get(from..).map(<[LedgerRow]>::to_vec).unwrap_or_default()
+        entries.get(from..).map(<[RunRecord]>::to_vec).unwrap_or_default()
     }
 }
 
@@ -117,29 +117,29 @@
     addr: String,
     domain: String,
     cpu: AtomicU64,
-    born: Instant,
-    ledger: Arc<Ledger>,
+    created_at: Instant,
+    run_log: Arc<RunLog>,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
     /// It is back after a crash: it lists itself at once.
-    back: Notify,
+    restarted: Notify,
     /// Its faults.
     pub faults: Faults,
 }
 
 impl Worker {
     /// A worker that runs nothing.
-    pub fn new(id: String, addr: String, domain: &str, cpu: u64, ledger: Arc<Ledger>) -> Self {
+    pub fn new(id: String, addr: String, domain: &str, cpu: u64, run_log: Arc<RunLog>) -> Self {
         Self {
             id,
             addr,
             domain: domain.to_string(),
             cpu: AtomicU64::new(cpu),
-            born: Instant::now(),
-            ledger,
+            created_at: Instant::now(),
+            run_log,
             state: Mutex::default(),
             changed: watch::channel(0).0,
-            back: Notify::new(),
+            restarted: Notify::new(),
             faults: Faults::default(),
         }
     }
@@ -150,21 +150,21 @@
 
     /// The id of its life: the first one has the worker's name.
     fn id(&self, state: &State) -> String {
-        match state.names {
+        match state.renames {
             0 => self.id.clone(),
-            names => format!("{}+{names}", self.id),
+            renames => format!("{}+{renames}", self.id),
         }
     }
 
     /// When its process started, in milliseconds since 1970 by its own time of day: that is set back with each
     /// life, so that a later life may have started earlier by it.
-    fn born(&self, state: &State) -> u64 {
-        BIRTH - state.lives * SET_BACK
+    fn start_time(&self, state: &State) -> u64 {
+        FIRST_START_MS - state.restarts * START_STEP_MS
     }
 
     /// As [`Worker::crash`]; it starts again under its id.
     pub fn restart(self: &Arc<Self>) {
-        self.faults.keeps.store(true, Ordering::Relaxed);
+        self.faults.keeps_id.store(true, Ordering::Relaxed);
         self.crash();
     }
 
@@ -172,18 +172,19 @@
     pub fn crash(self: &Arc<Self>) {
         let mut state = self.state();
         for (task, run) in &state.running {
-            self.note(&state, task, *run, RunEvent::End("crashed"));
+            self.record(&state, task, *run, RunEvent::End("crashed"));
         }
         let starts = std::mem::take(&mut state.starts);
-        let names = state.names + u64::from(!self.faults.keeps.load(Ordering::Relaxed));
-        let began = Some(Instant::now() + AWAY);
-        *state = State { lives: state.lives + 1, names, began, starts, ..State::default() };
-        self.faults.away.store(true, Ordering::Relaxed);
+        let renames = state.renames + u64::from(!self.faults.keeps_id.load(Ordering::Relaxed));
+        let started_at = Some(Instant::now() + RESTART_TIME);
+        *state =
+            State { restarts: state.restarts + 1, renames, started_at, starts, ..State::default() };
+        self.faults.restarting.store(true, Ordering::Relaxed);
         let worker = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(AWAY).await;
-            worker.faults.away.store(false, Ordering::Relaxed);
-            worker.back.notify_one();
+            tokio::time::sleep(RESTART_TIME).await;
+            worker.faults.restarting.store(false, Ordering::Relaxed);
+            worker.restarted.notify_one();
         });
     }
 
@@ -193,18 +194,18 @@
         let worker = self.clone();
         tokio::spawn(async move {
             if cpu < before {
-                tokio::time::sleep(SHRINK).await;
+                tokio::time::sleep(SHRINK_GRACE).await;
             }
             // Another change may have come meanwhile.
             if worker.cpu.load(Ordering::Relaxed) <= cpu {
-                worker.note(&worker.state(), "", 0, RunEvent::Room(cpu));
+                worker.record(&worker.state(), "", 0, RunEvent::Resized(cpu));
             }
         });
     }
 
     /// The worker's own clock, which begins anew with each life.
-    fn clock(&self, state: &State) -> u64 {
-        state.began.unwrap_or(self.born).elapsed().as_millis() as u64
+    fn clock_ms(&self, state: &State) -> u64 {
+        state.started_at.unwrap_or(self.created_at).elapsed().as_millis() as u64
     }
 
     /// All starts that were carried out, in order: task and run.
@@ -218,17 +219,17 @@
     }
 
     /// Lists itself in the store until its task is dropped.
-    pub(super) async fn list(self: Arc<Self>, store: Arc<Store>, service: &str) {
+    pub(super) async fn publish_entries(self: Arc<Self>, store: Arc<Store>, service: &str) {
         let mut listed = self.id.clone();
         for seq in 1.. {
             let (id, born, clock) = {
                 let state = self.state();
-                (self.id(&state), self.born(&state), self.clock(&state))
+                (self.id(&state), self.start_time(&state), self.clock_ms(&state))
             };
             if id != listed {
                 store.put("keyed.servers", &listed, b"");
             }
-            if !self.is_away() {
+            if !self.is_unreachable() {
                 listed.clone_from(&id);
                 let entry = json!({
                     "service": service, "address": self.addr, "zone": self.domain, "version": "v1",
@@ -239,114 +240,115 @@
                 store.put("keyed.servers", &id, entry.to_string().as_bytes());
             }
             tokio::select! {
-                () = tokio::time::sleep(BEAT) => {}
-                () = self.back.notified() => {}
+                () = tokio::time::sleep(LIST_INTERVAL) => {}
+                () = self.restarted.notified() => {}
             }
         }
     }
 
-    fn is_away(&self) -> bool {
-        self.faults.dark.load(Ordering::Relaxed) || self.faults.away.load(Ordering::Relaxed)
+    fn is_unreachable(&self) -> bool {
+        self.faults.unreachable.load(Ordering::Relaxed)
+            || self.faults.restarting.load(Ordering::Relaxed)
     }
 
     fn refuse(&self, state: &State, reason: &str) -> Reply {
-        answer(StatusCode::CONFLICT, &json!({"clock_ms": self.clock(state), "reason": reason}))
+        reply(StatusCode::CONFLICT, &json!({"clock_ms": self.clock_ms(state), "reason": reason}))
     }
 
     fn accept(&self, state: &State) -> Reply {
-        answer(StatusCode::OK, &json!({"clock_ms": self.clock(state)}))
+        reply(StatusCode::OK, &json!({"clock_ms": self.clock_ms(state)}))
     }
 
-    fn start(self: &Arc<Self>, ask: &Value) -> Reply {
-        let task = text(ask, "task").to_string();
-        let run = number(ask, "run");
-        let until = number(ask, "until_ms");
+    fn start(self: &Arc<Self>, body: &Value) -> Reply {
+        let task = text_field(body, "task").to_string();
+        let run = number_field(body, "run");
+        let until = number_field(body, "until_ms");
         let mut state = self.state();
-        let clock = self.clock(&state);
+        let clock = self.clock_ms(&state);
         if until <= clock {
             return self.refuse(&state, "late");
         }
-        if clock >= state.until {
-            state.lapsed = state.count;
+        if clock >= state.lease_end {
+            state.lapsed_ends = state.end_count;
         }
-        state.until = state.until.max(until.min(clock + LEASE_MAX));
+        state.lease_end = state.lease_end.max(until.min(clock + MAX_LEASE_MS));
         if state.running.get(&task) == Some(&run) {
             return self.accept(&state);
         }
-        if state.barred.get(&task).is_some_and(|barred| run <= *barred) {
+        if state.ended_runs.get(&task).is_some_and(|last| run <= *last) {
             return self.refuse(&state, "old");
         }
         state.running.insert(task.clone(), run);
         state.starts.push((task.clone(), run));
-        let spec = text(ask, "spec");
-        self.note(&state, &task, run, RunEvent::Start(spec.to_string()));
-        let lives = state.lives;
+        let spec = text_field(body, "spec");
+        self.record(&state, &task, run, RunEvent::Start(spec.to_string()));
+        let restarts = state.restarts;
         let reply = self.accept(&state);
         drop(state);
-        if spec.starts_with(CRASHING) {
+        if spec.starts_with(CRASH_PREFIX) {
             let worker = self.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(FUSE).await;
-                if worker.state().lives == lives {
+                tokio::time::sleep(CRASH_DELAY).await;
+                if worker.state().restarts == restarts {
                     worker.crash();
                 }
             });
             return None;
         }
-        let length = text(ask, "spec").parse().unwrap_or_else(|err| {
+        let length = text_field(body, "spec").parse().unwrap_or_else(|err| {
             log::debug!("event=usual-run task={task} error={err:?}");
-            USUAL_RUN
+            DEFAULT_RUN_MS
         });
         let worker = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(length)).await;
-            let failed = worker.faults.grey.load(Ordering::Relaxed);
-            if worker.state().lives == lives {
+            let failed = worker.faults.fails_tasks.load(Ordering::Relaxed);
+            if worker.state().restarts == restarts {
                 worker.end(&task, run, if failed { "failed" } else { "done" });
             }
         });
         reply
     }
 
-    fn end(&self, task: &str, run: u64, how: &'static str) {
+    fn end(&self, task: &str, run: u64, outcome: &'static str) {
         let mut state = self.state();
         if state.running.get(task) != Some(&run) {
             return;
         }
         state.running.remove(task);
-        state.count += 1;
-        let row = (state.count, task.to_string(), run, how);
+        state.end_count += 1;
+        let row = (state.end_count, task.to_string(), run, outcome);
         state.ended.push(row);
-        self.note(&state, task, run, RunEvent::End(how));
-        let barred = state.barred.entry(task.to_string()).or_default();
-        *barred = (*barred).max(run);
+        self.record(&state, task, run, RunEvent::End(outcome));
+        let last_ended = state.ended_runs.entry(task.to_string()).or_default();
+        *last_ended = (*last_ended).max(run);
         drop(state);
         self.changed.send_modify(|count| *count += 1);
     }
 
     /// Notes what was done; the caller holds the state's lock, so that the order is right.
-    fn note(&self, state: &State, task: &str, run: u64, event: RunEvent) {
+    fn record(&self, state: &State, task: &str, run: u64, event: RunEvent) {
         let (worker, task) = (self.id(state), task.to_string());
         let at = Instant::now();
-        self.ledger.add(LedgerRow { worker, task, run, event, at });
+        self.run_log.add(RunRecord { worker, task, run, event, at });
     }
 
-    fn stop(&self, ask: &Value) -> Reply {
-        let task = text(ask, "task");
-        let run = number(ask, "run");
+    fn stop(&self, body: &Value) -> Reply {
+        let task = text_field(body, "task");
+        let run = number_field(body, "run");
         {
             let mut state = self.state();
-            let barred = state.barred.entry(task.to_string()).or_default();
-            *barred = (*barred).max(run);
+            let last_ended = state.ended_runs.entry(task.to_string()).or_default();
+            *last_ended = (*last_ended).max(run);
         }
         self.end(task, run, "stopped");
         self.accept(&self.state())
     }
 
-    fn expire(&self) {
+    fn expire_lease(&self) {
         let over: Vec<(String, u64)> = {
             let state = self.state();
-            let late = self.clock(&state) >= state.until;
+            let late = self.clock_ms(&state) >= state.lease_end;
             let running = state.running.iter().filter(|_| late);
             running.map(|(task, run)| (task.clone(), *run)).collect()
         };
@@ -355,33 +357,34 @@
         }
     }
 
-    async fn hold(&self, ask: &Value) -> Reply {
-        let seen = number(ask, "last_seen");
-        let wait = Duration::from_millis(number(ask, "wait_ms"));
+    async fn hold_call(&self, body: &Value) -> Reply {
+        let seen = number_field(body, "last_seen");
+        let wait = Duration::from_millis(number_field(body, "wait_ms"));
         let mut changed = self.changed.subscribe();
-        let (busy, lives) = {
+        let (no_ends, restarts) = {
             let mut state = self.state();
-            let clock = self.clock(&state);
-            if clock >= state.until {
-                state.lapsed = state.count;
+            let clock = self.clock_ms(&state);
+            if clock >= state.lease_end {
+                state.lapsed_ends = state.end_count;
             }
-            state.until = state.until.max(number(ask, "until_ms").min(clock + LEASE_MAX));
+            state.lease_end =
+                state.lease_end.max(number_field(body, "until_ms").min(clock + MAX_LEASE_MS));
             let (known, rest) =
                 std::mem::take(&mut state.ended).into_iter().partition(|(no, ..)| *no <= seen);
             state.ended = rest;
             let known: Vec<(u64, String, u64, &str)> = known;
             for (no, task, run, _) in known {
-                let event = RunEvent::Confirm { lapsed: no <= state.lapsed };
-                self.note(&state, &task, run, event);
+                let event = RunEvent::Confirm { lapsed: no <= state.lapsed_ends };
+                self.record(&state, &task, run, event);
             }
-            (state.ended.is_empty(), state.lives)
+            (state.ended.is_empty(), state.restarts)
         };
-        if busy && tokio::time::timeout(wait, changed.changed()).await.is_ok() {
+        if no_ends && tokio::time::timeout(wait, changed.changed()).await.is_ok() {
             // An end came.
         }
-        self.expire();
+        self.expire_lease();
         let state = self.state();
-        if state.lives != lives {
+        if state.restarts != restarts {
             return None;
         }
         let running: Vec<Value> =
@@ -389,46 +392,46 @@
         let ended: Vec<Value> = state
             .ended
             .iter()
-            .map(|(no, task, run, how)| json!([no, task, run, how, ""]))
+            .map(|(no, task, run, outcome)| json!([no, task, run, outcome, ""]))
             .collect();
-        let (clock, born) = (self.clock(&state), self.born(&state));
+        let (clock, born) = (self.clock_ms(&state), self.start_time(&state));
         drop(state);
         let body = json!({"born": born, "clock_ms": clock, "running": running, "ended": ended});
-        answer(StatusCode::OK, &body)
+        reply(StatusCode::OK, &body)
     }
 }
 
 pub(super) async fn handle(worker: Arc<Worker>, call: Call) -> Reply {
-    if worker.is_away() {
+    if worker.is_unreachable() {
         return None;
     }
-    let (id, lives) = {
+    let (id, restarts) = {
         let state = worker.state();
-        (worker.id(&state), state.lives)
+        (worker.id(&state), state.restarts)
     };
-    if call.life.as_ref().is_some_and(|life| *life != id) {
-        return answer(StatusCode::MISDIRECTED_REQUEST, &json!({}));
+    if call.instance.as_ref().is_some_and(|instance| *instance != id) {
+        return reply(StatusCode::MISDIRECTED_REQUEST, &json!({}));
     }
-    let ask = call.json();
-    let late = worker.faults.late.load(Ordering::Relaxed);
+    let body = call.json();
+    let late = worker.faults.order_delay.load(Ordering::Relaxed);
     if late > 0 && call.path != "/hold" {
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(late)).await;
             // An order ends with the life that it was given to.
-            if worker.state().lives != lives {
+            if worker.state().restarts != restarts {
                 return log::debug!("event=late-order-dropped worker={id} path={}", call.path);
             }
             // Nobody waits for the answer: its caller has had none for this long.
-            let answer = carry_out(&worker, &call.path, &ask).await;
-            log::debug!("event=late-order worker={id} path={} answer={answer:?}", call.path);
+            let reply = handle_order(&worker, &call.path, &body).await;
+            log::debug!("event=late-order worker={id} path={} reply={reply:?}", call.path);
         });
         return None;
     }
-    carry_out(&worker, &call.path, &ask).await
+    handle_order(&worker, &call.path, &body).await
 }
 
-async fn carry_out(worker: &Arc<Worker>, path: &str, ask: &Value) -> Reply {
-    let fence = number(ask, "fence");
+async fn handle_order(worker: &Arc<Worker>, path: &str, body: &Value) -> Reply {
+    let fence = number_field(body, "fence");
     {
         let mut state = worker.state();
         if fence < state.fence {
@@ -437,10 +440,10 @@
         state.fence = fence;
     }
     match path {
-        "/run-start" => worker.start(ask),
-        "/run-stop" => worker.stop(ask),
-        "/hold" => worker.hold(ask).await,
+        "/run-start" => worker.start(body),
+        "/run-stop" => worker.stop(body),
+        "/hold" => worker.hold_call(body).await,
         "/pace" => worker.accept(&worker.state()),
-        _ => answer(StatusCode::NOT_FOUND, &json!({})),
+        _ => reply(StatusCode::NOT_FOUND, &json!({})),
     }
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -69,12 +69,12 @@
         let program = env!("CARGO_BIN_EXE_sprucerudder");
         let settings = self.site.settings(entry);
         let process =
-            Process::node(program, &path, &settings, self.extra_args, Stdio::null()).unwrap();
+            Process::start_node(program, &path, &settings, self.extra_args, Stdio::null()).unwrap();
         self.entries.insert(entry, process);
     }
 
     async fn await_ready(&self, entry: u16) {
-        let addr = self.site.ready(entry);
+        let addr = self.site.ready_addr(entry);
         self.wait_until("an entry to be ready", async || {
             let request = Request::get(uri(&addr, "/readiness").unwrap());
             let answer =
@@ -111,7 +111,7 @@
         body: &str,
         key: Option<&str>,
     ) -> Result<HttpResponse, HttpError> {
-        let addr = self.site.front(entry);
+        let addr = self.site.front_addr(entry);
         let mut request = Request::builder()
             .method(method)
             .uri(uri(&addr, path).unwrap())
@@ -152,7 +152,7 @@
     /// The entry that owns the cell, according to its metrics.
     async fn owner(&self) -> u16 {
         for entry in self.entries.keys() {
-            let addr = self.site.metrics(*entry);
+            let addr = self.site.metrics_addr(*entry);
             let request = Request::get(uri(&addr, "/metrics").unwrap()).body(Full::default());
             let answer = self.http.send(&addr, request.unwrap(), Millis(2_000)).await;
             let text = answer.map(|answer| answer.body).unwrap_or_default();
@@ -314,7 +314,7 @@
     let mut cluster = Cluster::start(2, 2).await;
     let owner = cluster.owner().await;
     let entry = 1 - owner;
-    let mut caller = TcpStream::connect(cluster.site.front(entry)).await.unwrap();
+    let mut caller = TcpStream::connect(cluster.site.front_addr(entry)).await.unwrap();
     let body = one_step("20", 1);
     let head = format!(
         "POST /plain/00000000000000e1 HTTP/1.1\r\nHost: desk.example\r\nContent-Length: {}\r\n",
@@ -340,7 +340,7 @@
     ]);
     let path = "/plain/00000000000000c2";
     cluster.submit(0, path, &job("1500", steps)).await;
-    cluster.site.store.set(Faults { busy: true, ..Faults::default() });
+    cluster.site.store.set(Faults { refuses: true, ..Faults::default() });
     for index in 0..10 {
         let refused = format!("/plain/{:016x}", 0xf00 + index);
         let answer = cluster.call(0, Method::POST, &refused, &one_step("10", 1)).await.unwrap();
@@ -358,7 +358,7 @@
 async fn an_entry_that_is_not_ready_sends_refused_callers_to_another_one() {
     let cluster = Cluster::start(4, 2).await;
     let owner = cluster.owner().await;
-    cluster.site.store.set(Faults { busy: true, ..Faults::default() });
+    cluster.site.store.set(Faults { refuses: true, ..Faults::default() });
     let job = one_step("10", 1);
     let closes = async |entry: u16| {
         let path = "/plain/00000000000000c7";
@@ -372,7 +372,7 @@
 #[tokio::test]
 async fn an_append_whose_answer_is_lost_is_applied_once() {
     let cluster = Cluster::start(4, 2).await;
-    cluster.site.store.set(Faults { lose: 3, ..Faults::default() });
+    cluster.site.store.set(Faults { lost_replies: 3, ..Faults::default() });
     let path = "/plain/00000000000000c4";
     cluster.submit(0, path, &one_step("50", 2)).await;
     cluster.await_state(1, path, "completed").await;
@@ -382,7 +382,7 @@
 #[tokio::test]
 async fn a_takeover_continues_after_the_answer_to_its_fence_is_lost() {
     let mut cluster = Cluster::start(4, 2).await;
-    cluster.site.store.set(Faults { lose_fences: 1, ..Faults::default() });
+    cluster.site.store.set(Faults { lost_fences: 1, ..Faults::default() });
     let owner = cluster.owner().await;
     signal(&cluster.entries[&owner], Signal::SIGKILL);
     cluster.entries.remove(&owner);
@@ -421,7 +421,7 @@
         })
         .await;
     let busy = cluster.site.workers.iter().find(|worker| !worker.running().is_empty()).unwrap();
-    busy.faults.dark.store(true, Ordering::Relaxed);
+    busy.faults.unreachable.store(true, Ordering::Relaxed);
     cluster.await_state(0, path, "completed").await;
 }
 
@@ -550,7 +550,9 @@
     let cluster = Cluster::start(2, 2).await;
     let publish = |version, key| {
         let one = Workspace { name: "one", key, cpu: 0 };
-        cluster.site.publish(version, &[one, Workspace { name: "two", key: "key-two", cpu: 0 }]);
+        cluster
+            .site
+            .publish_policy(version, &[one, Workspace { name: "two", key: "key-two", cpu: 0 }]);
     };
     let status = async |entry: u16, method: Method, path: &str, key: Option<&str>| {
         let body = if method == Method::POST { one_step("text", 1) } else { String::new() };
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -47,7 +47,7 @@
     }
 
     async fn await_ready(&self, no: u16) {
-        let addr = self.cell.site.ready(no);
+        let addr = self.cell.site.ready_addr(no);
         until("an entry to be ready", async || {
             self.get(&addr, "/readiness").await.is_ok_and(|answer| answer.status == StatusCode::OK)
         })
@@ -56,7 +56,7 @@
 
     async fn owner(&self) -> u16 {
         for no in 0..self.cell.entries.len() as u16 {
-            let answer = self.get(&self.cell.site.metrics(no), "/metrics").await.unwrap();
+            let answer = self.get(&self.cell.site.metrics_addr(no), "/metrics").await.unwrap();
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             if text.lines().any(|line| line == "sprucerudder_takeovers_total 1") {
                 return no;
@@ -68,7 +68,7 @@
     async fn call(&self, no: u16, method: Method, path: &str) -> Result<HttpResponse, HttpError> {
         let step = json!({ "count": 1, "cpu": 100, "mem_mb": 10, "estimate_ms": 100 });
         let body = json!({ "spec": "100", "steps": [step] }).to_string();
-        let addr = self.cell.site.front(no);
+        let addr = self.cell.site.front_addr(no);
         let request = Request::builder()
             .method(method)
             .uri(uri(&addr, path).unwrap())
@@ -208,7 +208,7 @@
     for entry in &callers.cell.entries {
         entry.store.set(|mode| (mode.mute_up, mode.mute_down) = (true, true));
     }
-    let addr = callers.cell.site.ready(other);
+    let addr = callers.cell.site.ready_addr(other);
     let begun = Instant::now();
     until("an entry not to be ready", async || {
         callers.get(&addr, "/readiness").await.is_ok_and(|answer| answer.status != StatusCode::OK)
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -8,7 +8,7 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::platform::http::{HttpClient, HttpError, HttpResponse, uri};
 use sprucerudder::standin::site::Workspace;
-use sprucerudder::standin::site::worker::CRASHING;
+use sprucerudder::standin::site::worker::CRASH_PREFIX;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -150,7 +150,7 @@
     while Instant::now() < until {
         let steps = vec![(rng.u32(1..3), rng.u64(300..1_800))];
         let key = format!("{:016x}", rng.u64(1..));
-        let job = Job { key, spec: format!("{CRASHING}1"), steps, told: Told::default() };
+        let job = Job { key, spec: format!("{CRASH_PREFIX}1"), steps, told: Told::default() };
         let no = {
             let mut jobs = jobs.lock().unwrap();
             jobs.push(job.clone());
--- a/tests/soak/cell.rs
+++ b/tests/soak/cell.rs
@@ -5,7 +5,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use sprucerudder::standin::process::Process;
-use sprucerudder::standin::site::{ENTRY_PORTS, Site};
+use sprucerudder::standin::site::{ENTRY_PORT_OFFSET, Site};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -50,17 +50,17 @@
         let mut site = Site::start(&host, PORT, 0).await.unwrap();
         let mut proxies = Vec::new();
         for _ in 0..workers {
-            let target: SocketAddr = site.next_worker().parse().unwrap();
+            let target: SocketAddr = site.next_worker_addr().parse().unwrap();
             let proxy = Proxy::start(addr(&host, target.port() + RELAY), target).await;
-            site.add_worker_listed(proxy.addr.to_string()).await.unwrap();
+            site.add_worker_at(proxy.addr.to_string()).await.unwrap();
             proxies.push(proxy);
         }
         let folder = std::env::temp_dir().join(format!("sprucerudder-soak-{pid}-{no}"));
         std::fs::create_dir_all(&folder).unwrap();
         let mut cell = Self { site, entries: Vec::new(), workers: proxies, folder, cell_size };
         for no in 0..entries {
-            let base = PORT + RELAY + ENTRY_PORTS + no * 10;
-            let peer = PORT + ENTRY_PORTS + no * 10 + PEER;
+            let base = PORT + RELAY + ENTRY_PORT_OFFSET + no * 10;
+            let peer = PORT + ENTRY_PORT_OFFSET + no * 10 + PEER;
             let entry = Entry {
                 process: None,
                 store: Proxy::start(addr(&host, base), addr(&host, PORT)).await,
@@ -92,7 +92,7 @@
         let size = self.cell_size.map(|size| size.to_string());
         let mut more = vec!["--advertise", &peer];
         more.extend(size.iter().flat_map(|size| ["--cell-workers", size]));
-        let process = Process::node(program, &path, &through, &more, Stdio::from(log));
+        let process = Process::start_node(program, &path, &through, &more, Stdio::from(log));
         entry.process = Some(process.unwrap());
     }
 
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,8 +1,8 @@
 //! What must hold, judged by what workers did and what callers were told.
 
 use crate::callers::{Job, workspace};
-use sprucerudder::standin::site::CPU;
-use sprucerudder::standin::site::worker::{CRASHING, Ledger, LedgerRow, RunEvent};
+use sprucerudder::standin::site::WORKER_CPU;
+use sprucerudder::standin::site::worker::{CRASH_PREFIX, RunEvent, RunLog, RunRecord};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes in what workers did since the last look.
-    pub fn look(&mut self, ledger: &Ledger, jobs: &[Job]) {
+    pub fn look(&mut self, ledger: &RunLog, jobs: &[Job]) {
         let entries = ledger.since(self.read);
         self.read += entries.len();
         for entry in &entries {
@@ -69,7 +69,7 @@
                 RunEvent::Start(spec) => self.start(entry, spec, jobs),
                 RunEvent::End(how) => self.end(entry, how, jobs),
                 RunEvent::Confirm { lapsed } => self.confirm(entry, *lapsed),
-                RunEvent::Room(cpu) => drop(self.rooms.insert(entry.worker.clone(), *cpu)),
+                RunEvent::Resized(cpu) => drop(self.rooms.insert(entry.worker.clone(), *cpu)),
             }
         }
         for job in jobs.iter().filter(|job| job.told.state == "completed") {
@@ -93,8 +93,8 @@
         tasks.all(|task| self.done.contains_key(&task))
     }
 
-    fn start(&mut self, entry: &LedgerRow, spec: &str, jobs: &[Job]) {
-        let LedgerRow { worker, task, run, at, .. } = entry;
+    fn start(&mut self, entry: &RunRecord, spec: &str, jobs: &[Job]) {
+        let RunRecord { worker, task, run, at, .. } = entry;
         let job = parts(task).and_then(|(key, step, index)| {
             let job = jobs.iter().find(|job| job.key == key)?;
             let (count, cpu) = *job.steps.get(step)?;
@@ -110,8 +110,8 @@
         // By the platform's contract: a tenth and one task more.
         let beyond = self.keyed && *running > of_it.cpu * 11 / 10;
         *running += cpu;
-        let over = *used > self.rooms.get(worker).copied().unwrap_or(CPU);
-        let crashed = spec.starts_with(CRASHING) && self.crashed.get(task) >= Some(&CRASHES);
+        let over = *used > self.rooms.get(worker).copied().unwrap_or(WORKER_CPU);
+        let crashed = spec.starts_with(CRASH_PREFIX) && self.crashed.get(task) >= Some(&CRASHES);
         let more = self.more.entry(task.clone()).or_default();
         *more += u32::from(crashed);
         let excess = *more >= CRASHES;
@@ -139,8 +139,8 @@
         }
     }
 
-    fn end(&mut self, entry: &LedgerRow, how: &str, jobs: &[Job]) {
-        let LedgerRow { worker, task, run, .. } = entry;
+    fn end(&mut self, entry: &RunRecord, how: &str, jobs: &[Job]) {
+        let RunRecord { worker, task, run, .. } = entry;
         let cpu = parts(task).and_then(|(key, step, _)| {
             let job = jobs.iter().find(|job| job.key == key)?;
             job.steps.get(step).map(|(_, cpu)| *cpu)
@@ -167,7 +167,7 @@
         }
     }
 
-    fn confirm(&mut self, entry: &LedgerRow, lapsed: bool) {
+    fn confirm(&mut self, entry: &RunRecord, lapsed: bool) {
         let Some(done) = self.done.get_mut(&entry.task).filter(|done| done.run == entry.run) else {
             return;
         };
--- a/tests/soak/checks_test.rs
+++ b/tests/soak/checks_test.rs
@@ -2,7 +2,7 @@
 
 use crate::callers::{Job, Told};
 use crate::checks::Checks;
-use sprucerudder::standin::site::worker::{CRASHING, Ledger, LedgerRow, RunEvent};
+use sprucerudder::standin::site::worker::{CRASH_PREFIX, RunEvent, RunLog, RunRecord};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -13,9 +13,9 @@
     Job { key: KEY.to_string(), spec: "50".to_string(), steps, told }
 }
 
-fn entry(worker: &str, place: &str, run: u64, event: RunEvent) -> LedgerRow {
+fn entry(worker: &str, place: &str, run: u64, event: RunEvent) -> RunRecord {
     let task = format!("{KEY}.0.{place}");
-    LedgerRow { worker: worker.to_string(), task, run, event, at: Instant::now() }
+    RunRecord { worker: worker.to_string(), task, run, event, at: Instant::now() }
 }
 
 fn start() -> RunEvent {
@@ -27,7 +27,7 @@
 
 /// What the checks say after these events.
 fn broken(events: &[Did], told: Told) -> String {
-    let ledger = Ledger::default();
+    let ledger = RunLog::default();
     for (worker, place, run, event) in events {
         ledger.add(entry(worker, place, *run, event.clone()));
     }
@@ -59,10 +59,10 @@
 
 #[test]
 fn a_task_that_is_started_too_often_after_crashes_is_found() {
-    let job = Job { spec: format!("{CRASHING}1"), ..job(told("")) };
+    let job = Job { spec: format!("{CRASH_PREFIX}1"), ..job(told("")) };
     let row = |worker: &str, run, event| entry(worker, "0.0", run, event);
     let starts = |count: u64| {
-        let ledger = Ledger::default();
+        let ledger = RunLog::default();
         for run in 0..count {
             let worker = format!("w{run}");
             ledger.add(row(&worker, run, RunEvent::Start(job.spec.clone())));
@@ -81,10 +81,10 @@
 #[test]
 fn a_start_is_late_by_its_own_time() {
     let look = |after: u64| {
-        let ledger = Ledger::default();
+        let ledger = RunLog::default();
         let told_at = Instant::now() - Duration::from_secs(60);
         let (cancelled, at) = (Some(told_at), told_at + Duration::from_millis(after));
-        ledger.add(LedgerRow { at, ..entry("w1", "0.0", 1, start()) });
+        ledger.add(RunRecord { at, ..entry("w1", "0.0", 1, start()) });
         let mut checks = Checks::default();
         checks.look(&ledger, &[job(Told { cancelled, ..told("") })]);
         checks.broken.join("; ")
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_start_over_a_room_that_has_shrunk_is_found() {
-    let events = [("w1", "0.0", 1, RunEvent::Room(4_000)), ("w1", "0.0", 1, start())];
+    let events = [("w1", "0.0", 1, RunEvent::Resized(4_000)), ("w1", "0.0", 1, start())];
     assert!(broken(&events, told("")).contains("over what"));
 }
 
@@ -143,7 +143,7 @@
     // one too many, and none where an end has made room.
     let wide = Job { steps: vec![(4, 5_000)], ..job(told("")) };
     let starts = |keyed, ends: bool| {
-        let ledger = Ledger::default();
+        let ledger = RunLog::default();
         for no in 0..4_u64 {
             ledger.add(entry(&format!("w{no}"), &format!("0.{no}"), 1, start()));
             if ends {
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 use nix::sys::signal::Signal;
-use sprucerudder::standin::site::{CPU, store};
+use sprucerudder::standin::site::{WORKER_CPU, store};
 use std::time::Duration;
 
 /// How entries or workers are cut off.
@@ -144,7 +144,7 @@
             true => acts.push((at, Act::Crash(worker))),
             false => {
                 acts.push((at, Act::Resize(worker, rng.u64(500..6_000))));
-                acts.push((at + rng.u64(500..6_000), Act::Resize(worker, CPU)));
+                acts.push((at + rng.u64(500..6_000), Act::Resize(worker, WORKER_CPU)));
             }
         }
     }
@@ -178,9 +178,9 @@
 fn store_fault(rng: &mut Rng) -> store::Faults {
     let fault = store::Faults::default();
     match rng.u32(0..4) {
-        0 => store::Faults { busy: true, ..fault },
+        0 => store::Faults { refuses: true, ..fault },
         1 => store::Faults { silent: true, ..fault },
-        2 => store::Faults { lose: rng.u32(1..20), ..fault },
-        _ => store::Faults { slow: Duration::from_millis(rng.u64(20..300)), ..fault },
+        2 => store::Faults { lost_replies: rng.u32(1..20), ..fault },
+        _ => store::Faults { delay: Duration::from_millis(rng.u64(20..300)), ..fault },
     }
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -18,7 +18,7 @@
 use nix::sys::signal::Signal;
 use proxy::Proxy;
 use sprucerudder::platform::http::HttpClient;
-use sprucerudder::standin::site::CPU;
+use sprucerudder::standin::site::WORKER_CPU;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -113,11 +113,11 @@
         let (workers, entries) = (rng.u16(5..10), rng.u16(2..6));
         let several = seed % 2 == 1 && seed != FIRST;
         let cell = Cell::start(no, workers, entries, several.then_some(CELL_SIZE)).await;
-        let fronts = (0..entries).map(|no| cell.site.front(no)).collect();
+        let fronts = (0..entries).map(|no| cell.site.front_addr(no)).collect();
         // The kept seeds are played as they were found.
         let keyed = seed % 3 == 0 && !KEPT.contains(&seed) && !KEPT_LIVES.contains(&seed);
         if keyed {
-            cell.site.publish(2, &callers::WORKSPACES);
+            cell.site.publish_policy(2, &callers::WORKSPACES);
         }
         let way = Way { fronts, http: HttpClient::default(), keyed };
         let jobs = Jobs::default();
@@ -165,7 +165,7 @@
 
     fn look(&mut self) {
         let jobs = self.snapshot();
-        self.checks.look(&self.cell.site.ledger, &jobs);
+        self.checks.look(&self.cell.site.run_log, &jobs);
     }
 
     /// Waits until the cell has an owner.
@@ -237,7 +237,7 @@
             Act::Compact => self.cell.site.store.compact(),
             Act::Grey(no, grey) => {
                 let worker = &self.cell.site.workers[usize::from(*no)];
-                worker.faults.grey.store(*grey, Ordering::Relaxed);
+                worker.faults.fails_tasks.store(*grey, Ordering::Relaxed);
             }
             Act::Crash(no) => self.cell.site.workers[usize::from(*no)].crash(),
             Act::Restart(no) => self.cell.site.workers[usize::from(*no)].restart(),
@@ -248,7 +248,7 @@
             Act::Resize(no, cpu) => self.cell.site.workers[usize::from(*no)].resize(*cpu),
             Act::Late(no, late) => {
                 let worker = &self.cell.site.workers[usize::from(*no)];
-                worker.faults.late.store(*late, Ordering::Relaxed);
+                worker.faults.order_delay.store(*late, Ordering::Relaxed);
             }
         }
     }
@@ -321,9 +321,9 @@
     fn heal(&mut self) {
         self.cell.site.store.set(sprucerudder::standin::site::store::Faults::default());
         for worker in &self.cell.site.workers {
-            worker.faults.grey.store(false, Ordering::Relaxed);
-            worker.faults.late.store(0, Ordering::Relaxed);
-            worker.resize(CPU);
+            worker.faults.fails_tasks.store(false, Ordering::Relaxed);
+            worker.faults.order_delay.store(0, Ordering::Relaxed);
+            worker.resize(WORKER_CPU);
         }
         for no in 0..self.cell.entries.len() as u16 {
             self.cell.signal(no, Signal::SIGCONT);
