--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -108,7 +108,7 @@
 
 fn silence<'a>(proxies: impl IntoIterator<Item = &'a Arc<Proxy>>) {
     for proxy in proxies {
-        proxy.set(|mode| mode.silences += 1);
+        proxy.update(|state| state.stall_count += 1);
     }
 }
 
@@ -116,8 +116,8 @@
 async fn a_caller_whose_owner_fell_silent_is_told_that_its_job_was_not_run() {
     let callers = Callers::start(1, 2).await;
     let owner = callers.owner().await;
-    callers.cell.entries[usize::from(owner)].peer.set(|mode| {
-        (mode.mute_up, mode.mute_down) = (true, true);
+    callers.cell.entries[usize::from(owner)].peer_proxy.update(|state| {
+        (state.hold_requests, state.hold_replies) = (true, true);
     });
     let begun = Instant::now();
     let answer = callers.call(1 - owner, Method::POST, "/plain/00000000000000a1").await.unwrap();
@@ -131,7 +131,7 @@
     let callers = Callers::start(1, 2).await;
     let owner = callers.owner().await;
     callers.serve(1 - owner, "/plain/00000000000000b1").await;
-    silence(callers.cell.entries.iter().map(|entry| &entry.peer));
+    silence(callers.cell.entries.iter().map(|entry| &entry.peer_proxy));
     let took = callers.serve(1 - owner, "/plain/00000000000000b2").await;
     assert!(took < Duration::from_secs(4), "{took:?}");
 }
@@ -144,7 +144,7 @@
     for no in 0..8 {
         callers.serve(owner, &format!("/plain/00000000000000c{no}")).await;
     }
-    silence(callers.cell.entries.iter().map(|entry| &entry.store));
+    silence(callers.cell.entries.iter().map(|entry| &entry.store_proxy));
     let took = callers.serve(owner, "/plain/00000000000000cf").await;
     assert!(took < Duration::from_secs(6), "{took:?}");
 }
@@ -155,7 +155,7 @@
     let paths: Vec<String> = (0..8).map(|no| format!("/plain/00000000000000d{no}")).collect();
     // Starts at the same time leave several idle connections.
     futures_util::future::join_all(paths.iter().map(|path| callers.serve(0, path))).await;
-    silence(&callers.cell.workers);
+    silence(&callers.cell.worker_proxies);
     let took = callers.serve(0, "/plain/00000000000000df").await;
     assert!(took < Duration::from_secs(3), "{took:?}");
 }
@@ -163,7 +163,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_exchange_without_an_answer_ends_all_idle_connections_to_its_address() {
     let callers = Callers::start(1, 1).await;
-    let store = &callers.cell.entries[0].store;
+    let store = &callers.cell.entries[0].store_proxy;
     let addr = store.addr.to_string();
     let read = |wait: u64, limit: u64| {
         let path = format!("/log-read?topic=idle&part=0&from=0&wait_ms={wait}");
@@ -185,7 +185,9 @@
 async fn jobs_behind_an_append_without_an_answer_are_refused_at_once() {
     let callers = Callers::start(1, 1).await;
     callers.serve(0, "/plain/00000000000000e0").await;
-    callers.cell.entries[0].store.set(|mode| (mode.mute_up, mode.mute_down) = (true, true));
+    callers.cell.entries[0]
+        .store_proxy
+        .update(|state| (state.hold_requests, state.hold_replies) = (true, true));
     let first = callers.call(0, Method::POST, "/plain/00000000000000e1");
     let second = async {
         // The first one is on its way to the store by now, which will not say what became of it.
@@ -206,7 +208,7 @@
     let other = 1 - callers.owner().await;
     // As behind a cut: the owner and its neighbour see each other, and not the store.
     for entry in &callers.cell.entries {
-        entry.store.set(|mode| (mode.mute_up, mode.mute_down) = (true, true));
+        entry.store_proxy.update(|state| (state.hold_requests, state.hold_replies) = (true, true));
     }
     let addr = callers.cell.site.ready_addr(other);
     let begun = Instant::now();
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -15,17 +15,17 @@
 
 /// What a caller has been told about one job.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct CallerView {
     /// Every try to submit it was refused, and so surely did nothing.
     pub refused: bool,
     /// It was accepted.
     pub accepted: bool,
     /// Its cancelling was asked for, whatever came of that.
-    pub tried_cancel: bool,
+    pub cancel_tried: bool,
     /// When its cancelling was acknowledged.
-    pub cancelled: Option<Instant>,
+    pub cancelled_at: Option<Instant>,
     /// The last state that was shown.
-    pub state: String,
+    pub last_state: String,
 }
 
 /// A job as its caller knows it.
@@ -36,7 +36,7 @@
     pub spec: String,
     /// The number of tasks and processors of each step; each depends on the one before.
     pub steps: Vec<(u32, u64)>,
-    pub told: Told,
+    pub view: CallerView,
 }
 
 /// All jobs of a run, shared with the checks.
@@ -49,20 +49,20 @@
 ];
 
 /// The workspace of a job, by its key.
-pub fn workspace(key: &str) -> &'static Workspace {
+pub fn workspace_of(key: &str) -> &'static Workspace {
     &WORKSPACES[usize::from(key.bytes().last().is_some_and(|byte| byte % 2 == 0))]
 }
 
 /// How callers reach a cell.
 #[derive(Debug, Clone)]
-pub struct Way {
-    pub fronts: Vec<String>,
+pub struct Client {
+    pub addrs: Vec<String>,
     pub http: HttpClient,
     /// Callers belong to workspaces.
-    pub keyed: bool,
+    pub sends_keys: bool,
 }
 
-impl Way {
+impl Client {
     pub async fn call(
         &self,
         entry: usize,
@@ -70,14 +70,14 @@
         path: &str,
         body: &str,
     ) -> Result<HttpResponse, HttpError> {
-        let addr = &self.fronts[entry % self.fronts.len()];
+        let addr = &self.addrs[entry % self.addrs.len()];
         let mut request = Request::builder()
             .method(method)
             .uri(uri(addr, path)?)
             .header("Host", "desk.example")
             .header("X-Sprucerudder-Deadline-Ms", "3000");
-        if self.keyed {
-            request = request.header("Authorization", format!("Bearer {}", workspace(path).key));
+        if self.sends_keys {
+            request = request.header("Authorization", format!("Bearer {}", workspace_of(path).key));
         }
         let request = request.body(Full::from(Bytes::from(body.to_string()))).unwrap();
         self.http.send(addr, request, Millis(3_500)).await
@@ -97,11 +97,11 @@
     }
 }
 
-pub fn path(key: &str) -> String {
+pub fn job_path(key: &str) -> String {
     format!("/plain/{key}")
 }
 
-fn body(job: &Job) -> String {
+fn job_body(job: &Job) -> String {
     let steps = job.steps.iter().enumerate().map(|(no, (count, cpu))| {
         let mut step = json!({"count": count, "cpu": cpu, "mem_mb": 100, "estimate_ms": 300});
         if no > 0 {
@@ -113,64 +113,65 @@
 }
 
 /// A job that may run for longer than a takeover, and rarely for longer than a lease.
-fn draw(rng: &mut Rng) -> Job {
+fn random_job(rng: &mut Rng) -> Job {
     let length = match rng.u32(0..10) {
         0 => rng.u64(2_000..5_000),
         _ => rng.u64(20..500),
     };
     let steps = (0..rng.u32(1..4)).map(|_| (rng.u32(1..5), rng.u64(300..1_800))).collect();
     let key = format!("{:016x}", rng.u64(1..));
-    Job { key, spec: length.to_string(), steps, told: Told::default() }
+    Job { key, spec: length.to_string(), steps, view: CallerView::default() }
 }
 
 /// Submits jobs one after the other until `until`.
-pub async fn run(way: Way, jobs: Jobs, mut rng: Rng, until: Instant) {
+pub async fn run_caller(client: Client, jobs: Jobs, mut rng: Rng, until: Instant) {
     while Instant::now() < until {
-        let job = draw(&mut rng);
-        let no = {
+        let job = random_job(&mut rng);
+        let index = {
             let mut jobs = jobs.lock().unwrap();
             jobs.push(job.clone());
             jobs.len() - 1
         };
-        submit(&way, &jobs, no, &job, &mut rng).await;
+        submit(&client, &jobs, index, &job, &mut rng).await;
         let cancels = rng.u32(0..8) == 0;
         if cancels {
             tokio::time::sleep(Duration::from_millis(rng.u64(0..400))).await;
-            cancel(&way, &jobs, no, &job, &mut rng).await;
+            cancel(&client, &jobs, index, &job, &mut rng).await;
         }
         tokio::time::sleep(Duration::from_millis(rng.u64(20..200))).await;
-        if let Some(state) = way.state(rng.usize(0..100), &path(&job.key)).await {
-            jobs.lock().unwrap()[no].told.state = state;
+        if let Some(state) = client.state(rng.usize(0..100), &job_path(&job.key)).await {
+            jobs.lock().unwrap()[index].view.last_state = state;
         }
     }
 }
 
 /// Submits a few jobs with a task that crashes its workers.
-pub async fn run_crashing(way: Way, jobs: Jobs, mut rng: Rng, until: Instant) {
+pub async fn run_crash_caller(client: Client, jobs: Jobs, mut rng: Rng, until: Instant) {
     while Instant::now() < until {
         let steps = vec![(rng.u32(1..3), rng.u64(300..1_800))];
         let key = format!("{:016x}", rng.u64(1..));
-        let job = Job { key, spec: format!("{CRASH_PREFIX}1"), steps, told: Told::default() };
-        let no = {
+        let job = Job { key, spec: format!("{CRASH_PREFIX}1"), steps, view: CallerView::default() };
+        let index = {
             let mut jobs = jobs.lock().unwrap();
             jobs.push(job.clone());
             jobs.len() - 1
         };
-        submit(&way, &jobs, no, &job, &mut rng).await;
+        submit(&client, &jobs, index, &job, &mut rng).await;
         tokio::time::sleep(Duration::from_millis(rng.u64(2_000..5_000))).await;
     }
 }
 
 /// Up to four tries; after silence or a broken connection the same key is sent to another entry.
-async fn submit(way: &Way, jobs: &Jobs, no: usize, job: &Job, rng: &mut Rng) {
+async fn submit(client: &Client, jobs: &Jobs, index: usize, job: &Job, rng: &mut Rng) {
     const TRIES: u32 = 4;
     let mut all_refused = true;
     for _ in 0..TRIES {
-        let answer = way.call(rng.usize(0..100), Method::POST, &path(&job.key), &body(job)).await;
+        let answer =
+            client.call(rng.usize(0..100), Method::POST, &job_path(&job.key), &job_body(job)).await;
         let status = answer.as_ref().map(|answer| answer.status);
         match status {
             Ok(StatusCode::OK) => {
-                jobs.lock().unwrap()[no].told.accepted = true;
+                jobs.lock().unwrap()[index].view.accepted = true;
                 return;
             }
             Ok(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) => {}
@@ -179,16 +180,16 @@
         }
         tokio::time::sleep(Duration::from_millis(rng.u64(50..400))).await;
     }
-    jobs.lock().unwrap()[no].told.refused = all_refused;
+    jobs.lock().unwrap()[index].view.refused = all_refused;
 }
 
-async fn cancel(way: &Way, jobs: &Jobs, no: usize, job: &Job, rng: &mut Rng) {
+async fn cancel(client: &Client, jobs: &Jobs, index: usize, job: &Job, rng: &mut Rng) {
     const TRIES: u32 = 3;
-    jobs.lock().unwrap()[no].told.tried_cancel = true;
+    jobs.lock().unwrap()[index].view.cancel_tried = true;
     for _ in 0..TRIES {
-        let answer = way.call(rng.usize(0..100), Method::DELETE, &path(&job.key), "").await;
+        let answer = client.call(rng.usize(0..100), Method::DELETE, &job_path(&job.key), "").await;
         if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
-            jobs.lock().unwrap()[no].told.cancelled = Some(Instant::now());
+            jobs.lock().unwrap()[index].view.cancelled_at = Some(Instant::now());
             return;
         }
     }
--- a/tests/soak/cell.rs
+++ b/tests/soak/cell.rs
@@ -13,27 +13,27 @@
 
 /// The first port of a cell on its own loopback address; relays are this much above what they
 /// relay to.
-const PORT: u16 = 20_000;
-const RELAY: u16 = 5_000;
+const BASE_PORT: u16 = 20_000;
+const RELAY_PORT_OFFSET: u16 = 5_000;
 /// The port for other entries, among those of an entry.
-const PEER: u16 = 2;
+const PEER_PORT_OFFSET: u16 = 2;
 
 /// One entry: its process, if there is one now, and the relays on its ways.
 pub struct Entry {
     process: Option<Process>,
-    pub store: Arc<Proxy>,
-    pub advice: Arc<Proxy>,
+    pub store_proxy: Arc<Proxy>,
+    pub advice_proxy: Arc<Proxy>,
     /// From other entries.
-    pub peer: Arc<Proxy>,
+    pub peer_proxy: Arc<Proxy>,
 }
 
 pub struct Cell {
     pub site: Site,
     pub entries: Vec<Entry>,
     /// To each worker, from all entries.
-    pub workers: Vec<Arc<Proxy>>,
-    folder: PathBuf,
-    cell_size: Option<u16>,
+    pub worker_proxies: Vec<Arc<Proxy>>,
+    dir: PathBuf,
+    min_workers: Option<u16>,
 }
 
 fn addr(host: &str, port: u16) -> SocketAddr {
@@ -43,29 +43,31 @@
 impl Cell {
     /// A cell on a loopback address that belongs to this seed and this run of the tests.
     ///
-    /// `cell_size`: the fewest workers of a cell, if there may be several.
-    pub async fn start(no: u8, workers: u16, entries: u16, cell_size: Option<u16>) -> Self {
+    /// `min_workers`: the fewest workers of a cell, if there may be several.
+    pub async fn start(host_no: u8, workers: u16, entries: u16, min_workers: Option<u16>) -> Self {
         let pid = std::process::id();
-        let host = format!("127.{}.{}.{no}", (pid >> 8) as u8, pid as u8);
-        let mut site = Site::start(&host, PORT, 0).await.unwrap();
+        let host = format!("127.{}.{}.{host_no}", (pid >> 8) as u8, pid as u8);
+        let mut site = Site::start(&host, BASE_PORT, 0).await.unwrap();
         let mut proxies = Vec::new();
         for _ in 0..workers {
             let target: SocketAddr = site.next_worker_addr().parse().unwrap();
-            let proxy = Proxy::start(addr(&host, target.port() + RELAY), target).await;
+            let proxy = Proxy::start(addr(&host, target.port() + RELAY_PORT_OFFSET), target).await;
             site.add_worker_at(proxy.addr.to_string()).await.unwrap();
             proxies.push(proxy);
         }
-        let folder = std::env::temp_dir().join(format!("sprucerudder-soak-{pid}-{no}"));
-        std::fs::create_dir_all(&folder).unwrap();
-        let mut cell = Self { site, entries: Vec::new(), workers: proxies, folder, cell_size };
+        let dir = std::env::temp_dir().join(format!("sprucerudder-soak-{pid}-{host_no}"));
+        std::fs::create_dir_all(&dir).unwrap();
+        let mut cell =
+            Self { site, entries: Vec::new(), worker_proxies: proxies, dir, min_workers };
         for no in 0..entries {
-            let base = PORT + RELAY + ENTRY_PORT_OFFSET + no * 10;
-            let peer = PORT + ENTRY_PORT_OFFSET + no * 10 + PEER;
+            let base = BASE_PORT + RELAY_PORT_OFFSET + ENTRY_PORT_OFFSET + no * 10;
+            let peer = BASE_PORT + ENTRY_PORT_OFFSET + no * 10 + PEER_PORT_OFFSET;
             let entry = Entry {
                 process: None,
-                store: Proxy::start(addr(&host, base), addr(&host, PORT)).await,
-                advice: Proxy::start(addr(&host, base + 1), addr(&host, PORT + 1)).await,
-                peer: Proxy::start(addr(&host, base + PEER), addr(&host, peer)).await,
+                store_proxy: Proxy::start(addr(&host, base), addr(&host, BASE_PORT)).await,
+                advice_proxy: Proxy::start(addr(&host, base + 1), addr(&host, BASE_PORT + 1)).await,
+                peer_proxy: Proxy::start(addr(&host, base + PEER_PORT_OFFSET), addr(&host, peer))
+                    .await,
             };
             cell.entries.push(entry);
             cell.start_entry(no);
@@ -74,46 +76,49 @@
     }
 
     /// Starts the process of an entry that has none.
-    pub fn start_entry(&mut self, no: u16) {
-        let entry = &mut self.entries[usize::from(no)];
-        let host = entry.store.addr.ip();
-        let settings = self.site.settings(no);
-        let through = settings
-            .replace(&format!("\"{host}:{PORT}\""), &format!("\"{}\"", entry.store.addr))
-            .replace(&format!("\"{host}:{}\"", PORT + 1), &format!("\"{}\"", entry.advice.addr));
-        let path = self.folder.join(format!("{no}.toml"));
+    pub fn start_entry(&mut self, index: u16) {
+        let entry = &mut self.entries[usize::from(index)];
+        let host = entry.store_proxy.addr.ip();
+        let settings = self.site.settings(index);
+        let settings = settings
+            .replace(&format!("\"{host}:{BASE_PORT}\""), &format!("\"{}\"", entry.store_proxy.addr))
+            .replace(
+                &format!("\"{host}:{}\"", BASE_PORT + 1),
+                &format!("\"{}\"", entry.advice_proxy.addr),
+            );
+        let path = self.dir.join(format!("{index}.toml"));
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(self.folder.join(format!("{no}.log")))
+            .open(self.dir.join(format!("{index}.log")))
             .unwrap();
         let program = env!("CARGO_BIN_EXE_sprucerudder");
-        let peer = entry.peer.addr.to_string();
-        let size = self.cell_size.map(|size| size.to_string());
-        let mut more = vec!["--advertise", &peer];
-        more.extend(size.iter().flat_map(|size| ["--cell-workers", size]));
-        let process = Process::start_node(program, &path, &through, &more, Stdio::from(log));
+        let peer = entry.peer_proxy.addr.to_string();
+        let min_workers = self.min_workers.map(|count| count.to_string());
+        let mut extra_args = vec!["--advertise", &peer];
+        extra_args.extend(min_workers.iter().flat_map(|count| ["--cell-workers", count]));
+        let process = Process::start_node(program, &path, &settings, &extra_args, Stdio::from(log));
         entry.process = Some(process.unwrap());
     }
 
     /// Sends a signal to an entry's process, if it has one.
-    pub fn signal(&self, no: u16, signal: Signal) {
-        if let Some(process) = &self.entries[usize::from(no)].process
+    pub fn signal(&self, index: u16, signal: Signal) {
+        if let Some(process) = &self.entries[usize::from(index)].process
             && let Err(err) = kill(Pid::from_raw(process.id() as i32), signal)
         {
             // It may have ended by itself a moment ago: the check of its end tells.
-            eprintln!("event=not-signalled entry={no} signal={signal} error={err:?}");
+            eprintln!("event=signal-failed entry={index} signal={signal} error={err:?}");
         }
     }
 
     /// Kills an entry's process and waits for its end.
-    pub fn kill_entry(&mut self, no: u16) {
-        drop(self.entries[usize::from(no)].process.take());
+    pub fn kill_entry(&mut self, index: u16) {
+        drop(self.entries[usize::from(index)].process.take());
     }
 
     /// Whether an entry's process ended; one that did is forgotten.
-    pub fn has_ended(&mut self, no: u16) -> bool {
-        let entry = &mut self.entries[usize::from(no)];
+    pub fn has_ended(&mut self, index: u16) -> bool {
+        let entry = &mut self.entries[usize::from(index)];
         let ended =
             entry.process.as_mut().is_some_and(|process| process.try_wait().unwrap().is_some());
         if ended {
@@ -122,12 +127,12 @@
         ended
     }
 
-    pub fn is_running(&self, no: u16) -> bool {
-        self.entries[usize::from(no)].process.is_some()
+    pub fn is_running(&self, index: u16) -> bool {
+        self.entries[usize::from(index)].process.is_some()
     }
 
     /// Where logs and settings are.
-    pub fn folder(&self) -> &PathBuf {
-        &self.folder
+    pub fn dir(&self) -> &PathBuf {
+        &self.dir
     }
 }
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,87 +1,87 @@
 //! What must hold, judged by what workers did and what callers were told.
 
-use crate::callers::{Job, workspace};
+use crate::callers::{Job, workspace_of};
 use sprucerudder::standin::site::WORKER_CPU;
 use sprucerudder::standin::site::worker::{CRASH_PREFIX, RunEvent, RunLog, RunRecord};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
 /// How long after an acknowledged cancel a task may still start.
-const CANCEL_LIMIT: Duration = Duration::from_secs(3);
+const MAX_START_AFTER_CANCEL: Duration = Duration::from_secs(3);
 /// How often a task may fail before its job does; from the stand-in's policy.
-const ATTEMPTS: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
 /// Workers that crashed under a task, and starts after that, by the platform's contract.
-const CRASHES: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// A task under which so many crashed may be given up.
-const GIVEN_UP: u32 = 2;
+const MIN_GIVE_UP_CRASHES: u32 = 2;
 
 /// What is known of a task's end `done`.
 #[derive(Debug)]
 struct Done {
     run: u64,
-    confirmed: bool,
+    is_confirmed: bool,
     /// It was started again before that end was confirmed.
-    again: bool,
+    restarted: bool,
 }
 
 /// The state of all workers, followed through the ledger.
 #[derive(Debug, Default)]
-pub struct Checks {
-    read: usize,
+pub struct InvariantChecker {
+    position: usize,
     /// Where a task runs, and as which run.
     running: HashMap<String, (String, u64)>,
-    used: HashMap<String, u64>,
+    used_cpu: HashMap<String, u64>,
     /// Jobs belong to workspaces with bounds.
-    keyed: bool,
+    has_workspaces: bool,
     /// What each workspace has running.
-    of_workspaces: HashMap<&'static str, u64>,
+    workspace_cpu: HashMap<&'static str, u64>,
     /// Processors of workers whose room changed.
-    rooms: HashMap<String, u64>,
+    worker_cpu: HashMap<String, u64>,
     /// Lives of workers that ended under a task.
-    crashed: HashMap<String, u32>,
+    crashes: HashMap<String, u32>,
     /// Starts of tasks that crash their workers, after three did.
-    more: HashMap<String, u32>,
+    extra_starts: HashMap<String, u32>,
     done: HashMap<String, Done>,
-    failed: HashMap<String, u32>,
-    started: BTreeSet<String>,
-    pub broken: Vec<String>,
+    failures: HashMap<String, u32>,
+    started_jobs: BTreeSet<String>,
+    pub violations: Vec<String>,
 }
 
 /// The job, the step and the place in it of a task.
-fn parts(task: &str) -> Option<(&str, usize, u32)> {
+fn parse_task(task: &str) -> Option<(&str, usize, u32)> {
     let mut parts = task.split('.');
     let (key, _) = (parts.next()?, parts.next()?);
     Some((key, parts.next()?.parse().ok()?, parts.next()?.parse().ok()?))
 }
 
-impl Checks {
-    /// `keyed`: jobs belong to workspaces with bounds.
-    pub fn new(keyed: bool) -> Self {
-        Self { keyed, ..Self::default() }
+impl InvariantChecker {
+    /// `has_workspaces`: jobs belong to workspaces with bounds.
+    pub fn new(has_workspaces: bool) -> Self {
+        Self { has_workspaces, ..Self::default() }
     }
 
     /// Takes in what workers did since the last look.
-    pub fn look(&mut self, ledger: &RunLog, jobs: &[Job]) {
-        let entries = ledger.since(self.read);
-        self.read += entries.len();
-        for entry in &entries {
-            match &entry.event {
-                RunEvent::Start(spec) => self.start(entry, spec, jobs),
-                RunEvent::End(how) => self.end(entry, how, jobs),
-                RunEvent::Confirm { lapsed } => self.confirm(entry, *lapsed),
-                RunEvent::Resized(cpu) => drop(self.rooms.insert(entry.worker.clone(), *cpu)),
+    pub fn read_events(&mut self, run_log: &RunLog, jobs: &[Job]) {
+        let records = run_log.since(self.position);
+        self.position += records.len();
+        for record in &records {
+            match &record.event {
+                RunEvent::Start(spec) => self.start(record, spec, jobs),
+                RunEvent::End(outcome) => self.end(record, outcome, jobs),
+                RunEvent::Confirm { lapsed } => self.confirm(record, *lapsed),
+                RunEvent::Resized(cpu) => drop(self.worker_cpu.insert(record.worker.clone(), *cpu)),
             }
         }
-        for job in jobs.iter().filter(|job| job.told.state == "completed") {
+        for job in jobs.iter().filter(|job| job.view.last_state == "completed") {
             if !self.is_done(job, job.steps.len()) {
-                self.fault(format!("job {} is shown as completed and is not", job.key));
+                self.add_violation(format!("job {} is shown as completed and is not", job.key));
             }
         }
     }
 
-    fn fault(&mut self, what: String) {
-        if !self.broken.contains(&what) {
-            self.broken.push(what);
+    fn add_violation(&mut self, what: String) {
+        if !self.violations.contains(&what) {
+            self.violations.push(what);
         }
     }
 
@@ -93,100 +93,110 @@
         tasks.all(|task| self.done.contains_key(&task))
     }
 
-    fn start(&mut self, entry: &RunRecord, spec: &str, jobs: &[Job]) {
-        let RunRecord { worker, task, run, at, .. } = entry;
-        let job = parts(task).and_then(|(key, step, index)| {
+    fn start(&mut self, record: &RunRecord, spec: &str, jobs: &[Job]) {
+        let RunRecord { worker, task, run, at, .. } = record;
+        let job = parse_task(task).and_then(|(key, step, index)| {
             let job = jobs.iter().find(|job| job.key == key)?;
             let (count, cpu) = *job.steps.get(step)?;
             (index < count).then_some((job, step, cpu))
         });
         let Some((job, step, cpu)) = job.filter(|(job, ..)| job.spec == spec) else {
-            return self.fault(format!("{task} on {worker}: nobody asked for it"));
+            return self.add_violation(format!("{task} on {worker}: nobody asked for it"));
         };
-        let used = self.used.entry(worker.clone()).or_default();
+        let used = self.used_cpu.entry(worker.clone()).or_default();
         *used += cpu;
-        let of_it = workspace(&job.key);
-        let running = self.of_workspaces.entry(of_it.name).or_default();
+        let workspace = workspace_of(&job.key);
+        let running = self.workspace_cpu.entry(workspace.name).or_default();
         // By the platform's contract: a tenth and one task more.
-        let beyond = self.keyed && *running > of_it.cpu * 11 / 10;
+        let over_limit = self.has_workspaces && *running > workspace.cpu * 11 / 10;
         *running += cpu;
-        let over = *used > self.rooms.get(worker).copied().unwrap_or(WORKER_CPU);
-        let crashed = spec.starts_with(CRASH_PREFIX) && self.crashed.get(task) >= Some(&CRASHES);
-        let more = self.more.entry(task.clone()).or_default();
-        *more += u32::from(crashed);
-        let excess = *more >= CRASHES;
+        let over_capacity = *used > self.worker_cpu.get(worker).copied().unwrap_or(WORKER_CPU);
+        let crashed =
+            spec.starts_with(CRASH_PREFIX) && self.crashes.get(task) >= Some(&MAX_CRASHES);
+        let extra = self.extra_starts.entry(task.clone()).or_default();
+        *extra += u32::from(crashed);
+        let excess = *extra >= MAX_CRASHES;
         // By the time of the start, not of this look: looks may be seconds apart.
-        let late = job.told.cancelled.is_some_and(|told| *at > told + CANCEL_LIMIT);
-        let elsewhere = self.running.insert(task.clone(), (worker.clone(), *run));
+        let after_cancel =
+            job.view.cancelled_at.is_some_and(|told| *at > told + MAX_START_AFTER_CANCEL);
+        let other_run = self.running.insert(task.clone(), (worker.clone(), *run));
         let again = self.done.get_mut(task);
-        let confirmed = again.as_ref().is_some_and(|done| done.confirmed);
+        let is_confirmed = again.as_ref().is_some_and(|done| done.is_confirmed);
         if let Some(done) = again {
-            done.again = true;
+            done.restarted = true;
         }
-        let early = !self.is_done(job, step);
-        self.started.insert(job.key.clone());
+        let before_done = !self.is_done(job, step);
+        self.started_jobs.insert(job.key.clone());
         let faults = [
-            (over, "is over what the worker has"),
-            (beyond, "is beyond what its workspace may have running"),
+            (over_capacity, "is over what the worker has"),
+            (over_limit, "is beyond what its workspace may have running"),
             (excess, "starts three times more after three workers crashed under it"),
-            (late, "starts long after its job was cancelled"),
-            (elsewhere.is_some(), "runs twice at once"),
-            (confirmed, "starts again after its end was confirmed"),
-            (early, "starts before what it depends on is done"),
+            (after_cancel, "starts long after its job was cancelled"),
+            (other_run.is_some(), "runs twice at once"),
+            (is_confirmed, "starts again after its end was confirmed"),
+            (before_done, "starts before what it depends on is done"),
         ];
         for (_, what) in faults.into_iter().filter(|(wrong, _)| *wrong) {
-            self.fault(format!("{task} run {run} on {worker} {what}; also at {elsewhere:?}"));
+            self.add_violation(format!(
+                "{task} run {run} on {worker} {what}; also at {other_run:?}"
+            ));
         }
     }
 
-    fn end(&mut self, entry: &RunRecord, how: &str, jobs: &[Job]) {
-        let RunRecord { worker, task, run, .. } = entry;
-        let cpu = parts(task).and_then(|(key, step, _)| {
+    fn end(&mut self, record: &RunRecord, outcome: &str, jobs: &[Job]) {
+        let RunRecord { worker, task, run, .. } = record;
+        let cpu = parse_task(task).and_then(|(key, step, _)| {
             let job = jobs.iter().find(|job| job.key == key)?;
             job.steps.get(step).map(|(_, cpu)| *cpu)
         });
-        if let Some(used) = self.used.get_mut(worker) {
+        if let Some(used) = self.used_cpu.get_mut(worker) {
             *used -= cpu.unwrap_or(0).min(*used);
         }
-        if let (Some(cpu), Some((key, ..))) = (cpu, parts(task))
-            && let Some(running) = self.of_workspaces.get_mut(workspace(key).name)
+        if let (Some(cpu), Some((key, ..))) = (cpu, parse_task(task))
+            && let Some(running) = self.workspace_cpu.get_mut(workspace_of(key).name)
         {
             *running -= cpu.min(*running);
         }
         if self.running.get(task) == Some(&(worker.clone(), *run)) {
             self.running.remove(task);
         }
-        match how {
+        match outcome {
             "done" => {
-                let done = Done { run: *run, confirmed: false, again: false };
+                let done = Done { run: *run, is_confirmed: false, restarted: false };
                 self.done.entry(task.clone()).or_insert(done);
             }
-            "crashed" => *self.crashed.entry(task.clone()).or_default() += 1,
-            "failed" => *self.failed.entry(task.clone()).or_default() += 1,
+            "crashed" => *self.crashes.entry(task.clone()).or_default() += 1,
+            "failed" => *self.failures.entry(task.clone()).or_default() += 1,
             _ => {}
         }
     }
 
-    fn confirm(&mut self, entry: &RunRecord, lapsed: bool) {
-        let Some(done) = self.done.get_mut(&entry.task).filter(|done| done.run == entry.run) else {
+    fn confirm(&mut self, record: &RunRecord, lapsed: bool) {
+        let Some(done) = self.done.get_mut(&record.task).filter(|done| done.run == record.run)
+        else {
             return;
         };
-        let again = done.again && !done.confirmed;
+        let again = done.restarted && !done.is_confirmed;
         if lapsed {
             return;
         }
-        done.confirmed = true;
+        done.is_confirmed = true;
         if again {
-            self.fault(format!("{} was started again, and its earlier end confirmed", entry.task));
+            self.add_violation(format!(
+                "{} was started again, and its earlier end confirmed",
+                record.task
+            ));
         }
     }
 
     /// Whether a job's end, as shown when all is calm, has a cause.
-    pub fn judge(&mut self, job: &Job, state: &str) {
-        let of_job = |task: &str| parts(task).is_some_and(|(key, ..)| key == job.key);
-        let failed = self.failed.iter().any(|(task, count)| *count >= ATTEMPTS && of_job(task));
-        let crashed = self.crashed.iter().any(|(task, count)| *count >= GIVEN_UP && of_job(task));
-        let cancelled = job.told.tried_cancel;
+    pub fn check_end_state(&mut self, job: &Job, state: &str) {
+        let of_job = |task: &str| parse_task(task).is_some_and(|(key, ..)| key == job.key);
+        let failed =
+            self.failures.iter().any(|(task, count)| *count >= MAX_ATTEMPTS && of_job(task));
+        let crashed =
+            self.crashes.iter().any(|(task, count)| *count >= MIN_GIVE_UP_CRASHES && of_job(task));
+        let cancelled = job.view.cancel_tried;
         let fault = match state {
             "completed" if !self.is_done(job, job.steps.len()) => "is shown as completed",
             "failed" if !failed && !crashed => "is shown as failed without a cause",
@@ -194,14 +204,14 @@
             "gone" => "was accepted and is not known",
             _ => return,
         };
-        self.fault(format!("job {} {fault}", job.key));
+        self.add_violation(format!("job {} {fault}", job.key));
     }
 
     /// What is wrong when everything has come to an end.
-    pub fn finish(&mut self, jobs: &[Job]) {
+    pub fn check_at_end(&mut self, jobs: &[Job]) {
         let refused: Vec<String> = jobs
             .iter()
-            .filter(|job| job.told.refused && self.started.contains(&job.key))
+            .filter(|job| job.view.refused && self.started_jobs.contains(&job.key))
             .map(|job| format!("job {} ran though every try was refused", job.key))
             .collect();
         let left: Vec<String> = self
@@ -210,7 +220,7 @@
             .map(|(task, (worker, _))| format!("{task} still runs on {worker}"))
             .collect();
         for what in refused.into_iter().chain(left) {
-            self.fault(what);
+            self.add_violation(what);
         }
     }
 }
--- a/tests/soak/checks_test.rs
+++ b/tests/soak/checks_test.rs
@@ -1,19 +1,19 @@
 //! The checks of the soak find each kind of broken promise in a ledger written by hand.
 
-use crate::callers::{Job, Told};
-use crate::checks::Checks;
+use crate::callers::{CallerView, Job};
+use crate::checks::InvariantChecker;
 use sprucerudder::standin::site::worker::{CRASH_PREFIX, RunEvent, RunLog, RunRecord};
 use std::time::Duration;
 use tokio::time::Instant;
 
 const KEY: &str = "00000000000000aa";
 
-fn job(told: Told) -> Job {
+fn job(view: CallerView) -> Job {
     let steps = vec![(2, 5_000), (1, 500)];
-    Job { key: KEY.to_string(), spec: "50".to_string(), steps, told }
+    Job { key: KEY.to_string(), spec: "50".to_string(), steps, view }
 }
 
-fn entry(worker: &str, place: &str, run: u64, event: RunEvent) -> RunRecord {
+fn record(worker: &str, place: &str, run: u64, event: RunEvent) -> RunRecord {
     let task = format!("{KEY}.0.{place}");
     RunRecord { worker: worker.to_string(), task, run, event, at: Instant::now() }
 }
@@ -23,22 +23,22 @@
 }
 
 /// A worker, a task's place in its job, the number of its start, and what was done.
-type Did = (&'static str, &'static str, u64, RunEvent);
+type WorkerEvent = (&'static str, &'static str, u64, RunEvent);
 
 /// What the checks say after these events.
-fn broken(events: &[Did], told: Told) -> String {
-    let ledger = RunLog::default();
+fn violations(events: &[WorkerEvent], view: CallerView) -> String {
+    let run_log = RunLog::default();
     for (worker, place, run, event) in events {
-        ledger.add(entry(worker, place, *run, event.clone()));
+        run_log.add(record(worker, place, *run, event.clone()));
     }
-    let (mut checks, jobs) = (Checks::default(), [job(told)]);
-    checks.look(&ledger, &jobs);
-    checks.finish(&jobs);
-    checks.broken.join("; ")
+    let (mut checker, jobs) = (InvariantChecker::default(), [job(view)]);
+    checker.read_events(&run_log, &jobs);
+    checker.check_at_end(&jobs);
+    checker.violations.join("; ")
 }
 
-fn told(state: &str) -> Told {
-    Told { accepted: true, state: state.to_string(), ..Told::default() }
+fn accepted_view(state: &str) -> CallerView {
+    CallerView { accepted: true, last_state: state.to_string(), ..CallerView::default() }
 }
 
 #[test]
@@ -54,23 +54,23 @@
         ("w2", "1.0", 1, start()),
         ("w2", "1.0", 1, RunEvent::End("done")),
     ];
-    assert_eq!(broken(&events, told("completed")), "");
+    assert_eq!(violations(&events, accepted_view("completed")), "");
 }
 
 #[test]
 fn a_task_that_is_started_too_often_after_crashes_is_found() {
-    let job = Job { spec: format!("{CRASH_PREFIX}1"), ..job(told("")) };
-    let row = |worker: &str, run, event| entry(worker, "0.0", run, event);
+    let job = Job { spec: format!("{CRASH_PREFIX}1"), ..job(accepted_view("")) };
+    let row = |worker: &str, run, event| record(worker, "0.0", run, event);
     let starts = |count: u64| {
-        let ledger = RunLog::default();
+        let run_log = RunLog::default();
         for run in 0..count {
             let worker = format!("w{run}");
-            ledger.add(row(&worker, run, RunEvent::Start(job.spec.clone())));
-            ledger.add(row(&worker, run, RunEvent::End("crashed")));
+            run_log.add(row(&worker, run, RunEvent::Start(job.spec.clone())));
+            run_log.add(row(&worker, run, RunEvent::End("crashed")));
         }
-        let mut checks = Checks::default();
-        checks.look(&ledger, std::slice::from_ref(&job));
-        checks.broken.join("; ")
+        let mut checker = InvariantChecker::default();
+        checker.read_events(&run_log, std::slice::from_ref(&job));
+        checker.violations.join("; ")
     };
     assert_eq!(starts(5), "");
     assert!(starts(6).contains("three times more"), "{}", starts(6));
@@ -81,13 +81,13 @@
 #[test]
 fn a_start_is_late_by_its_own_time() {
     let look = |after: u64| {
-        let ledger = RunLog::default();
-        let told_at = Instant::now() - Duration::from_secs(60);
-        let (cancelled, at) = (Some(told_at), told_at + Duration::from_millis(after));
-        ledger.add(RunRecord { at, ..entry("w1", "0.0", 1, start()) });
-        let mut checks = Checks::default();
-        checks.look(&ledger, &[job(Told { cancelled, ..told("") })]);
-        checks.broken.join("; ")
+        let run_log = RunLog::default();
+        let cancel_time = Instant::now() - Duration::from_secs(60);
+        let (cancelled_at, at) = (Some(cancel_time), cancel_time + Duration::from_millis(after));
+        run_log.add(RunRecord { at, ..record("w1", "0.0", 1, start()) });
+        let mut checker = InvariantChecker::default();
+        checker.read_events(&run_log, &[job(CallerView { cancelled_at, ..accepted_view("") })]);
+        checker.violations.join("; ")
     };
     assert_eq!(look(2_900), "");
     assert!(look(3_100).contains("long after its job was cancelled"));
@@ -96,19 +96,23 @@
 #[test]
 fn a_start_over_a_room_that_has_shrunk_is_found() {
     let events = [("w1", "0.0", 1, RunEvent::Resized(4_000)), ("w1", "0.0", 1, start())];
-    assert!(broken(&events, told("")).contains("over what"));
+    assert!(violations(&events, accepted_view("")).contains("over what"));
 }
 
 #[test]
 fn each_broken_promise_is_found() {
     let done = RunEvent::End("done");
     let confirm = RunEvent::Confirm { lapsed: false };
-    let cases: [(&[Did], Told, &str); 8] = [
-        (&[("w1", "0.0", 1, start()), ("w2", "0.0", 2, start())], told(""), "twice at once"),
-        (&[("w1", "0.0", 1, start()), ("w1", "0.1", 1, start())], told(""), "over what"),
-        (&[("w1", "1.0", 1, start())], told(""), "before what it depends on"),
-        (&[("w1", "0.7", 1, start())], told(""), "nobody asked"),
-        (&[("w1", "0.0", 1, RunEvent::Start("60".to_string()))], told(""), "nobody asked"),
+    let cases: [(&[WorkerEvent], CallerView, &str); 8] = [
+        (
+            &[("w1", "0.0", 1, start()), ("w2", "0.0", 2, start())],
+            accepted_view(""),
+            "twice at once",
+        ),
+        (&[("w1", "0.0", 1, start()), ("w1", "0.1", 1, start())], accepted_view(""), "over what"),
+        (&[("w1", "1.0", 1, start())], accepted_view(""), "before what it depends on"),
+        (&[("w1", "0.7", 1, start())], accepted_view(""), "nobody asked"),
+        (&[("w1", "0.0", 1, RunEvent::Start("60".to_string()))], accepted_view(""), "nobody asked"),
         (
             &[
                 ("w1", "0.0", 1, start()),
@@ -117,22 +121,22 @@
                 ("w2", "0.0", 2, done.clone()),
                 ("w1", "0.0", 1, confirm),
             ],
-            told(""),
+            accepted_view(""),
             "its earlier end confirmed",
         ),
         (
             &[("w1", "0.0", 1, start()), ("w1", "0.0", 1, done)],
-            told("completed"),
+            accepted_view("completed"),
             "shown as completed",
         ),
         (
             &[("w1", "0.0", 1, start()), ("w1", "0.0", 1, RunEvent::End("done"))],
-            Told { refused: true, ..Told::default() },
+            CallerView { refused: true, ..CallerView::default() },
             "every try was refused",
         ),
     ];
-    for (events, told, wanted) in cases {
-        let found = broken(events, told);
+    for (events, view, wanted) in cases {
+        let found = violations(events, view);
         assert!(found.contains(wanted), "{wanted}: {found}");
     }
 }
@@ -141,18 +145,23 @@
 fn a_start_beyond_what_a_workspace_may_have_running_is_found() {
     // The bound is 12,000, and each task takes 5,000: the contract allows a tenth and one task more, so the fourth is
     // one too many, and none where an end has made room.
-    let wide = Job { steps: vec![(4, 5_000)], ..job(told("")) };
-    let starts = |keyed, ends: bool| {
-        let ledger = RunLog::default();
+    let wide = Job { steps: vec![(4, 5_000)], ..job(accepted_view("")) };
+    let starts = |has_workspaces, ends: bool| {
+        let run_log = RunLog::default();
         for no in 0..4_u64 {
-            ledger.add(entry(&format!("w{no}"), &format!("0.{no}"), 1, start()));
+            run_log.add(record(&format!("w{no}"), &format!("0.{no}"), 1, start()));
             if ends {
-                ledger.add(entry(&format!("w{no}"), &format!("0.{no}"), 1, RunEvent::End("done")));
+                run_log.add(record(
+                    &format!("w{no}"),
+                    &format!("0.{no}"),
+                    1,
+                    RunEvent::End("done"),
+                ));
             }
         }
-        let mut checks = Checks::new(keyed);
-        checks.look(&ledger, std::slice::from_ref(&wide));
-        checks.broken.join("; ")
+        let mut checker = InvariantChecker::new(has_workspaces);
+        checker.read_events(&run_log, std::slice::from_ref(&wide));
+        checker.violations.join("; ")
     };
     assert!(starts(true, false).contains("beyond what its workspace"));
     assert_eq!(starts(true, true), "");
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -10,11 +10,11 @@
 mod faults;
 mod proxy;
 
-use callers::{Job, Jobs, Way, path};
+use callers::{Client, Job, Jobs, job_path};
 use cell::Cell;
-use checks::Checks;
+use checks::InvariantChecker;
 use fastrand::Rng;
-use faults::{Act, Cut, Link};
+use faults::{FaultAction, Link, LinkFault};
 use nix::sys::signal::Signal;
 use proxy::Proxy;
 use sprucerudder::platform::http::HttpClient;
@@ -27,135 +27,143 @@
 use tokio::time::Instant;
 
 /// Seeds that failed once.
-const KEPT: [u64; 3] = [
+const REGRESSION_SEEDS: [u64; 3] = [
     // The answer to a new owner's fence was lost, and its takeover waited for good.
-    FIRST, // A cell without workers: jobs that went there were queued for good.
-    9_111, 9_115,
+    SINGLE_CELL_SEED, // A cell without workers: jobs that went there were queued for good.
+    9_111,
+    9_115,
 ];
 /// A kept seed that is played as it was found: without silences, and in one cell.
-const FIRST: u64 = 13;
+const SINGLE_CELL_SEED: u64 = 13;
 /// Seeds that failed once, played as any other: a start without an answer counted as a crash of each life that
 /// it was given on to.
-const KEPT_LIVES: [u64; 2] = [9_501, 9_512];
+const RESTART_SEEDS: [u64; 2] = [9_501, 9_512];
 /// The fewest workers of a cell in every second seed, so that it has two to four cells.
-const CELL_SIZE: u16 = 2;
+const MIN_CELL_WORKERS: u16 = 2;
 /// Seeds that CI plays, beside the kept ones.
-const USUAL: u64 = 3;
+const DEFAULT_SEED_COUNT: u64 = 3;
 /// Seeds played side by side: each has up to five processes of entries.
-const ABREAST: usize = 6;
+const MAX_PARALLEL_SEEDS: usize = 6;
 /// How long faults begin, in milliseconds.
-const TROUBLE: u64 = 7_000;
+const FAULT_PERIOD_MS: u64 = 7_000;
 /// How long callers submit jobs.
-const TRAFFIC: Duration = Duration::from_millis(9_000);
-const CALLERS: usize = 4;
+const TRAFFIC_PERIOD: Duration = Duration::from_millis(9_000);
+const CALLER_COUNT: usize = 4;
 /// Longer than leases, takeovers and the longest chain of tasks take together on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(40);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// An entry that was stopped by plan is started again this much later.
-const RESTART: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-fn number(name: &str, usual: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     match std::env::var(name) {
         Ok(text) => text.parse().unwrap_or_else(|err| panic!("{name}={text:?}: {err}")),
-        Err(_) => usual,
+        Err(_) => default,
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn promises_hold_under_random_faults() {
-    let first = number("SPRUCE_SOAK_SEED", 1);
-    let seeds = first..first + number("SPRUCE_SOAK", USUAL);
-    play_all(KEPT.into_iter().chain(seeds), 2).await;
+    let first = env_number("SPRUCE_SOAK_SEED", 1);
+    let seeds = first..first + env_number("SPRUCE_SOAK", DEFAULT_SEED_COUNT);
+    run_seeds(REGRESSION_SEEDS.into_iter().chain(seeds), 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_on_kept_seeds_of_restarted_workers() {
-    play_all(KEPT_LIVES.into_iter(), 240).await;
+    run_seeds(RESTART_SEEDS.into_iter(), 240).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_on_a_kept_seed_of_rooms_that_shrink() {
     // A worker's room shrank from 8000 to 975 and to 3623, and runs of one owner were counted beyond it:
     // f2ef91114a5acb4b.0.0.3 run 1025 on i-0 is over what the worker has; also at None
-    play_all([10_086].into_iter(), 244).await;
+    run_seeds([10_086].into_iter(), 244).await;
 }
 
 /// Plays seeds side by side; `place`: the first of their loopback addresses.
-async fn play_all(seeds: impl Iterator<Item = u64>, place: usize) {
-    let abreast = Arc::new(Semaphore::new(ABREAST));
+async fn run_seeds(seeds: impl Iterator<Item = u64>, first_host: usize) {
+    let permits = Arc::new(Semaphore::new(MAX_PARALLEL_SEEDS));
     let mut runs = JoinSet::new();
     for (no, seed) in seeds.enumerate() {
-        let abreast = abreast.clone();
+        let permits = permits.clone();
         runs.spawn(async move {
-            let _permit = abreast.acquire_owned().await.unwrap();
-            Run::play(seed, ((place + no) % 252) as u8).await
+            let _permit = permits.acquire_owned().await.unwrap();
+            SeedRun::run(seed, ((first_host + no) % 252) as u8).await
         });
     }
     let reports = runs.join_all().await;
-    let broken: Vec<String> = reports.into_iter().flatten().collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let violations: Vec<String> = reports.into_iter().flatten().collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// One seed.
-struct Run {
+struct SeedRun {
     cell: Cell,
-    way: Way,
+    client: Client,
     jobs: Jobs,
-    checks: Checks,
+    checker: InvariantChecker,
     /// When entries that are away by plan are to be started again.
     restarts: Vec<(Instant, u16)>,
 }
 
-impl Run {
+impl SeedRun {
     /// Plays a seed; what was broken, with the faults and where the logs are.
-    async fn play(seed: u64, no: u8) -> Option<String> {
+    async fn run(seed: u64, host: u8) -> Option<String> {
         let mut rng = Rng::with_seed(seed);
         let (workers, entries) = (rng.u16(5..10), rng.u16(2..6));
-        let several = seed % 2 == 1 && seed != FIRST;
-        let cell = Cell::start(no, workers, entries, several.then_some(CELL_SIZE)).await;
-        let fronts = (0..entries).map(|no| cell.site.front_addr(no)).collect();
+        let has_cells = seed % 2 == 1 && seed != SINGLE_CELL_SEED;
+        let cell = Cell::start(host, workers, entries, has_cells.then_some(MIN_CELL_WORKERS)).await;
+        let addrs = (0..entries).map(|no| cell.site.front_addr(no)).collect();
         // The kept seeds are played as they were found.
-        let keyed = seed % 3 == 0 && !KEPT.contains(&seed) && !KEPT_LIVES.contains(&seed);
-        if keyed {
+        let has_workspaces =
+            seed % 3 == 0 && !REGRESSION_SEEDS.contains(&seed) && !RESTART_SEEDS.contains(&seed);
+        if has_workspaces {
             cell.site.publish_policy(2, &callers::WORKSPACES);
         }
-        let way = Way { fronts, http: HttpClient::default(), keyed };
+        let client = Client { addrs, http: HttpClient::default(), sends_keys: has_workspaces };
         let jobs = Jobs::default();
-        let mut run = Self { cell, way, jobs, checks: Checks::new(keyed), restarts: Vec::new() };
-        let mut acts = faults::draw(&mut rng, entries, workers, TROUBLE);
-        if seed != FIRST {
-            acts.extend(faults::draw_silences(seed, entries, workers, TROUBLE));
-            if !KEPT.contains(&seed) {
-                acts.extend(faults::draw_workers(seed, workers, TROUBLE));
-                acts.extend(faults::draw_lives(seed, entries, workers, TROUBLE));
+        let mut run = Self {
+            cell,
+            client,
+            jobs,
+            checker: InvariantChecker::new(has_workspaces),
+            restarts: Vec::new(),
+        };
+        let mut actions = faults::random_faults(&mut rng, entries, workers, FAULT_PERIOD_MS);
+        if seed != SINGLE_CELL_SEED {
+            actions.extend(faults::random_stalls(seed, entries, workers, FAULT_PERIOD_MS));
+            if !REGRESSION_SEEDS.contains(&seed) {
+                actions.extend(faults::random_worker_faults(seed, workers, FAULT_PERIOD_MS));
+                actions.extend(faults::random_restarts(seed, entries, workers, FAULT_PERIOD_MS));
             }
-            acts.sort_by_key(|(at, _)| *at);
+            actions.sort_by_key(|(at, _)| *at);
         }
-        if run.await_service().await {
-            run.trouble(&acts, &mut rng, !KEPT.contains(&seed)).await;
-            let calm = Instant::now();
-            run.settle().await;
+        if run.wait_for_owner().await {
+            run.inject_faults(&actions, &mut rng, !REGRESSION_SEEDS.contains(&seed)).await;
+            let faults_end = Instant::now();
+            run.wait_for_jobs().await;
             let jobs = run.snapshot();
-            let accepted = jobs.iter().filter(|job| job.told.accepted).count();
+            let accepted = jobs.iter().filter(|job| job.view.accepted).count();
             println!(
                 "seed {seed}: {} faults, {} jobs, {accepted} accepted, all at rest after {:?}",
-                acts.len(),
+                actions.len(),
                 jobs.len(),
-                calm.elapsed()
+                faults_end.elapsed()
             );
         }
-        let Run { cell, checks, .. } = run;
-        if checks.broken.is_empty() {
+        let SeedRun { cell, checker, .. } = run;
+        if checker.violations.is_empty() {
             // Only a failed seed's logs are worth keeping.
-            if let Err(err) = std::fs::remove_dir_all(cell.folder()) {
-                eprintln!("event=logs-left seed={seed} error={err:?}");
+            if let Err(err) = std::fs::remove_dir_all(cell.dir()) {
+                eprintln!("event=log-removal-failed seed={seed} error={err:?}");
             }
             return None;
         }
         Some(format!(
-            "seed {seed}: {}\nlogs in {}\n{acts:#?}",
-            checks.broken.join("\n"),
-            cell.folder().display()
+            "seed {seed}: {}\nlogs in {}\n{actions:#?}",
+            checker.violations.join("\n"),
+            cell.dir().display()
         ))
     }
 
@@ -163,101 +171,113 @@
         self.jobs.lock().unwrap().clone()
     }
 
-    fn look(&mut self) {
+    fn read_events(&mut self) {
         let jobs = self.snapshot();
-        self.checks.look(&self.cell.site.run_log, &jobs);
+        self.checker.read_events(&self.cell.site.run_log, &jobs);
     }
 
     /// Waits until the cell has an owner.
-    async fn await_service(&mut self) -> bool {
+    async fn wait_for_owner(&mut self) -> bool {
         let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
-            if self.way.state(0, &path("00000000000000ff")).await.is_some() {
+        while begun.elapsed() < SETTLE_TIMEOUT {
+            if self.client.state(0, &job_path("00000000000000ff")).await.is_some() {
                 return true;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        self.checks.broken.push("the cell never came up".to_string());
+        self.checker.violations.push("no owner was elected before the timeout".to_string());
         false
     }
 
     /// Faults and callers' traffic at the same time.
     ///
     /// `crashing`: some tasks crash their workers.
-    async fn trouble(&mut self, acts: &[(u64, Act)], rng: &mut Rng, crashing: bool) {
+    async fn inject_faults(
+        &mut self,
+        actions: &[(u64, FaultAction)],
+        rng: &mut Rng,
+        has_crash_tasks: bool,
+    ) {
         let begun = Instant::now();
-        let until = begun + TRAFFIC;
+        let until = begun + TRAFFIC_PERIOD;
         let mut callers = JoinSet::new();
-        for _ in 0..CALLERS {
-            let caller = callers::run(self.way.clone(), self.jobs.clone(), rng.fork(), until);
+        for _ in 0..CALLER_COUNT {
+            let caller =
+                callers::run_caller(self.client.clone(), self.jobs.clone(), rng.fork(), until);
             callers.spawn(caller);
         }
-        if crashing {
-            let (way, jobs) = (self.way.clone(), self.jobs.clone());
-            callers.spawn(callers::run_crashing(way, jobs, rng.fork(), until));
+        if has_crash_tasks {
+            let (client, jobs) = (self.client.clone(), self.jobs.clone());
+            callers.spawn(callers::run_crash_caller(client, jobs, rng.fork(), until));
         }
-        let mut acts = acts.iter().peekable();
-        while Instant::now() < until || acts.peek().is_some() {
-            let due = |(at, _): &&(u64, Act)| begun.elapsed().as_millis() as u64 >= *at;
-            while let Some((_, act)) = acts.next_if(due) {
-                self.act(act);
+        let mut actions = actions.iter().peekable();
+        while Instant::now() < until || actions.peek().is_some() {
+            let due = |(at, _): &&(u64, FaultAction)| begun.elapsed().as_millis() as u64 >= *at;
+            while let Some((_, action)) = actions.next_if(due) {
+                self.apply(action);
             }
-            self.restart_due();
-            self.look();
-            tokio::time::sleep(LOOK).await;
+            self.restart_stopped_entries();
+            self.read_events();
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         callers.join_all().await;
     }
 
     fn proxy(&self, link: Link) -> &Proxy {
         match link {
-            Link::Store(no) => &self.cell.entries[usize::from(no)].store,
-            Link::Advice(no) => &self.cell.entries[usize::from(no)].advice,
-            Link::Peer(no) => &self.cell.entries[usize::from(no)].peer,
-            Link::Worker(no) => &self.cell.workers[usize::from(no)],
+            Link::Store(no) => &self.cell.entries[usize::from(no)].store_proxy,
+            Link::Advice(no) => &self.cell.entries[usize::from(no)].advice_proxy,
+            Link::Peer(no) => &self.cell.entries[usize::from(no)].peer_proxy,
+            Link::Worker(no) => &self.cell.worker_proxies[usize::from(no)],
         }
     }
 
-    fn act(&mut self, act: &Act) {
-        match act {
-            Act::Signal(no, signal) => self.cell.signal(*no, *signal),
-            Act::Kill(no) => self.cell.kill_entry(*no),
-            Act::Start(no) if self.cell.is_running(*no) => {}
-            Act::Start(no) => self.cell.start_entry(*no),
-            Act::Heal(link) => self.proxy(*link).heal(),
-            Act::Silence(link) => self.proxy(*link).set(|mode| mode.silences += 1),
-            Act::Cut(link, cut) => self.proxy(*link).set(|mode| match cut {
-                Cut::Delay(time) => mode.delay = *time,
-                Cut::Reset => mode.resets += 1,
-                Cut::Up => mode.mute_up = true,
-                Cut::Down => mode.mute_down = true,
-                Cut::Both => (mode.mute_up, mode.mute_down) = (true, true),
-            }),
-            Act::Store(faults) => self.cell.site.store.set(faults.clone()),
-            Act::Compact => self.cell.site.store.compact(),
-            Act::Grey(no, grey) => {
+    fn apply(&mut self, action: &FaultAction) {
+        match action {
+            FaultAction::SignalEntry(no, signal) => self.cell.signal(*no, *signal),
+            FaultAction::KillEntry(no) => self.cell.kill_entry(*no),
+            FaultAction::StartEntry(no) if self.cell.is_running(*no) => {}
+            FaultAction::StartEntry(no) => self.cell.start_entry(*no),
+            FaultAction::RestoreLink(link) => self.proxy(*link).restore(),
+            FaultAction::StallConnections(link) => {
+                self.proxy(*link).update(|state| state.stall_count += 1)
+            }
+            FaultAction::DisturbLink(link, fault) => {
+                self.proxy(*link).update(|state| match fault {
+                    LinkFault::Delay(time) => state.delay = *time,
+                    LinkFault::Reset => state.reset_count += 1,
+                    LinkFault::HoldRequests => state.hold_requests = true,
+                    LinkFault::HoldReplies => state.hold_replies = true,
+                    LinkFault::HoldBoth => (state.hold_requests, state.hold_replies) = (true, true),
+                })
+            }
+            FaultAction::SetStoreFaults(faults) => self.cell.site.store.set(faults.clone()),
+            FaultAction::CompactStore => self.cell.site.store.compact(),
+            FaultAction::FailTasks(no, fails) => {
                 let worker = &self.cell.site.workers[usize::from(*no)];
-                worker.faults.fails_tasks.store(*grey, Ordering::Relaxed);
+                worker.faults.fails_tasks.store(*fails, Ordering::Relaxed);
             }
-            Act::Crash(no) => self.cell.site.workers[usize::from(*no)].crash(),
-            Act::Restart(no) => self.cell.site.workers[usize::from(*no)].restart(),
-            Act::Power => {
+            FaultAction::CrashWorker(no) => self.cell.site.workers[usize::from(*no)].crash(),
+            FaultAction::RestartWorker(no) => self.cell.site.workers[usize::from(*no)].restart(),
+            FaultAction::LosePower => {
                 (0..self.cell.entries.len() as u16).for_each(|no| self.cell.kill_entry(no));
                 self.cell.site.workers.iter().for_each(|worker| worker.restart());
             }
-            Act::Resize(no, cpu) => self.cell.site.workers[usize::from(*no)].resize(*cpu),
-            Act::Late(no, late) => {
+            FaultAction::ResizeWorker(no, cpu) => {
+                self.cell.site.workers[usize::from(*no)].resize(*cpu)
+            }
+            FaultAction::DelayOrders(no, delay) => {
                 let worker = &self.cell.site.workers[usize::from(*no)];
-                worker.faults.order_delay.store(*late, Ordering::Relaxed);
+                worker.faults.order_delay.store(*delay, Ordering::Relaxed);
             }
         }
     }
 
     /// Entries that ended after SIGTERM are started again.
-    fn restart_due(&mut self) {
+    fn restart_stopped_entries(&mut self) {
         for no in 0..self.cell.entries.len() as u16 {
             if self.cell.has_ended(no) {
-                self.restarts.push((Instant::now() + RESTART, no));
+                self.restarts.push((Instant::now() + RESTART_DELAY, no));
             }
         }
         let now = Instant::now();
@@ -273,52 +293,52 @@
     }
 
     /// Without faults every accepted job has to come to its end, and be known.
-    async fn settle(&mut self) {
-        self.heal();
+    async fn wait_for_jobs(&mut self) {
+        self.restore_all();
         let begun = Instant::now();
         let mut open: Vec<Job> =
-            self.snapshot().into_iter().filter(|job| job.told.accepted).collect();
-        while !open.is_empty() && begun.elapsed() < PATIENCE {
+            self.snapshot().into_iter().filter(|job| job.view.accepted).collect();
+        while !open.is_empty() && begun.elapsed() < SETTLE_TIMEOUT {
             let mut left = Vec::new();
             for job in open {
                 match self
-                    .way
-                    .state(begun.elapsed().subsec_millis() as usize, &path(&job.key))
+                    .client
+                    .state(begun.elapsed().subsec_millis() as usize, &job_path(&job.key))
                     .await
                 {
                     Some(state) if state != "queued" && state != "active" => {
-                        self.look();
-                        self.checks.judge(&job, &state);
+                        self.read_events();
+                        self.checker.check_end_state(&job, &state);
                     }
                     _ => left.push(job),
                 }
             }
             open = left;
-            self.restart_due();
-            self.look();
-            tokio::time::sleep(LOOK).await;
+            self.restart_stopped_entries();
+            self.read_events();
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         for job in open {
-            self.checks.broken.push(format!("job {} came to no end: {:?}", job.key, job.told));
+            self.checker.violations.push(format!("job {} came to no end: {:?}", job.key, job.view));
         }
-        self.await_idle().await;
+        self.wait_until_idle().await;
         let jobs = self.snapshot();
-        self.checks.finish(&jobs);
+        self.checker.check_at_end(&jobs);
     }
 
     /// Jobs whose acceptance nobody heard of may run too: they have to end as well.
-    async fn await_idle(&mut self) {
+    async fn wait_until_idle(&mut self) {
         let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
-            self.look();
+        while begun.elapsed() < SETTLE_TIMEOUT {
+            self.read_events();
             if self.cell.site.workers.iter().all(|worker| worker.running().is_empty()) {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn heal(&mut self) {
+    fn restore_all(&mut self) {
         self.cell.site.store.set(sprucerudder::standin::site::store::Faults::default());
         for worker in &self.cell.site.workers {
             worker.faults.fails_tasks.store(false, Ordering::Relaxed);
@@ -331,12 +351,12 @@
                 self.cell.start_entry(no);
             }
             let entry = &self.cell.entries[usize::from(no)];
-            for proxy in [&entry.store, &entry.advice, &entry.peer] {
-                proxy.heal();
+            for proxy in [&entry.store_proxy, &entry.advice_proxy, &entry.peer_proxy] {
+                proxy.restore();
             }
         }
-        for proxy in &self.cell.workers {
-            proxy.heal();
+        for proxy in &self.cell.worker_proxies {
+            proxy.restore();
         }
     }
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -11,92 +11,104 @@
 
 /// What becomes of the bytes of all connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Mode {
+pub struct LinkState {
     /// Each piece is held this long.
     pub delay: Duration,
     /// Nothing passes from the caller.
-    pub mute_up: bool,
+    pub hold_requests: bool,
     /// Nothing passes to the caller.
-    pub mute_down: bool,
+    pub hold_replies: bool,
     /// Rises when all open connections are reset.
-    pub resets: u32,
+    pub reset_count: u32,
     /// Rises when all open connections go silent for good, without a reset.
-    pub silences: u32,
+    pub stall_count: u32,
 }
 
 /// A relay to one address.
 #[derive(Debug)]
 pub struct Proxy {
     pub addr: SocketAddr,
-    mode: watch::Sender<Mode>,
+    state: watch::Sender<LinkState>,
 }
 
 impl Proxy {
     /// Listens on `addr` and passes connections on to `target`.
     pub async fn start(addr: SocketAddr, target: SocketAddr) -> Arc<Self> {
         let listener = TcpListener::bind(addr).await.unwrap();
-        let proxy = Arc::new(Self { addr, mode: watch::channel(Mode::default()).0 });
-        let modes = proxy.mode.subscribe();
+        let proxy = Arc::new(Self { addr, state: watch::channel(LinkState::default()).0 });
+        let states = proxy.state.subscribe();
         tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(relay(caller, target, modes.clone()));
+                tokio::spawn(relay_connection(caller, target, states.clone()));
             }
         });
         proxy
     }
 
     /// Changes what becomes of bytes from now on.
-    pub fn set(&self, change: impl FnOnce(&mut Mode)) {
-        self.mode.send_modify(change);
+    pub fn update(&self, change: impl FnOnce(&mut LinkState)) {
+        self.state.send_modify(change);
     }
 
     /// Everything passes again.
-    pub fn heal(&self) {
-        self.set(|mode| {
-            *mode = Mode { resets: mode.resets, silences: mode.silences, ..Mode::default() }
+    pub fn restore(&self) {
+        self.update(|state| {
+            *state = LinkState {
+                reset_count: state.reset_count,
+                stall_count: state.stall_count,
+                ..LinkState::default()
+            }
         });
     }
 }
 
-async fn relay(caller: TcpStream, target: SocketAddr, mut modes: watch::Receiver<Mode>) {
-    let (born, heard) = {
-        let mode = modes.borrow_and_update();
-        (mode.resets, mode.silences)
+async fn relay_connection(
+    caller: TcpStream,
+    target: SocketAddr,
+    mut states: watch::Receiver<LinkState>,
+) {
+    let (resets, stalls) = {
+        let state = states.borrow_and_update();
+        (state.reset_count, state.stall_count)
     };
-    let Ok(callee) = TcpStream::connect(target).await else { return };
-    for stream in [&caller, &callee] {
+    let Ok(target_stream) = TcpStream::connect(target).await else { return };
+    for stream in [&caller, &target_stream] {
         if let Err(err) = stream.set_nodelay(true) {
             // It was closed already: the relay ends at its first read.
-            eprintln!("event=relay-odd error={err:?}");
+            eprintln!("event=relay-nodelay-failed error={err:?}");
         }
     }
-    let (up_in, down_out) = caller.into_split();
-    let (down_in, up_out) = callee.into_split();
-    let up = pump(up_in, up_out, modes.clone(), move |mode| mode.mute_up || mode.silences != heard);
-    let down = pump(down_in, down_out, modes.clone(), move |mode| {
-        mode.mute_down || mode.silences != heard
+    let (from_caller, to_caller) = caller.into_split();
+    let (from_target, to_target) = target_stream.into_split();
+    let requests = forward(from_caller, to_target, states.clone(), move |state| {
+        state.hold_requests || state.stall_count != stalls
+    });
+    let replies = forward(from_target, to_caller, states.clone(), move |state| {
+        state.hold_replies || state.stall_count != stalls
     });
     let both = async {
-        tokio::join!(up, down);
+        tokio::join!(requests, replies);
     };
     tokio::select! {
         () = both => {}
-        _ = modes.wait_for(|mode| mode.resets != born) => {}
+        _ = states.wait_for(|state| state.reset_count != resets) => {}
     }
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut modes: watch::Receiver<Mode>,
-    muted: impl Fn(&Mode) -> bool,
+    mut states: watch::Receiver<LinkState>,
+    is_held: impl Fn(&LinkState) -> bool,
 ) {
     let mut bytes = vec![0; 16 * 1024];
     loop {
         // Either side may close or break off: the relay passes that on by closing the other.
         let Ok(len) = from.read(&mut bytes).await else { return };
-        let Ok(mode) = modes.wait_for(|mode| !muted(mode)).await.map(|mode| *mode) else { return };
-        tokio::time::sleep(mode.delay).await;
+        let Ok(state) = states.wait_for(|state| !is_held(state)).await.map(|state| *state) else {
+            return;
+        };
+        tokio::time::sleep(state.delay).await;
         if len == 0 || to.write_all(&bytes[..len]).await.is_err() {
             return;
         }
