--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -3,7 +3,7 @@
 #[path = "common/mod.rs"]
 mod common;
 
-use common::{Desk, Draw, RACK, spec, table};
+use common::{OwnerHarness, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use serde::Serialize;
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::gossip::Delta;
@@ -21,13 +21,13 @@
 use std::time::Instant;
 
 const WORKER: Size = Size::new(16_000, 32_000, 2);
-const PAGE: u64 = 4096;
+const PAGE_BYTES: u64 = 4096;
 
-fn wire(ask: Ask) -> usize {
+fn wire_bytes(ask: Ask) -> usize {
     encode(NEWEST, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask }).expect("bytes").len()
 }
 
-fn json<T: Serialize>(value: &T) -> usize {
+fn json_bytes<T: Serialize>(value: &T) -> usize {
     serde_json::to_vec(value).expect("json").len()
 }
 
@@ -44,39 +44,40 @@
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> u64 {
+fn resident_memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
-fn desks(workers: usize, tasks: u32) -> Vec<Desk> {
+fn owners(workers: usize, tasks: u32) -> Vec<OwnerHarness> {
     let rows = table(&[("build", "batch", 50, 10, 0)]);
-    let racks = workers.div_ceil(RACK);
+    let racks = workers.div_ceil(WORKERS_PER_RACK);
     let each = tasks.div_ceil(racks as u32);
     let make = |rack| {
-        let mut desk = Desk::new(&format!("rack{rack}"), &[WORKER; RACK], rows.clone());
-        desk.submit(spec("build", each, false, Size::new(1_000, 1_000, 0)));
-        assert_eq!(desk.running.len(), each as usize);
-        desk
+        let mut owner =
+            OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows.clone());
+        owner.submit(job_spec("build", each, false, Size::new(1_000, 1_000, 0)));
+        assert_eq!(owner.running.len(), each as usize);
+        owner
     };
     (0..racks).map(make).collect()
 }
 
-fn state_and_time() {
+fn measure_owners() {
     println!("owners: workers, tasks running, bytes of memory, of all states, us a control round");
     for (workers, tasks) in [(48, 266), (200, 1_109), (1_100, 6_100)] {
-        let before = resident();
-        let mut all = desks(workers, tasks);
-        let memory = resident().saturating_sub(before);
+        let before = resident_memory();
+        let mut all = owners(workers, tasks);
+        let memory = resident_memory().saturating_sub(before);
         let begun = Instant::now();
-        for desk in &mut all {
-            desk.now = desk.now + Millis(1_000);
-            desk.report();
-            desk.step(Event::Tick);
+        for owner in &mut all {
+            owner.now = owner.now + Millis(1_000);
+            owner.report();
+            owner.step(Event::Tick);
         }
         let round = begun.elapsed().as_micros();
-        let states = all.into_iter().map(|desk| desk.office.into_state());
+        let states = all.into_iter().map(|owner| owner.office.into_state());
         let bytes: usize =
             states.map(|state| postcard::to_stdvec(&state).expect("bytes").len()).sum();
         println!("  {workers:>5} {tasks:>5} {memory:>9} {bytes:>8} {round:>7}");
@@ -106,7 +107,7 @@
     }
 }
 
-fn beats() {
+fn measure_heartbeats() {
     println!("heartbeat: shards of the failure domain (a third owned), bytes whole,");
     println!("  with the owned shards changed, with nothing changed");
     for count in [2, 12, 28] {
@@ -115,14 +116,14 @@
         let delta = |shards| {
             let (seq, base, held) = (1_000_000, 999_999, 1_000_000);
             let delta = Delta { seq, base, held, shards };
-            wire(Ask::Delta(DeltaBeat { beat: beat(Vec::new()), delta }))
+            wire_bytes(Ask::Delta(DeltaBeat { beat: beat(Vec::new()), delta }))
         };
-        let whole = wire(Ask::Beat(beat(all)));
+        let whole = wire_bytes(Ask::Beat(beat(all)));
         println!("  {count:>5} {whole:>7} {:>7} {:>7}", delta(owned), delta(Vec::new()));
     }
 }
 
-fn notes() {
+fn measure_updates() {
     println!("update of a replica: bindings in it, bytes; of the log in an epoch without replicas");
     for count in [1_u32, 10, 100] {
         let bind = |index| Note::Bind {
@@ -141,11 +142,15 @@
             first: 1_000_000,
             notes,
         };
-        println!("  {count:>5} {:>7} {:>7}", wire(Ask::Update { shard, update }), json(&record));
+        println!(
+            "  {count:>5} {:>7} {:>7}",
+            wire_bytes(Ask::Update { shard, update }),
+            json_bytes(&record)
+        );
     }
 }
 
-fn syncs() {
+fn measure_syncs() {
     println!("contact with a worker: tasks running, bytes of order and report");
     for count in [1_u32, 6, 20] {
         let order = SyncOrder { renew: (0..count).map(task).collect(), ..SyncOrder::default() };
@@ -157,15 +162,19 @@
         };
         let ended = vec![(task(99), Outcome::Done)];
         let report = Report { inc: 1, running: (0..count).map(running).collect(), ended };
-        println!("  {count:>5} {:>7} {:>7}", json(&order), json(&report));
+        println!("  {count:>5} {:>7} {:>7}", json_bytes(&order), json_bytes(&report));
     }
 }
 
-fn log_records() {
-    let spec = spec("campaign", 30, false, WORKER);
+fn measure_log() {
+    let spec = job_spec("campaign", 30, false, WORKER);
     let job_record = Record::Job { job: job(1), spec, at: Millis(1_764_000_000_000) };
     let ended = Record::Ended { job: job(1), index: 10, outcome: Outcome::Done };
-    println!("log: bytes of a job {}, of an ended task {}", json(&job_record), json(&ended));
+    println!(
+        "log: bytes of a job {}, of an ended task {}",
+        json_bytes(&job_record),
+        json_bytes(&ended)
+    );
     println!("snapshot of the log: shards, bytes with four claims each");
     for shards in [12_u32, 28, 140] {
         let claim = |shard: u32, epoch| Claim {
@@ -177,11 +186,11 @@
         };
         let claims = (0..shards).map(|at| (1..5).map(|epoch| claim(at, epoch)).collect());
         let record = Record::Snapshot { upto: 1, table: None, claims: claims.collect() };
-        println!("  {shards:>5} {:>7}", json(&record));
+        println!("  {shards:>5} {:>7}", json_bytes(&record));
     }
 }
 
-fn slots() {
+fn measure_slots() {
     println!("slots: runners of the shard, bytes of the question");
     for runners in [2, 8, 48] {
         let usage =
@@ -192,11 +201,11 @@
             uses: (0..runners).map(usage).collect(),
             waiting: 3,
         };
-        println!("  {runners:>5} {:>7}", wire(ask));
+        println!("  {runners:>5} {:>7}", wire_bytes(ask));
     }
 }
 
-fn parts() {
+fn measure_limit_parts() {
     println!("parts of limits: limits of one home in a question, bytes of it and of the answer");
     for limits in [1_u64, 5, 20] {
         let limit = |i| match i % 2 {
@@ -216,26 +225,26 @@
         let answer = Envelope { stamp: Stamp(u64::MAX / 2), body: lent };
         let answer = encode(NEWEST, &answer).expect("bytes").len();
         let home = "pasila-rack-3".into();
-        println!("  {limits:>5} {:>7} {answer:>7}", wire(Ask::Parts { home, question }));
+        println!("  {limits:>5} {:>7} {answer:>7}", wire_bytes(Ask::Parts { home, question }));
     }
 }
 
 /// Times of single placements: submit, bind, start and end.
-fn decision_times() {
+fn measure_placements() {
     println!("one placement, us: workers, stuck shapes a shard, median, 99 %, 99.9 %, most");
     let rows = table(&[("build", "batch", 50, 10, 0), ("urgent", "batch", 100, 5, 5)]);
     for workers in [48, 200, 1_100] {
         for stuck in [0, 200, 800] {
-            let mut all = desks(workers, 5 * workers as u32);
-            for desk in &mut all {
-                desk.step(Event::Table(rows.clone()));
+            let mut all = owners(workers, 5 * workers as u32);
+            for owner in &mut all {
+                owner.step(Event::Table(rows.clone()));
                 for less in 0..stuck {
                     let size = Size::new(16_000, 32_000 - less, 2);
-                    desk.submit(spec("build", 1, false, size));
+                    owner.submit(job_spec("build", 1, false, size));
                 }
             }
-            let mut draw = Draw(7);
-            let mut times: Vec<u64> = (0..20_000).map(|_| placement(&mut all, &mut draw)).collect();
+            let mut rng = SplitMix64(7);
+            let mut times: Vec<u64> = (0..20_000).map(|_| placement(&mut all, &mut rng)).collect();
             times.sort_unstable();
             let at = |share: usize| times[times.len() * share / 1_000] as f64 / 1_000.0;
             let most = times[times.len() - 1] as f64 / 1_000.0;
@@ -250,23 +259,23 @@
 }
 
 /// Nanoseconds of one placement.
-fn placement(all: &mut [Desk], draw: &mut Draw) -> u64 {
-    let at = draw.below(all.len() as u64) as usize;
-    let job = spec("urgent", 1, false, Size::new(500, 500, 0));
+fn placement(all: &mut [OwnerHarness], rng: &mut SplitMix64) -> u64 {
+    let at = rng.below(all.len() as u64) as usize;
+    let job = job_spec("urgent", 1, false, Size::new(500, 500, 0));
     let begun = Instant::now();
-    let (job, did) = all[at].submit(job);
-    assert_eq!(did.len(), 1, "placed at once");
+    let (job, decisions) = all[at].submit(job);
+    assert_eq!(decisions.len(), 1, "placed at once");
     all[at].end(&TaskId { job, index: 0, attempt: 0 }, Outcome::Done);
     begun.elapsed().as_nanos() as u64
 }
 
 fn main() {
-    decision_times();
-    parts();
-    state_and_time();
-    beats();
-    notes();
-    syncs();
-    log_records();
-    slots();
+    measure_placements();
+    measure_limit_parts();
+    measure_owners();
+    measure_heartbeats();
+    measure_updates();
+    measure_syncs();
+    measure_log();
+    measure_slots();
 }
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub const RACK: usize = 8;
+pub const WORKERS_PER_RACK: usize = 8;
 pub const START: Millis = Millis(1_000_000);
 
 /// A table whose rows have these cells: kind, class, weight, pack, spread.
@@ -45,21 +45,21 @@
 
 /// What an owner decided.
 #[derive(Debug)]
-pub enum Did {
+pub enum Decision {
     Started { task: TaskId, worker: Name },
     Stopped { task: TaskId },
 }
 
 /// One owner.
-pub struct Desk {
+pub struct OwnerHarness {
     pub now: Millis,
     pub office: Office,
     pub running: BTreeMap<TaskId, Name>,
     shard: Name,
-    jobs: u64,
+    job_count: u64,
 }
 
-impl Desk {
+impl OwnerHarness {
     pub fn new(rack: &str, sizes: &[Size], table: Arc<Table>) -> Self {
         let owner = EntryId { name: "e".into(), inc: 1 };
         let shard: Name = rack.into();
@@ -72,31 +72,31 @@
         };
         let source = Source::State(Box::<State>::default());
         let office = Office::new(&claim, source, BTreeSet::new(), Vec::new(), table, START);
-        let mut desk = Self { now: START, office, running: BTreeMap::new(), shard, jobs: 0 };
+        let mut desk = Self { now: START, office, running: BTreeMap::new(), shard, job_count: 0 };
         let vms = (0..).zip(sizes).map(|(i, size)| vm(rack, i, *size)).collect();
         desk.step(Event::Workers { rev: 1, vms });
         desk.report();
         desk
     }
 
-    pub fn step(&mut self, event: Event) -> Vec<Did> {
-        let mut did = Vec::new();
+    pub fn step(&mut self, event: Event) -> Vec<Decision> {
+        let mut decisions = Vec::new();
         let mut actions = self.office.step(self.now, event);
         loop {
-            let mut told = Vec::new();
+            let mut replies = Vec::new();
             for action in actions {
                 match action {
                     Action::Start { worker, order } => {
                         self.running.insert(order.task.clone(), worker.clone());
                         let (task, reply) = (order.task.clone(), Some(TaskReply::Running));
-                        told.push(Event::Told { task, stop: false, reply });
-                        did.push(Did::Started { task: order.task, worker });
+                        replies.push(Event::Told { task, stop: false, reply });
+                        decisions.push(Decision::Started { task: order.task, worker });
                     }
                     Action::Stop { task, .. } => {
                         self.running.remove(&task);
                         let reply = Some(TaskReply::Ended(Outcome::Stopped));
-                        told.push(Event::Told { task: task.clone(), stop: true, reply });
-                        did.push(Did::Stopped { task });
+                        replies.push(Event::Told { task: task.clone(), stop: true, reply });
+                        decisions.push(Decision::Stopped { task });
                     }
                     _ => {}
                 }
@@ -106,18 +106,18 @@
                 let (epoch, seq) = (self.office.epoch(), u64::MAX);
                 actions.extend(self.office.step(self.now, Event::Logged { epoch, seq }));
             }
-            for event in told {
+            for event in replies {
                 actions.extend(self.office.step(self.now, event));
             }
             if actions.is_empty() {
-                return did;
+                return decisions;
             }
         }
     }
 
     /// Every worker says what it runs.
-    pub fn report(&mut self) -> Vec<Did> {
-        let mut did = Vec::new();
+    pub fn report(&mut self) -> Vec<Decision> {
+        let mut decisions = Vec::new();
         for worker in self.office.workers() {
             let here = self.running.iter().filter(|(_, on)| **on == worker);
             let running = here.map(|(task, _)| Running {
@@ -128,34 +128,34 @@
             });
             let report = Report { inc: 1, running: running.collect(), ended: Vec::new() };
             let asked = self.now;
-            did.extend(self.step(Event::Report { worker, asked, report }));
+            decisions.extend(self.step(Event::Report { worker, asked, report }));
         }
-        did
+        decisions
     }
 
-    pub fn job(&mut self) -> JobId {
-        self.jobs += 1;
-        JobId { shard: self.shard.clone(), seq: self.jobs }
+    pub fn next_job_id(&mut self) -> JobId {
+        self.job_count += 1;
+        JobId { shard: self.shard.clone(), seq: self.job_count }
     }
 
-    pub fn submit(&mut self, spec: JobSpec) -> (JobId, Vec<Did>) {
-        let job = self.job();
-        let did = self.step(Event::Submit { token: self.jobs, job: job.clone(), spec });
-        (job, did)
+    pub fn submit(&mut self, spec: JobSpec) -> (JobId, Vec<Decision>) {
+        let job = self.next_job_id();
+        let decisions = self.step(Event::Submit { token: self.job_count, job: job.clone(), spec });
+        (job, decisions)
     }
 
-    pub fn end(&mut self, task: &TaskId, outcome: Outcome) -> Vec<Did> {
+    pub fn end(&mut self, task: &TaskId, outcome: Outcome) -> Vec<Decision> {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
         self.step(Event::Told { task, stop: false, reply })
     }
 
-    pub fn cancel(&mut self, job: JobId) -> Vec<Did> {
+    pub fn cancel(&mut self, job: JobId) -> Vec<Decision> {
         self.step(Event::Cancel { token: 0, job })
     }
 }
 
-pub fn spec(kind: &str, tasks: u32, gang: bool, size: Size) -> JobSpec {
+pub fn job_spec(kind: &str, tasks: u32, gang: bool, size: Size) -> JobSpec {
     JobSpec {
         kind: kind.into(),
         team: "t".into(),
@@ -168,9 +168,9 @@
 }
 
 /// A small seeded source of numbers (splitmix64).
-pub struct Draw(pub u64);
+pub struct SplitMix64(pub u64);
 
-impl Draw {
+impl SplitMix64 {
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -184,7 +184,7 @@
     }
 
     /// A time between two events that come `rate` times a second, in milliseconds.
-    pub fn gap(&mut self, rate: f64) -> f64 {
+    pub fn exponential_gap(&mut self, rate: f64) -> f64 {
         let unit = (self.next() >> 11) as f64 / (1_u64 << 53) as f64;
         -(1.0 - unit).ln() * 1000.0 / rate
     }
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -3,7 +3,7 @@
 #[path = "common/mod.rs"]
 mod common;
 
-use common::{Desk, Draw, RACK, spec, table};
+use common::{OwnerHarness, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::quota::{Limit, PartAsk, Pool, Question};
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// Workers of the cells: one user today, both with room to grow, and the aimed size.
-const CELLS: [usize; 3] = [48, 200, 1_100];
+const CELL_SIZES: [usize; 3] = [48, 200, 1_100];
 const WORKER: Size = Size::new(16_000, 32_000, 2);
 const SMALL: Size = Size::new(500, 500, 0);
 
@@ -28,39 +28,40 @@
 }
 
 /// The owners of a cell whose workers are about half full: 6,100 tasks at the aimed size.
-fn cell(workers: usize, load: u32) -> Vec<Desk> {
-    let racks = workers.div_ceil(RACK);
+fn cell(workers: usize, load: u32) -> Vec<OwnerHarness> {
+    let racks = workers.div_ceil(WORKERS_PER_RACK);
     (0..racks)
         .map(|rack| {
-            let mut desk = Desk::new(&format!("rack{rack}"), &[WORKER; RACK], rows());
-            desk.submit(spec("build", 44, false, Size::new(1_400, 2_000, 0)));
+            let mut owner =
+                OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows());
+            owner.submit(job_spec("build", 44, false, Size::new(1_400, 2_000, 0)));
             for stuck in 0..(load - 1) * 200 {
                 let size = Size::new(16_000, 32_000 - stuck, 2);
-                desk.submit(spec("build", 1, false, size));
+                owner.submit(job_spec("build", 1, false, size));
             }
-            desk
+            owner
         })
         .collect()
 }
 
 /// Submits one task at the next owner, until it is bound, and ends it.
-fn place_one(desks: &mut [Desk], draw: &mut Draw) {
-    let at = draw.below(desks.len() as u64) as usize;
-    let desk = &mut desks[at];
-    let (job, did) = desk.submit(spec("urgent", 1, false, SMALL));
-    assert_eq!(did.len(), 1);
-    let task = desk.running.keys().find(|task| task.job == job).cloned().expect("running");
-    desk.end(&task, Outcome::Done);
+fn place_one(owners: &mut [OwnerHarness], rng: &mut SplitMix64) {
+    let at = rng.below(owners.len() as u64) as usize;
+    let owner = &mut owners[at];
+    let (job, decisions) = owner.submit(job_spec("urgent", 1, false, SMALL));
+    assert_eq!(decisions.len(), 1);
+    let task = owner.running.keys().find(|task| task.job == job).cloned().expect("running");
+    owner.end(&task, Outcome::Done);
 }
 
 fn place(c: &mut Criterion) {
     let mut group = c.benchmark_group("place");
-    for workers in CELLS {
+    for workers in CELL_SIZES {
         for load in [1, 2, 5] {
-            let mut desks = cell(workers, load);
-            let mut draw = Draw(7);
+            let mut owners = cell(workers, load);
+            let mut rng = SplitMix64(7);
             let id = BenchmarkId::new(format!("{workers}-workers"), format!("{load}x"));
-            group.bench_function(id, |b| b.iter(|| place_one(&mut desks, &mut draw)));
+            group.bench_function(id, |b| b.iter(|| place_one(&mut owners, &mut rng)));
         }
     }
     group.finish();
@@ -68,11 +69,11 @@
 
 fn gang(c: &mut Criterion) {
     c.bench_function("gang-of-8", |b| {
-        let setup = || Desk::new("rack", &[WORKER; RACK], rows());
-        let run = |mut desk: Desk| {
-            desk.submit(spec("urgent", 8, true, Size::new(8_000, 8_000, 1)));
-            assert_eq!(desk.running.len(), 8);
-            desk
+        let setup = || OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
+        let run = |mut owner: OwnerHarness| {
+            owner.submit(job_spec("urgent", 8, true, Size::new(8_000, 8_000, 1)));
+            assert_eq!(owner.running.len(), 8);
+            owner
         };
         b.iter_batched(setup, run, BatchSize::SmallInput);
     });
@@ -81,17 +82,17 @@
 fn cancel(c: &mut Criterion) {
     c.bench_function("cancel-10000-jobs", |b| {
         let setup = || {
-            let mut desk = Desk::new("rack", &[WORKER; RACK], rows());
-            desk.submit(spec("build", 8, false, WORKER));
-            let queued = (0..10_000).map(|_| desk.submit(spec("build", 1, false, WORKER)).0);
+            let mut owner = OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
+            owner.submit(job_spec("build", 8, false, WORKER));
+            let queued = (0..10_000).map(|_| owner.submit(job_spec("build", 1, false, WORKER)).0);
             let jobs: Vec<JobId> = queued.collect();
-            (desk, jobs)
+            (owner, jobs)
         };
-        let run = |(mut desk, jobs): (Desk, Vec<JobId>)| {
+        let run = |(mut owner, jobs): (OwnerHarness, Vec<JobId>)| {
             for job in jobs {
-                desk.cancel(job);
+                owner.cancel(job);
             }
-            desk
+            owner
         };
         b.iter_batched(setup, run, BatchSize::LargeInput);
     });
@@ -107,9 +108,9 @@
             replicas: Vec::new(),
         };
         let setup = || {
-            let mut desk = Desk::new("rack", &[WORKER; RACK], rows());
-            desk.submit(spec("build", 1_000, false, Size::new(1_400, 2_000, 0)));
-            desk.office.into_state()
+            let mut owner = OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
+            owner.submit(job_spec("build", 1_000, false, Size::new(1_400, 2_000, 0)));
+            owner.office.into_state()
         };
         let run = |state| {
             let source = Source::State(Box::new(state));
@@ -121,13 +122,13 @@
 }
 
 fn control_round(c: &mut Criterion) {
-    let mut desks = cell(RACK, 1);
+    let mut owners = cell(WORKERS_PER_RACK, 1);
     c.bench_function("control-round-of-a-shard", |b| {
         b.iter(|| {
-            let desk = &mut desks[0];
-            desk.now = desk.now + Millis(1_000);
-            desk.report();
-            desk.step(sprucerudder::controller::shard::office::Event::Tick)
+            let owner = &mut owners[0];
+            owner.now = owner.now + Millis(1_000);
+            owner.report();
+            owner.step(sprucerudder::controller::shard::office::Event::Tick)
         });
     });
 }
@@ -175,8 +176,8 @@
 /// One question of one shard to a home, with 10 limits that all shards of the cell use.
 fn lend_parts(c: &mut Criterion) {
     let mut group = c.benchmark_group("lend-parts");
-    for workers in CELLS {
-        let count = workers.div_ceil(RACK);
+    for workers in CELL_SIZES {
+        let count = workers.div_ceil(WORKERS_PER_RACK);
         let shards: BTreeSet<Name> = (0..count).map(|rack| format!("rack{rack}").into()).collect();
         let mut pool = Pool::new(1);
         let mut seq = 0;
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -16,26 +16,27 @@
 use std::time::{Duration, Instant};
 
 const HOST: &str = "127.77.1.1";
-const PORT: u16 = 20_000;
+const BASE_PORT: u16 = 20_000;
 /// Tasks of a job, and their run time in milliseconds.
-const TASKS: u32 = 10;
-const LENGTH: u32 = 800;
+const TASKS_PER_JOB: u32 = 10;
+const RUN_MS: u32 = 800;
 /// Starts a second for each worker: the grown deployments have 745 on 350 workers.
 const STARTS_PER_WORKER: f64 = 2.1;
 /// How long each size is loaded, after a warm-up.
-const WARM: Duration = Duration::from_secs(3);
-const LOADED: Duration = Duration::from_secs(10);
+const WARM_UP_TIME: Duration = Duration::from_secs(3);
+const LOAD_TIME: Duration = Duration::from_secs(10);
 
-struct Entry(Process);
+struct EntryProcess(Process);
 
-impl Entry {
+impl EntryProcess {
     /// Processor time so far, in clock ticks of a hundredth of a second.
-    fn ticks(&self) -> u64 {
-        const USER: usize = 11;
+    fn cpu_ticks(&self) -> u64 {
+        const USER_TICKS_FIELD: usize = 11;
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).unwrap();
         let rest = text.rsplit(')').next().unwrap();
         let fields: Vec<&str> = rest.split_whitespace().collect();
-        fields[USER].parse::<u64>().unwrap() + fields[USER + 1].parse::<u64>().unwrap()
+        fields[USER_TICKS_FIELD].parse::<u64>().unwrap()
+            + fields[USER_TICKS_FIELD + 1].parse::<u64>().unwrap()
     }
 
     /// The most memory so far, in kilobytes.
@@ -46,15 +47,17 @@
     }
 }
 
-fn start(site: &Site) -> Entry {
+fn start_entry(site: &Site) -> EntryProcess {
     let path: PathBuf = std::env::temp_dir().join(format!("owner-{}.toml", std::process::id()));
     let program = env!("CARGO_BIN_EXE_sprucerudder");
-    Entry(Process::start_node(program, &path, &site.settings(0), &[], Stdio::null()).unwrap())
+    EntryProcess(
+        Process::start_node(program, &path, &site.settings(0), &[], Stdio::null()).unwrap(),
+    )
 }
 
 async fn submit(http: &HttpClient, addr: &str, key: u64) -> StatusCode {
-    let steps = json!([{"count": TASKS, "cpu": 300, "mem_mb": 50, "estimate_ms": LENGTH}]);
-    let body = json!({"spec": LENGTH.to_string(), "steps": steps}).to_string();
+    let steps = json!([{"count": TASKS_PER_JOB, "cpu": 300, "mem_mb": 50, "estimate_ms": RUN_MS}]);
+    let body = json!({"spec": RUN_MS.to_string(), "steps": steps}).to_string();
     let request = Request::builder()
         .method(Method::POST)
         .uri(uri(addr, &format!("/advised/{key:016x}")).unwrap())
@@ -66,7 +69,13 @@
 }
 
 /// Submits jobs evenly for `time`; the number accepted.
-async fn load(http: &HttpClient, addr: &str, from: u64, gap: Duration, time: Duration) -> u64 {
+async fn submit_evenly(
+    http: &HttpClient,
+    addr: &str,
+    from: u64,
+    interval: Duration,
+    time: Duration,
+) -> u64 {
     let begun = Instant::now();
     let mut jobs = tokio::task::JoinSet::new();
     let mut no = 0;
@@ -74,36 +83,37 @@
         let (http, addr, key) = (http.clone(), addr.to_string(), from + no);
         jobs.spawn(async move { submit(&http, &addr, key).await });
         no += 1;
-        let next = gap * no as u32;
+        let next = interval * no as u32;
         tokio::time::sleep(next.saturating_sub(begun.elapsed())).await;
     }
     jobs.join_all().await.into_iter().filter(|status| *status == StatusCode::OK).count() as u64
 }
 
 async fn measure(workers: usize) {
-    let site = Site::start(HOST, PORT + workers as u16 * 10, workers).await.unwrap();
-    let entry = start(&site);
+    let site = Site::start(HOST, BASE_PORT + workers as u16 * 10, workers).await.unwrap();
+    let entry = start_entry(&site);
     let (http, addr) = (HttpClient::default(), site.front_addr(0));
     while submit(&http, &addr, 1).await != StatusCode::OK {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let gap = Duration::from_secs_f64(f64::from(TASKS) / (STARTS_PER_WORKER * workers as f64));
-    load(&http, &addr, 1_000, gap, WARM).await;
-    let (ticks, starts) = (entry.ticks(), started(&site));
+    let interval =
+        Duration::from_secs_f64(f64::from(TASKS_PER_JOB) / (STARTS_PER_WORKER * workers as f64));
+    submit_evenly(&http, &addr, 1_000, interval, WARM_UP_TIME).await;
+    let (ticks, starts) = (entry.cpu_ticks(), start_count(&site));
     let begun = Instant::now();
-    let accepted = load(&http, &addr, 1_000_000, gap, LOADED).await;
-    let (time, starts) = (begun.elapsed().as_secs_f64(), started(&site) - starts);
-    let spent = (entry.ticks() - ticks) as f64 / 100.0;
+    let accepted = submit_evenly(&http, &addr, 1_000_000, interval, LOAD_TIME).await;
+    let (time, starts) = (begun.elapsed().as_secs_f64(), start_count(&site) - starts);
+    let cpu_seconds = (entry.cpu_ticks() - ticks) as f64 / 100.0;
     println!(
         "{workers} workers: {:.0} starts/s, {accepted} jobs, {:.3} cores, {:.0} us a start, {} MB",
         starts as f64 / time,
-        spent / time,
-        spent * 1e6 / starts as f64,
+        cpu_seconds / time,
+        cpu_seconds * 1e6 / starts as f64,
         entry.peak_kb() / 1024,
     );
 }
 
-fn started(site: &Site) -> usize {
+fn start_count(site: &Site) -> usize {
     site.workers.iter().map(|worker| worker.starts().len()).sum()
 }
 
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -7,7 +7,7 @@
 #[path = "common/mod.rs"]
 mod common;
 
-use common::{Desk, Did, Draw, RACK, START, spec, table};
+use common::{Decision, OwnerHarness, START, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::offer::{self, Candidate, Offer};
 use sprucerudder::id::{JobId, Name, TaskId};
@@ -16,17 +16,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-const LENGTH: u64 = 120_000;
+const STREAM_MS: u64 = 120_000;
 /// Waits of jobs that came before this are not counted: the cell fills up. A wait ends with the
 /// start of the run that succeeds.
-const WARM: u64 = 20_000;
+const WARM_UP_MS: u64 = 20_000;
 const WORKERS: usize = 48;
-const SICK: [usize; 2] = [5, 29];
+const FAULTY_WORKERS: [usize; 2] = [5, 29];
 /// A sick worker fails a task after this long.
-const SICK_RUN: u64 = 200;
-const CANCEL_AT: u64 = 60_000;
-const LOST_AT: u64 = 70_000;
-const LOST_FOR: u64 = 4_000;
+const FAULTY_RUN_MS: u64 = 200;
+const CANCEL_AT_MS: u64 = 60_000;
+const OUTAGE_START_MS: u64 = 70_000;
+const OUTAGE_MS: u64 = 4_000;
 
 /// A job of a stream.
 #[derive(Clone)]
@@ -98,23 +98,23 @@
 }
 
 /// Run times are false by up to four times either way.
-fn true_run(draw: &mut Draw, run: u64) -> u64 {
-    let factor = [25, 50, 75, 100, 100, 100, 150, 200, 400][draw.below(9) as usize];
+fn true_run(rng: &mut SplitMix64, run: u64) -> u64 {
+    let factor = [25, 50, 75, 100, 100, 100, 150, 200, 400][rng.below(9) as usize];
     run * factor / 100
 }
 
 /// The stream of one user at a share of the cell's processors.
 fn stream(user: &User, load: f64, seed: u64) -> Vec<Job> {
-    let mut draw = Draw(seed);
-    let total = user.worker.cpu as f64 * (WORKERS - SICK.len()) as f64;
+    let mut rng = SplitMix64(seed);
+    let total = user.worker.cpu as f64 * (WORKERS - FAULTY_WORKERS.len()) as f64;
     let mut jobs = Vec::new();
     for kind in &user.kinds {
-        let mean = 1.333 * kind.run as f64 * kind.size.cpu as f64 * kind.tasks as f64 / 1000.0;
-        let rate = load * kind.share * total / mean;
+        let mean_work = 1.333 * kind.run as f64 * kind.size.cpu as f64 * kind.tasks as f64 / 1000.0;
+        let rate = load * kind.share * total / mean_work;
         let mut at = 0.0;
-        while at < LENGTH as f64 {
-            at += draw.gap(rate);
-            let runs = (0..kind.tasks).map(|_| true_run(&mut draw, kind.run)).collect();
+        while at < STREAM_MS as f64 {
+            at += rng.exponential_gap(rate);
+            let runs = (0..kind.tasks).map(|_| true_run(&mut rng, kind.run)).collect();
             let (kind, tasks, gang, size, deadline) =
                 (kind.kind, kind.tasks, kind.gang, kind.size, kind.deadline);
             jobs.push(Job { at: at as u64, kind, tasks, gang, size, runs, deadline });
@@ -129,141 +129,143 @@
 
 /// What a policy does.
 #[derive(Clone, Copy)]
-enum Move {
+enum Command {
     Start(Key, usize),
     Stop(Key),
 }
 
 /// A policy: it is told what happens and says which tasks start where and which are stopped.
 trait Policy {
-    fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Move>;
-    fn ended(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Move>;
-    fn cancel(&mut self, now: u64, id: usize) -> Vec<Move>;
-    fn tick(&mut self, now: u64) -> Vec<Move>;
+    fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Command>;
+    fn end(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Command>;
+    fn cancel(&mut self, now: u64, id: usize) -> Vec<Command>;
+    fn tick(&mut self, now: u64) -> Vec<Command>;
 }
 
 /// The owners of six shards, and the offer of a job to one of them.
-struct Ours {
-    desks: Vec<Desk>,
+struct ShardOwners {
+    owners: Vec<OwnerHarness>,
     ids: BTreeMap<JobId, usize>,
     tasks: BTreeMap<Key, TaskId>,
     jobs: BTreeMap<usize, JobId>,
-    draw: Draw,
-    missed: Vec<(Key, bool)>,
+    rng: SplitMix64,
+    missed_ends: Vec<(Key, bool)>,
     weights: BTreeMap<&'static str, u32>,
 }
 
-impl Ours {
+impl ShardOwners {
     fn new(user: &User) -> Self {
         let rows: Vec<(&str, &str, u32, u32, u32)> =
             user.kinds.iter().map(|k| (k.kind, "batch", k.weight, k.pack, k.spread)).collect();
-        let desk = |rack| Desk::new(&format!("{rack}"), &[user.worker; RACK], table(&rows));
+        let owner = |rack| {
+            OwnerHarness::new(&format!("{rack}"), &[user.worker; WORKERS_PER_RACK], table(&rows))
+        };
         Self {
-            desks: (0..WORKERS / RACK).map(desk).collect(),
+            owners: (0..WORKERS / WORKERS_PER_RACK).map(owner).collect(),
             ids: BTreeMap::new(),
             tasks: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            draw: Draw(3),
-            missed: Vec::new(),
+            rng: SplitMix64(3),
+            missed_ends: Vec::new(),
             weights: user.kinds.iter().map(|kind| (kind.kind, kind.weight)).collect(),
         }
     }
 
-    fn did(&mut self, did: Vec<Did>) -> Vec<Move> {
-        let mut moves = Vec::new();
-        for did in did {
-            let (Did::Started { task, .. } | Did::Stopped { task }) = &did;
+    fn convert_decisions(&mut self, decisions: Vec<Decision>) -> Vec<Command> {
+        let mut commands = Vec::new();
+        for decision in decisions {
+            let (Decision::Started { task, .. } | Decision::Stopped { task }) = &decision;
             let Some(id) = self.ids.get(&task.job) else { continue };
             let key = (*id, task.index);
-            match did {
-                Did::Started { task, worker } => {
+            match decision {
+                Decision::Started { task, worker } => {
                     self.tasks.insert(key, task);
-                    moves.push(Move::Start(key, index_of(&worker)));
+                    commands.push(Command::Start(key, index_of(&worker)));
                 }
-                Did::Stopped { .. } => moves.push(Move::Stop(key)),
+                Decision::Stopped { .. } => commands.push(Command::Stop(key)),
             }
         }
-        moves
+        commands
     }
 
     /// The order in which an entry offers a job.
     fn offer(&mut self, now: u64, job: &Job) -> usize {
-        let open = self.desks.iter().enumerate().filter(|(at, _)| !lost(now, *at));
-        let candidates = open.map(|(at, desk)| {
-            let room = desk.office.room();
+        let open = self.owners.iter().enumerate().filter(|(at, _)| !is_rack_lost(now, *at));
+        let candidates = open.map(|(at, owner)| {
+            let room = owner.office.room();
             Candidate { shard: format!("{at}").into(), far: false, weight: 1, room }
         });
         let candidates: Vec<Candidate> = candidates.collect();
         let count = if job.gang { job.tasks } else { 1 };
         let weight = self.weights[job.kind];
         let offer = Offer { size: job.size, count, weight };
-        let order = offer::order(&candidates, &offer, self.draw.next());
+        let order = offer::order(&candidates, &offer, self.rng.next());
         order[0].parse().expect("rack")
     }
 }
 
 /// Whether nobody decides about a rack now: its owner was killed and is being replaced.
-fn lost(now: u64, rack: usize) -> bool {
-    rack == 0 && (LOST_AT..LOST_AT + LOST_FOR).contains(&now)
+fn is_rack_lost(now: u64, rack: usize) -> bool {
+    rack == 0 && (OUTAGE_START_MS..OUTAGE_START_MS + OUTAGE_MS).contains(&now)
 }
 
 fn index_of(worker: &Name) -> usize {
     let (rack, index) = worker.split_once("-w").expect("worker");
-    rack.parse::<usize>().expect("rack") * RACK + index.parse::<usize>().expect("index")
+    rack.parse::<usize>().expect("rack") * WORKERS_PER_RACK + index.parse::<usize>().expect("index")
 }
 
-impl Policy for Ours {
-    fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Move> {
+impl Policy for ShardOwners {
+    fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Command> {
         let at = self.offer(now, job);
-        let desk = &mut self.desks[at];
-        desk.now = START + Millis(now);
-        let next = desk.job();
+        let owner = &mut self.owners[at];
+        owner.now = START + Millis(now);
+        let next = owner.next_job_id();
         self.ids.insert(next.clone(), id);
         self.jobs.insert(id, next.clone());
-        let spec = spec(job.kind, job.tasks, job.gang, job.size);
-        let did = desk.step(sprucerudder::controller::shard::office::Event::Submit {
+        let spec = job_spec(job.kind, job.tasks, job.gang, job.size);
+        let decisions = owner.step(sprucerudder::controller::shard::office::Event::Submit {
             token: 0,
             job: next,
             spec,
         });
-        self.did(did)
+        self.convert_decisions(decisions)
     }
 
-    fn ended(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Move> {
-        let at = worker / RACK;
-        if lost(now, at) {
-            self.missed.push((key, ok));
+    fn end(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Command> {
+        let at = worker / WORKERS_PER_RACK;
+        if is_rack_lost(now, at) {
+            self.missed_ends.push((key, ok));
             return Vec::new();
         }
         let Some(task) = self.tasks.remove(&key) else { return Vec::new() };
-        let desk = &mut self.desks[at];
-        desk.now = START + Millis(now);
-        let did = desk.end(&task, if ok { Outcome::Done } else { Outcome::Failed });
-        self.did(did)
+        let owner = &mut self.owners[at];
+        owner.now = START + Millis(now);
+        let decisions = owner.end(&task, if ok { Outcome::Done } else { Outcome::Failed });
+        self.convert_decisions(decisions)
     }
 
-    fn cancel(&mut self, now: u64, id: usize) -> Vec<Move> {
+    fn cancel(&mut self, now: u64, id: usize) -> Vec<Command> {
         let Some(job) = self.jobs.get(&id).cloned() else { return Vec::new() };
         let at: usize = job.shard.parse().expect("rack");
-        let desk = &mut self.desks[at];
-        desk.now = START + Millis(now);
-        let did = desk.cancel(job);
-        self.did(did)
+        let owner = &mut self.owners[at];
+        owner.now = START + Millis(now);
+        let decisions = owner.cancel(job);
+        self.convert_decisions(decisions)
     }
 
-    fn tick(&mut self, now: u64) -> Vec<Move> {
+    fn tick(&mut self, now: u64) -> Vec<Command> {
         let mut started = Vec::new();
-        for at in 0..self.desks.len() {
-            if lost(now, at) {
+        for at in 0..self.owners.len() {
+            if is_rack_lost(now, at) {
                 continue;
             }
-            self.desks[at].now = START + Millis(now);
-            let did = self.desks[at].report();
-            started.extend(self.did(did));
+            self.owners[at].now = START + Millis(now);
+            let decisions = self.owners[at].report();
+            started.extend(self.convert_decisions(decisions));
         }
-        if !lost(now, 0) {
-            for (key, ok) in std::mem::take(&mut self.missed) {
-                started.extend(self.ended(now, key, 0, ok));
+        if !is_rack_lost(now, 0) {
+            for (key, ok) in std::mem::take(&mut self.missed_ends) {
+                started.extend(self.end(now, key, 0, ok));
             }
         }
         started
@@ -272,35 +274,35 @@
 
 /// How a baseline chooses a worker, and whether it waits for the head of its queue.
 #[derive(Clone, Copy, PartialEq)]
-enum Rule {
+enum PlacementRule {
     FirstFit,
     RandomFit,
     BestFit,
     /// First come, first served: nothing overtakes.
     InOrder,
     /// Each kind has workers of its own.
-    Split,
+    FixedSplit,
 }
 
 struct Baseline {
-    rule: Rule,
+    rule: PlacementRule,
     free: Vec<Size>,
     queue: Vec<(usize, u32, bool, &'static str, Size)>,
     sizes: BTreeMap<usize, Size>,
     kinds: BTreeMap<usize, &'static str>,
     now: u64,
-    homes: BTreeMap<&'static str, (usize, usize)>,
+    worker_ranges: BTreeMap<&'static str, (usize, usize)>,
     running: BTreeMap<Key, usize>,
-    draw: Draw,
+    rng: SplitMix64,
 }
 
 impl Baseline {
-    fn new(user: &User, rule: Rule) -> Self {
-        let mut homes = BTreeMap::new();
+    fn new(user: &User, rule: PlacementRule) -> Self {
+        let mut worker_ranges = BTreeMap::new();
         let mut from = 0;
         for kind in &user.kinds {
             let count = (kind.share * WORKERS as f64).round() as usize;
-            homes.insert(kind.kind, (from, (from + count).min(WORKERS)));
+            worker_ranges.insert(kind.kind, (from, (from + count).min(WORKERS)));
             from += count;
         }
         Self {
@@ -310,47 +312,48 @@
             sizes: BTreeMap::new(),
             kinds: BTreeMap::new(),
             now: 0,
-            homes,
+            worker_ranges,
             running: BTreeMap::new(),
-            draw: Draw(5),
+            rng: SplitMix64(5),
         }
     }
 
     fn pick(&mut self, free: &[Size], kind: &str, size: &Size) -> Option<usize> {
         let (from, to) = match self.rule {
-            Rule::Split => self.homes[kind],
+            PlacementRule::FixedSplit => self.worker_ranges[kind],
             _ => (0, WORKERS),
         };
-        let lost = lost(self.now, 0);
-        let mut fitting = (from..to).filter(|at| free[*at].fits(size) && !(lost && at / RACK == 0));
+        let lost = is_rack_lost(self.now, 0);
+        let mut fitting =
+            (from..to).filter(|at| free[*at].fits(size) && !(lost && at / WORKERS_PER_RACK == 0));
         match self.rule {
-            Rule::RandomFit => {
+            PlacementRule::RandomFit => {
                 let all: Vec<usize> = fitting.collect();
-                let at = self.draw.below(all.len() as u64) as usize;
+                let at = self.rng.below(all.len() as u64) as usize;
                 all.get(at).copied()
             }
-            Rule::BestFit => fitting.min_by_key(|at| free[*at].cpu),
+            PlacementRule::BestFit => fitting.min_by_key(|at| free[*at].cpu),
             _ => fitting.next(),
         }
     }
 
-    fn place(&mut self) -> Vec<Move> {
+    fn place(&mut self) -> Vec<Command> {
         let mut started = Vec::new();
         let mut left = Vec::new();
-        let mut hopeless = BTreeSet::new();
+        let mut unplaceable = BTreeSet::new();
         let queue = std::mem::take(&mut self.queue);
         let mut blocked = false;
         for (id, index, gang, kind, size) in queue {
-            let skip = blocked || hopeless.contains(&(kind, gang));
+            let skip = blocked || unplaceable.contains(&(kind, gang));
             let done = !skip && self.place_one(id, index, gang, kind, size, &mut started);
             if !done {
-                hopeless.insert((kind, gang));
-                blocked |= self.rule == Rule::InOrder;
+                unplaceable.insert((kind, gang));
+                blocked |= self.rule == PlacementRule::InOrder;
                 left.push((id, index, gang, kind, size));
             }
         }
         self.queue = left;
-        started.into_iter().map(|(key, worker)| Move::Start(key, worker)).collect()
+        started.into_iter().map(|(key, worker)| Command::Start(key, worker)).collect()
     }
 
     fn place_one(
@@ -378,7 +381,7 @@
 }
 
 impl Policy for Baseline {
-    fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Move> {
+    fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Command> {
         self.now = now;
         self.sizes.insert(id, job.size);
         self.kinds.insert(id, job.kind);
@@ -392,7 +395,7 @@
         self.place()
     }
 
-    fn ended(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Move> {
+    fn end(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Command> {
         self.now = now;
         self.running.remove(&key);
         let size = self.sizes[&key.0];
@@ -403,20 +406,21 @@
         self.place()
     }
 
-    fn cancel(&mut self, _: u64, id: usize) -> Vec<Move> {
+    fn cancel(&mut self, _: u64, id: usize) -> Vec<Command> {
         self.queue.retain(|(job, ..)| *job != id);
-        let mine: Vec<(Key, usize)> =
+        let cancelled: Vec<(Key, usize)> =
             self.running.iter().filter(|(key, _)| key.0 == id).map(|(k, w)| (*k, *w)).collect();
-        for (key, worker) in &mine {
+        for (key, worker) in &cancelled {
             self.running.remove(key);
             self.free[*worker] = self.free[*worker].plus(&self.sizes[&id]).expect("size");
         }
-        let mut moves: Vec<Move> = mine.into_iter().map(|(key, _)| Move::Stop(key)).collect();
-        moves.extend(self.place());
-        moves
+        let mut commands: Vec<Command> =
+            cancelled.into_iter().map(|(key, _)| Command::Stop(key)).collect();
+        commands.extend(self.place());
+        commands
     }
 
-    fn tick(&mut self, _: u64) -> Vec<Move> {
+    fn tick(&mut self, _: u64) -> Vec<Command> {
         Vec::new()
     }
 }
@@ -426,34 +430,34 @@
 struct Outcomes {
     waits: BTreeMap<&'static str, Vec<u64>>,
     missed: BTreeMap<&'static str, u32>,
-    area: f64,
-    thrown: u64,
+    used_cpu: f64,
+    wasted_cpu: u64,
     /// Tasks that failed and had not run to their end when the stream was over.
     failed: usize,
 }
 
 /// Plays a stream through a policy.
-fn play(user: &User, jobs: &[Job], policy: &mut dyn Policy) -> Outcomes {
+fn simulate(user: &User, jobs: &[Job], policy: &mut dyn Policy) -> Outcomes {
     let mut out = Outcomes::default();
     let mut ends: BinaryHeap<Reverse<(u64, Key, usize, u64)>> = BinaryHeap::new();
     let mut current: BTreeMap<Key, (u64, u64)> = BTreeMap::new();
-    let (mut used, mut last, mut serial, mut next, mut tick) = (0_u64, WARM, 0_u64, 0, 0);
+    let (mut used, mut last, mut run_number, mut next, mut tick) = (0_u64, WARM_UP_MS, 0_u64, 0, 0);
     let mut cancelled = false;
     let mut failed: BTreeSet<Key> = BTreeSet::new();
     loop {
         let arrival = jobs.get(next).map_or(u64::MAX, |job| job.at);
         let end = ends.peek().map_or(u64::MAX, |Reverse((at, ..))| *at);
-        let cancel = if cancelled { u64::MAX } else { CANCEL_AT };
+        let cancel = if cancelled { u64::MAX } else { CANCEL_AT_MS };
         let now = arrival.min(end).min(tick).min(cancel);
-        if now >= LENGTH {
+        if now >= STREAM_MS {
             out.failed = failed.iter().filter(|key| !current.contains_key(key)).count();
             return out;
         }
         if now > last {
-            out.area += used as f64 * (now - last) as f64;
+            out.used_cpu += used as f64 * (now - last) as f64;
             last = now;
         }
-        let moves = if now == arrival {
+        let commands = if now == arrival {
             next += 1;
             policy.submit(now, next - 1, &jobs[next - 1])
         } else if now == end {
@@ -463,10 +467,10 @@
             }
             let (_, began) = current.remove(&key).expect("running");
             used -= jobs[key.0].size.cpu as u64;
-            let ok = !SICK.contains(&worker);
-            out.thrown += if ok { 0 } else { (now - began) * jobs[key.0].size.cpu as u64 };
+            let ok = !FAULTY_WORKERS.contains(&worker);
+            out.wasted_cpu += if ok { 0 } else { (now - began) * jobs[key.0].size.cpu as u64 };
             let job = &jobs[key.0];
-            if ok && job.at >= WARM {
+            if ok && job.at >= WARM_UP_MS {
                 out.waits.entry(job.kind).or_default().push(began - job.at);
                 let late = began - job.at > job.deadline;
                 *out.missed.entry(job.kind).or_insert(0) += late as u32;
@@ -475,32 +479,36 @@
                 true => drop(failed.remove(&key)),
                 false => drop(failed.insert(key)),
             }
-            policy.ended(now, key, worker, ok)
+            policy.end(now, key, worker, ok)
         } else if now == cancel {
             cancelled = true;
-            let wave = (0..next).filter(|id| jobs[*id].tasks > 8).rev().take(40);
-            let wave: Vec<usize> = wave.collect();
-            wave.into_iter().flat_map(|id| policy.cancel(now, id)).collect()
+            let campaigns = (0..next).filter(|id| jobs[*id].tasks > 8).rev().take(40);
+            let campaigns: Vec<usize> = campaigns.collect();
+            campaigns.into_iter().flat_map(|id| policy.cancel(now, id)).collect()
         } else {
             tick += 500;
             policy.tick(now)
         };
-        for step in moves {
-            let (key, worker) = match step {
-                Move::Start(key, worker) => (key, worker),
-                Move::Stop(key) => {
+        for command in commands {
+            let (key, worker) = match command {
+                Command::Start(key, worker) => (key, worker),
+                Command::Stop(key) => {
                     if let Some((_, began)) = current.remove(&key) {
                         used -= jobs[key.0].size.cpu as u64;
-                        out.thrown += (now - began) * jobs[key.0].size.cpu as u64;
+                        out.wasted_cpu += (now - began) * jobs[key.0].size.cpu as u64;
                     }
                     continue;
                 }
             };
             let job = &jobs[key.0];
-            serial += 1;
-            let run = if SICK.contains(&worker) { SICK_RUN } else { job.runs[key.1 as usize] };
-            ends.push(Reverse((now + run, key, worker, serial)));
-            current.insert(key, (serial, now));
+            run_number += 1;
+            let run = if FAULTY_WORKERS.contains(&worker) {
+                FAULTY_RUN_MS
+            } else {
+                job.runs[key.1 as usize]
+            };
+            ends.push(Reverse((now + run, key, worker, run_number)));
+            current.insert(key, (run_number, now));
             used += job.size.cpu as u64;
         }
         let total = user.worker.cpu as u64 * WORKERS as u64;
@@ -508,23 +516,23 @@
     }
 }
 
-fn at(waits: &mut [u64], thousandth: usize) -> u64 {
+fn quantile(waits: &mut [u64], thousandth: usize) -> u64 {
     waits.sort_unstable();
     let last = waits.len().saturating_sub(1);
     waits.get((waits.len() * thousandth / 1000).min(last)).copied().unwrap_or(0)
 }
 
 fn print(user: &User, name: &str, mut out: Outcomes) {
-    let total = user.worker.cpu as f64 * WORKERS as f64 * (LENGTH - WARM) as f64;
-    let thrown = out.thrown as f64 / total;
+    let total = user.worker.cpu as f64 * WORKERS as f64 * (STREAM_MS - WARM_UP_MS) as f64;
+    let wasted = out.wasted_cpu as f64 / total;
     println!(
-        "  {name:<12} used {:.3} thrown away {thrown:.4} failed {}",
-        out.area / total,
+        "  {name:<12} used {:.3} thrown away {wasted:.4} failed {}",
+        out.used_cpu / total,
         out.failed
     );
     for kind in &user.kinds {
         let waits = out.waits.entry(kind.kind).or_default();
-        let [p50, p99, p999] = [500, 990, 999].map(|share| at(waits, share));
+        let [p50, p99, p999] = [500, 990, 999].map(|share| quantile(waits, share));
         let missed = out.missed.get(kind.kind).copied().unwrap_or(0);
         println!(
             "    {:<10} count {:>6} wait ms {p50:>7} {p99:>7} {p999:>7} missed {missed}",
@@ -552,33 +560,33 @@
 }
 
 /// What an edit of the table alone does to the same stream.
-fn edits() {
+fn compare_table_edits() {
     let [first, second] = users().map(waiting_first);
     let [third, fourth] = users().map(packing_first);
     let tables = [("waiting", first), ("packing", third), ("waiting", second), ("packing", fourth)];
     for (name, user) in tables {
         let jobs = stream(&user, 0.95, 11);
         println!("{}, the table edited to {name} first", user.name);
-        print(&user, "ours", play(&user, &jobs, &mut Ours::new(&user)));
+        print(&user, "ours", simulate(&user, &jobs, &mut ShardOwners::new(&user)));
     }
 }
 
 fn main() {
-    edits();
+    compare_table_edits();
     let baselines = [
-        ("first-fit", Rule::FirstFit),
-        ("random-fit", Rule::RandomFit),
-        ("best-fit", Rule::BestFit),
-        ("in-order", Rule::InOrder),
-        ("fixed-split", Rule::Split),
+        ("first-fit", PlacementRule::FirstFit),
+        ("random-fit", PlacementRule::RandomFit),
+        ("best-fit", PlacementRule::BestFit),
+        ("in-order", PlacementRule::InOrder),
+        ("fixed-split", PlacementRule::FixedSplit),
     ];
     for user in users() {
         for load in [0.8, 0.95, 1.2] {
             let jobs = stream(&user, load, 11);
             println!("{} load {load}: {} jobs, waits as median, 99%, 99.9%", user.name, jobs.len());
-            print(&user, "ours", play(&user, &jobs, &mut Ours::new(&user)));
+            print(&user, "ours", simulate(&user, &jobs, &mut ShardOwners::new(&user)));
             for (name, rule) in baselines {
-                print(&user, name, play(&user, &jobs, &mut Baseline::new(&user, rule)));
+                print(&user, name, simulate(&user, &jobs, &mut Baseline::new(&user, rule)));
             }
         }
     }
--- a/benches/slots.rs
+++ b/benches/slots.rs
@@ -4,7 +4,7 @@
 #[path = "common/mod.rs"]
 mod common;
 
-use common::Draw;
+use common::SplitMix64;
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::slots::{Lender, Slots, Turn, Waiting};
 use sprucerudder::id::Name;
@@ -13,14 +13,14 @@
 
 const ENTRIES: usize = 3;
 const RUNNERS: usize = 16;
-const SLOTS: u32 = 8;
-const LENGTH: u64 = 120_000;
+const SLOTS_PER_RUNNER: u32 = 8;
+const STREAM_MS: u64 = 120_000;
 /// Requests that came before this are not counted.
-const WARM: u64 = 20_000;
+const WARM_UP_MS: u64 = 20_000;
 /// Time between an entry's questions to the owner, as in the shell.
-const RENEW: u64 = 200;
+const RENEW_INTERVAL_MS: u64 = 200;
 /// A question and its answer between two entries: twice 0.5 ms.
-const HOP: u64 = 1;
+const ROUND_TRIP_MS: u64 = 1;
 const SHARD: &str = "rack";
 
 /// A request: when it comes, at which entry, and how long a runner takes.
@@ -32,30 +32,34 @@
 }
 
 /// What a way of sharing does: requests that start now.
-trait Way {
+trait SharingPolicy {
     fn arrive(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize>;
     fn end(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize>;
     fn tick(&mut self, now: u64) -> Vec<usize>;
     /// What a request waits besides its slot.
-    fn extra(&self, entry: usize) -> u64;
+    fn extra_wait(&self, entry: usize) -> u64;
 }
 
 /// Pools of slots, each first come first served.
 struct Pools {
     free: Vec<u32>,
     waiting: Vec<VecDeque<usize>>,
-    hop: u64,
+    round_trip: u64,
 }
 
 impl Pools {
     fn fixed_split() -> Self {
-        let total = RUNNERS as u32 * SLOTS;
+        let total = RUNNERS as u32 * SLOTS_PER_RUNNER;
         let free = (0..ENTRIES as u32).map(|i| (total + i) / ENTRIES as u32).collect();
-        Self { free, waiting: vec![VecDeque::new(); ENTRIES], hop: 0 }
+        Self { free, waiting: vec![VecDeque::new(); ENTRIES], round_trip: 0 }
     }
 
     fn forwarding() -> Self {
-        Self { free: vec![RUNNERS as u32 * SLOTS], waiting: vec![VecDeque::new()], hop: HOP }
+        Self {
+            free: vec![RUNNERS as u32 * SLOTS_PER_RUNNER],
+            waiting: vec![VecDeque::new()],
+            round_trip: ROUND_TRIP_MS,
+        }
     }
 
     fn pool(&self, entry: usize) -> usize {
@@ -63,7 +67,7 @@
     }
 }
 
-impl Way for Pools {
+impl SharingPolicy for Pools {
     fn arrive(&mut self, _: u64, id: usize, entry: usize) -> Vec<usize> {
         let pool = self.pool(entry);
         if self.free[pool] == 0 {
@@ -85,8 +89,8 @@
         Vec::new()
     }
 
-    fn extra(&self, entry: usize) -> u64 {
-        if entry == 0 { 0 } else { self.hop }
+    fn extra_wait(&self, entry: usize) -> u64 {
+        if entry == 0 { 0 } else { self.round_trip }
     }
 }
 
@@ -105,7 +109,7 @@
     fn new() -> Self {
         let runners: Vec<Name> = (0..RUNNERS).map(|i| format!("r{i}").into()).collect();
         let mut lender = Lender::first();
-        lender.set_runners(runners.iter().map(|name| (name.clone(), SLOTS)).collect());
+        lender.set_runners(runners.iter().map(|name| (name.clone(), SLOTS_PER_RUNNER)).collect());
         lender.set_entries((0..ENTRIES).map(entry_name).collect());
         let known = || runners.iter().map(|name| (name.clone(), SHARD.into(), false)).collect();
         let slots = (0..ENTRIES).map(|_| {
@@ -116,12 +120,12 @@
         Self { lender, slots: slots.collect(), runners: BTreeMap::new() }
     }
 
-    fn turns(&mut self, now: u64, entry: usize) -> Vec<usize> {
-        let turns = self.slots[entry].turns(clock(now));
-        turns.into_iter().filter_map(|turn| self.go(turn)).collect()
+    fn take_turns(&mut self, now: u64, entry: usize) -> Vec<usize> {
+        let turns = self.slots[entry].turns(virtual_time(now));
+        turns.into_iter().filter_map(|turn| self.start(turn)).collect()
     }
 
-    fn go(&mut self, turn: Turn) -> Option<usize> {
+    fn start(&mut self, turn: Turn) -> Option<usize> {
         match turn {
             Turn::Go { id, runner } => {
                 self.runners.insert(id as usize, runner);
@@ -134,11 +138,11 @@
 }
 
 /// Later than any lease of a lender's predecessor.
-fn clock(now: u64) -> Millis {
+fn virtual_time(now: u64) -> Millis {
     Millis(1_000_000 + now)
 }
 
-impl Way for Leases {
+impl SharingPolicy for Leases {
     fn arrive(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize> {
         let request = Waiting {
             id: id as u64,
@@ -146,79 +150,79 @@
             weight: 100,
             limit: u32::MAX,
             queue: u32::MAX,
-            came: clock(now),
-            due: clock(now + 600_000),
+            came: virtual_time(now),
+            due: virtual_time(now + 600_000),
         };
-        let turn = self.slots[entry].ask(clock(now), request);
-        self.go(turn).into_iter().collect()
+        let turn = self.slots[entry].ask(virtual_time(now), request);
+        self.start(turn).into_iter().collect()
     }
 
     fn end(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize> {
         let runner = self.runners.remove(&id).expect("runner");
         let kind = "preview".into();
-        self.slots[entry].release(clock(now), &runner, &kind, Millis(40), true);
-        self.turns(now, entry)
+        self.slots[entry].release(virtual_time(now), &runner, &kind, Millis(40), true);
+        self.take_turns(now, entry)
     }
 
     fn tick(&mut self, now: u64) -> Vec<usize> {
         let mut started = Vec::new();
         for entry in 0..ENTRIES {
-            let (uses, waiting) = self.slots[entry].uses(clock(now), SHARD);
-            let lent = self.lender.lend(clock(now), &entry_name(entry), &uses, waiting);
-            self.slots[entry].lent(clock(now), &lent);
-            started.extend(self.turns(now, entry));
+            let (uses, waiting) = self.slots[entry].uses(virtual_time(now), SHARD);
+            let lent = self.lender.lend(virtual_time(now), &entry_name(entry), &uses, waiting);
+            self.slots[entry].lent(virtual_time(now), &lent);
+            started.extend(self.take_turns(now, entry));
         }
         started
     }
 
-    fn extra(&self, _: usize) -> u64 {
+    fn extra_wait(&self, _: usize) -> u64 {
         0
     }
 }
 
 /// Requests at a share of all slots; `skew` is the part of them that comes to the second entry.
 fn stream(load: f64, skew: f64) -> Vec<Request> {
-    let mut draw = Draw(5);
-    let rate = load * RUNNERS as f64 * SLOTS as f64 / 0.040;
+    let mut rng = SplitMix64(5);
+    let rate = load * RUNNERS as f64 * SLOTS_PER_RUNNER as f64 / 0.040;
     let mut at = 0.0;
     let mut requests = Vec::new();
-    while at < LENGTH as f64 {
-        at += draw.gap(rate);
-        let hit = (draw.below(1_000) as f64) < skew * 1_000.0;
-        let entry = if hit { 1 } else { 2 * draw.below(2) as usize };
-        requests.push(Request { at: at as u64, entry, run: 20 + draw.below(41) });
+    while at < STREAM_MS as f64 {
+        at += rng.exponential_gap(rate);
+        let is_second = (rng.below(1_000) as f64) < skew * 1_000.0;
+        let entry = if is_second { 1 } else { 2 * rng.below(2) as usize };
+        requests.push(Request { at: at as u64, entry, run: 20 + rng.below(41) });
     }
     requests
 }
 
 /// The waits of all requests, and the most that were at runners at once.
-fn play(requests: &[Request], way: &mut dyn Way) -> (Vec<u64>, usize) {
+fn simulate(requests: &[Request], policy: &mut dyn SharingPolicy) -> (Vec<u64>, usize) {
     let mut ends: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
-    let (mut next, mut tick, mut most, mut waits) = (0, 0, 0, Vec::new());
+    let (mut next, mut tick, mut peak, mut waits) = (0, 0, 0, Vec::new());
     while next < requests.len() {
         let end = ends.peek().map_or(u64::MAX, |Reverse((at, _))| *at);
         let now = requests[next].at.min(end).min(tick);
         let started = if now == end {
             let Some(Reverse((_, id))) = ends.pop() else { break };
-            way.end(now, id, requests[id].entry)
+            policy.end(now, id, requests[id].entry)
         } else if now == tick {
-            tick += RENEW;
-            way.tick(now)
+            tick += RENEW_INTERVAL_MS;
+            policy.tick(now)
         } else {
             next += 1;
-            way.arrive(now, next - 1, requests[next - 1].entry)
+            policy.arrive(now, next - 1, requests[next - 1].entry)
         };
         for id in started {
             let request = requests[id];
             ends.push(Reverse((now + request.run, id)));
-            if request.at >= WARM {
-                waits.push(now - request.at + way.extra(request.entry));
+            if request.at >= WARM_UP_MS {
+                waits.push(now - request.at + policy.extra_wait(request.entry));
             }
         }
-        most = most.max(ends.len());
+        peak = peak.max(ends.len());
     }
     waits.sort_unstable();
-    (waits, most)
+    (waits, peak)
 }
 
 fn main() {
@@ -227,17 +231,17 @@
     for skew in [1.0 / 3.0, 0.6] {
         for load in [0.5, 0.8, 0.95] {
             let requests = stream(load, skew);
-            let ways: [(&str, Box<dyn Way>); 3] = [
+            let policies: [(&str, Box<dyn SharingPolicy>); 3] = [
                 ("leases", Box::new(Leases::new())),
                 ("forwarding", Box::new(Pools::forwarding())),
                 ("fixed split", Box::new(Pools::fixed_split())),
             ];
-            for (name, mut way) in ways {
-                let (waits, most) = play(&requests, &mut *way);
+            for (name, mut policy) in policies {
+                let (waits, peak) = simulate(&requests, &mut *policy);
                 let at = |share: usize| waits[waits.len() * share / 1_000];
                 let [p50, p99, p999] = [500, 990, 999].map(at);
-                println!("  {skew:.2} {load:.2} {name:<12} {p50:>6} {p99:>6} {p999:>6} {most:>5}");
-                assert!(most <= RUNNERS * SLOTS as usize, "more than there are");
+                println!("  {skew:.2} {load:.2} {name:<12} {p50:>6} {p99:>6} {p999:>6} {peak:>5}");
+                assert!(peak <= RUNNERS * SLOTS_PER_RUNNER as usize, "more than there are");
             }
         }
     }
--- a/src/demo/cell.rs
+++ b/src/demo/cell.rs
@@ -24,22 +24,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-const OPERATOR: &str = "demo-operator-token";
-const LIMIT: Millis = Millis(20_000);
-const RETENTION: Millis = Millis(600_000);
+const OPERATOR_TOKEN: &str = "demo-operator-token";
+const CALL_TIMEOUT: Millis = Millis(20_000);
+const LOG_RETENTION: Millis = Millis(600_000);
 /// How long the cell may take to come up.
-const START: Millis = Millis(30_000);
-const LOOK: Millis = Millis(50);
+const START_TIMEOUT: Millis = Millis(30_000);
+const POLL_INTERVAL: Millis = Millis(50);
 /// Failure domain, and the size of its workers.
-const SITES: [(&str, Size); 2] =
+const DOMAINS: [(&str, Size); 2] =
     [("nasr-hall", Size::new(16_000, 32_000, 0)), ("pasila", Size::new(32_000, 64_000, 0))];
-const WORKERS: usize = 4;
-const RUNNERS: usize = 2;
-const SLOTS: u32 = 8;
-const ACCELERATORS: u32 = 2;
+const WORKERS_PER_DOMAIN: usize = 4;
+const RUNNERS_PER_DOMAIN: usize = 2;
+const SLOTS_PER_RUNNER: u32 = 8;
+const ACCELERATORS_PER_WORKER: u32 = 2;
 
 /// The table of the demo.
-pub const TABLE: &str = include_str!("../../docs/example/table.csv");
+pub const EXAMPLE_TABLE: &str = include_str!("../../docs/example/table.csv");
 
 /// The cell.
 pub struct Cell {
@@ -48,79 +48,79 @@
     /// The entries with their addresses for callers.
     pub entries: Vec<(Arc<Entry>, SocketAddr)>,
     /// All workers' processors together, in thousandths of a core.
-    pub cpu: u64,
+    pub total_cpu: u64,
     traces: Vec<Arc<Trace>>,
     http: HttpClient,
     stop: watch::Sender<bool>,
 }
 
-async fn listen() -> Result<(TcpListener, Name)> {
+async fn bind_loopback() -> Result<(TcpListener, Name)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let addr = listener.local_addr()?.to_string().into();
     Ok((listener, addr))
 }
 
 /// Ready when the cell is stopped.
-async fn stopped(mut stop: watch::Receiver<bool>) {
+async fn wait_for_stop(mut stop: watch::Receiver<bool>) {
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
 impl Cell {
     /// Starts everything and waits until each shard has an owner.
     pub async fn start() -> Result<Self> {
-        let platform = Platform::new(RETENTION);
-        let (listener, addr) = listen().await?;
+        let platform = Platform::new(LOG_RETENTION);
+        let (listener, addr) = bind_loopback().await?;
         let mut cell = Self {
             platform: platform.clone(),
             entries: Vec::new(),
-            cpu: 0,
+            total_cpu: 0,
             traces: Vec::new(),
             http: HttpClient::default(),
             stop: watch::Sender::new(false),
         };
-        tokio::spawn(serve(listener, platform.app(), stopped(cell.stop.subscribe())));
+        tokio::spawn(serve(listener, platform.app(), wait_for_stop(cell.stop.subscribe())));
         let mut vms = Vec::new();
-        for (domain, size) in SITES {
+        for (domain, size) in DOMAINS {
             cell.start_workers(domain, size, &mut vms).await?;
             cell.start_runners(domain, &mut vms).await?;
         }
         cell.start_entries(&addr, &mut vms).await?;
         cell.platform.set_list(VmList { rev: 1, vms });
-        cell.publish().await?;
+        cell.publish_table().await?;
         Ok(cell)
     }
 
     async fn start_workers(&mut self, domain: &str, size: Size, vms: &mut Vec<Vm>) -> Result<()> {
-        for index in 0..WORKERS {
-            let (listener, addr) = listen().await?;
+        for index in 0..WORKERS_PER_DOMAIN {
+            let (listener, addr) = bind_loopback().await?;
             let name: Name = format!("{domain}-w{index}").into();
-            let acc = if index == 0 { ACCELERATORS } else { 0 };
+            let acc = if index == 0 { ACCELERATORS_PER_WORKER } else { 0 };
             let size = Size { acc, ..size };
             let worker = Worker::new(name.clone(), size);
-            self.cpu += size.cpu as u64;
+            self.total_cpu += size.cpu as u64;
             self.traces.push(worker.trace());
             tokio::spawn(worker.clone().run());
-            tokio::spawn(serve(listener, worker.app(), stopped(self.stop.subscribe())));
+            tokio::spawn(serve(listener, worker.app(), wait_for_stop(self.stop.subscribe())));
             vms.push(vm(name, Role::Worker, addr, domain, size, 0));
         }
         Ok(())
     }
 
     async fn start_runners(&mut self, domain: &str, vms: &mut Vec<Vm>) -> Result<()> {
-        for index in 0..RUNNERS {
-            let (listener, addr) = listen().await?;
+        for index in 0..RUNNERS_PER_DOMAIN {
+            let (listener, addr) = bind_loopback().await?;
             let name: Name = format!("{domain}-r{index}").into();
-            let runner = Runner::new(name.clone(), SLOTS);
+            let runner = Runner::new(name.clone(), SLOTS_PER_RUNNER);
             self.traces.push(runner.trace());
-            tokio::spawn(serve(listener, runner.app(), stopped(self.stop.subscribe())));
-            vms.push(vm(name, Role::Runner, addr, domain, Size::default(), SLOTS));
+            tokio::spawn(serve(listener, runner.app(), wait_for_stop(self.stop.subscribe())));
+            vms.push(vm(name, Role::Runner, addr, domain, Size::default(), SLOTS_PER_RUNNER));
         }
         Ok(())
     }
 
     async fn start_entries(&mut self, platform: &Name, vms: &mut Vec<Vm>) -> Result<()> {
         let authority = Authority::new("demo")?;
-        for (domain, _) in SITES {
+        for (domain, _) in DOMAINS {
             for index in 1..=2 {
                 let name: Name = format!("{domain}-{index}").into();
                 let keys = authority.issue(&name)?;
@@ -131,7 +131,7 @@
                         "authority": &*keys.authority, "certificate": &*keys.certificate,
                         "secret": &*keys.secret,
                     },
-                    "tokens": [{"name": "demo", "token": OPERATOR, "right": "operator"}],
+                    "tokens": [{"name": "demo", "token": OPERATOR_TOKEN, "right": "operator"}],
                     "stop_grace": 500,
                 });
                 let addr = self.start_entry(&settings.to_string()).await?;
@@ -144,40 +144,40 @@
     /// Starts an entry and returns its address for other entries.
     async fn start_entry(&mut self, settings: &str) -> Result<Name> {
         let settings = Settings::parse(settings);
-        let settings = settings.map_err(|faults| anyhow!("settings: {faults:?}"))?;
+        let settings = settings.map_err(|errors| anyhow!("settings: {errors:?}"))?;
         let (entry, listener) = Entry::bind(settings).await?;
         let addr = listener.local_addr()?;
         let peer = entry.quic.addr()?.to_string().into();
         self.traces.push(entry.trace.clone());
-        tokio::spawn(entry.clone().run(listener, stopped(self.stop.subscribe())));
+        tokio::spawn(entry.clone().run(listener, wait_for_stop(self.stop.subscribe())));
         self.entries.push((entry, addr));
         Ok(peer)
     }
 
-    async fn publish(&self) -> Result<()> {
+    async fn publish_table(&self) -> Result<()> {
         let begun = Millis::now();
-        while Millis::now().since(begun) < START {
+        while Millis::now().since(begun) < START_TIMEOUT {
             let (_, addr) = &self.entries[0];
             let content = "text/plain; charset=utf-8";
             let path = "/v1/table?base=0";
             let headers = [("content-type", content)];
-            let answer = self.send(*addr, Method::PUT, path, &headers, TABLE).await;
+            let answer = self.send(*addr, Method::PUT, path, &headers, EXAMPLE_TABLE).await;
             if answer.is_ok_and(|answer| answer.status.is_success()) {
-                return self.until_ready(begun).await;
+                return self.wait_until_ready(begun).await;
             }
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
         bail!("the table could not be published")
     }
 
-    async fn until_ready(&self, begun: Millis) -> Result<()> {
-        while Millis::now().since(begun) < START {
+    async fn wait_until_ready(&self, begun: Millis) -> Result<()> {
+        while Millis::now().since(begun) < START_TIMEOUT {
             let owned: usize = self.entries.iter().map(|(entry, _)| entry.owned()).sum();
             let tables = self.entries.iter().all(|(entry, _)| !entry.table().rows.is_empty());
-            if owned == SITES.len() && tables {
+            if owned == DOMAINS.len() && tables {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
         bail!("shards have no owners")
     }
@@ -195,12 +195,12 @@
         let mut builder = Request::builder()
             .method(method)
             .uri(uri(&addr, path)?)
-            .header(AUTHORIZATION, format!("Bearer {OPERATOR}"));
+            .header(AUTHORIZATION, format!("Bearer {OPERATOR_TOKEN}"));
         for (name, value) in headers {
             builder = builder.header(*name, *value);
         }
         let request = builder.body(Full::from(Bytes::from(body.to_string())))?;
-        Ok(self.http.send(&addr, request, LIMIT).await?)
+        Ok(self.http.send(&addr, request, CALL_TIMEOUT).await?)
     }
 
     /// Submits a job and returns its id.
@@ -223,7 +223,7 @@
     /// Stops everything.
     pub async fn stop(&self) {
         self.stop.send_replace(true);
-        tokio::time::sleep((LOOK + LOOK).duration()).await;
+        tokio::time::sleep((POLL_INTERVAL + POLL_INTERVAL).duration()).await;
     }
 }
 
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -11,30 +11,30 @@
 use tokio::task::JoinSet;
 
 /// Work that is left may take this long to end.
-const FINISH: Millis = Millis(30_000);
-const LOOK: Millis = Millis(100);
+const FINISH_TIMEOUT: Millis = Millis(30_000);
+const POLL_INTERVAL: Millis = Millis(100);
 /// How often a job is submitted before its caller gives up, and the pause between.
-const TRIES: u32 = 5;
-const AGAIN: Millis = Millis(500);
+const MAX_SUBMIT_TRIES: u32 = 5;
+const RETRY_DELAY: Millis = Millis(500);
 
-/// Requests of one kind, again and again.
-struct Requests {
+/// RequestStream of one kind, again and again.
+struct RequestStream {
     kind: &'static str,
     /// Time between two.
-    every: Millis,
+    interval: Millis,
     /// How long the runner takes, in milliseconds.
-    run: &'static str,
-    keyed: bool,
+    run_ms: &'static str,
+    has_key: bool,
 }
 
-const REQUESTS: [Requests; 3] = [
-    Requests { kind: "preview", every: Millis(25), run: "60", keyed: false },
-    Requests { kind: "ingest-step", every: Millis(100), run: "20", keyed: true },
-    Requests { kind: "render", every: Millis(25), run: "40", keyed: false },
+const REQUEST_STREAMS: [RequestStream; 3] = [
+    RequestStream { kind: "preview", interval: Millis(25), run_ms: "60", has_key: false },
+    RequestStream { kind: "ingest-step", interval: Millis(100), run_ms: "20", has_key: true },
+    RequestStream { kind: "render", interval: Millis(25), run_ms: "40", has_key: false },
 ];
 
 /// Jobs of one kind, again and again.
-fn jobs() -> Vec<(Millis, Value)> {
+fn job_streams() -> Vec<(Millis, Value)> {
     let job = |kind: &str, tasks: u32, gang: bool, cpu: u32, acc: u32, run: u64| {
         let mem = cpu / 2;
         json!({
@@ -59,29 +59,29 @@
 pub async fn run(cell: Arc<Cell>, length: Millis) -> Result<()> {
     let until = Millis::now() + length;
     let (_, addr) = cell.entries[0];
-    let mut services_up = Vec::new();
+    let mut service_jobs = Vec::new();
     let next = Arc::new(AtomicUsize::new(0));
     for service in services() {
-        services_up.extend(insist(&cell, &next, &service).await);
+        service_jobs.extend(submit_with_retries(&cell, &next, &service).await);
     }
     let mut tasks = JoinSet::new();
-    for requests in REQUESTS {
-        tasks.spawn(ask(cell.clone(), next.clone(), requests, until));
+    for requests in REQUEST_STREAMS {
+        tasks.spawn(send_requests(cell.clone(), next.clone(), requests, until));
     }
-    for (every, job) in jobs() {
-        tasks.spawn(submit(cell.clone(), next.clone(), every, job, until));
+    for (interval, job) in job_streams() {
+        tasks.spawn(submit_jobs(cell.clone(), next.clone(), interval, job, until));
     }
-    tasks.spawn(withdraw(cell.clone()));
-    tasks.spawn(stop_one(cell.clone(), Millis(length.0 / 2)));
+    tasks.spawn(cancel_campaign(cell.clone()));
+    tasks.spawn(stop_entry(cell.clone(), Millis(length.0 / 2)));
     while tasks.join_next().await.is_some() {}
-    for id in services_up {
+    for id in service_jobs {
         cell.send(addr, Method::DELETE, &format!("/v1/jobs/{id}"), &[], "").await?;
     }
-    finish(&cell, addr).await
+    wait_until_done(&cell, addr).await
 }
 
 /// The next entry that takes callers, as the platform's balancer would choose it.
-fn entry(cell: &Cell, next: &AtomicUsize) -> SocketAddr {
+fn next_entry(cell: &Cell, next: &AtomicUsize) -> SocketAddr {
     let open: Vec<SocketAddr> = cell
         .entries
         .iter()
@@ -91,19 +91,24 @@
     open[next.fetch_add(1, Ordering::Relaxed) % open.len()]
 }
 
-async fn ask(cell: Arc<Cell>, next: Arc<AtomicUsize>, requests: Requests, until: Millis) {
-    let mut timer = tokio::time::interval(requests.every.duration());
+async fn send_requests(
+    cell: Arc<Cell>,
+    next: Arc<AtomicUsize>,
+    requests: RequestStream,
+    until: Millis,
+) {
+    let mut timer = tokio::time::interval(requests.interval.duration());
     let mut calls = JoinSet::new();
     let mut count = 0;
     while Millis::now() < until {
         timer.tick().await;
         count += 1;
-        let (cell, addr) = (cell.clone(), entry(&cell, &next));
+        let (cell, addr) = (cell.clone(), next_entry(&cell, &next));
         let key = format!("{}-{count}", requests.kind);
         let path = format!("/run/{}", requests.kind);
         calls.spawn(async move {
-            let mut headers = vec![("work-millis", requests.run)];
-            if requests.keyed {
+            let mut headers = vec![("work-millis", requests.run_ms)];
+            if requests.has_key {
                 headers.push(("idempotency-key", &key));
             }
             let _ = cell.send(addr, Method::POST, &path, &headers, "page").await;
@@ -112,37 +117,44 @@
     while calls.join_next().await.is_some() {}
 }
 
-async fn submit(cell: Arc<Cell>, next: Arc<AtomicUsize>, every: Millis, job: Value, until: Millis) {
-    let mut timer = tokio::time::interval(every.duration());
+async fn submit_jobs(
+    cell: Arc<Cell>,
+    next: Arc<AtomicUsize>,
+    interval: Millis,
+    job: Value,
+    until: Millis,
+) {
+    let mut timer = tokio::time::interval(interval.duration());
     while Millis::now() < until {
         timer.tick().await;
-        insist(&cell, &next, &job).await;
+        submit_with_retries(&cell, &next, &job).await;
     }
 }
 
 /// Submits a job and comes again, as callers do, while the cell has no owner for it.
-async fn insist(cell: &Cell, next: &AtomicUsize, job: &Value) -> Option<String> {
+async fn submit_with_retries(cell: &Cell, next: &AtomicUsize, job: &Value) -> Option<String> {
     let mut refused = None;
-    for _ in 0..TRIES {
-        match cell.submit(entry(cell, next), job).await {
+    for _ in 0..MAX_SUBMIT_TRIES {
+        match cell.submit(next_entry(cell, next), job).await {
             Ok(id) => return Some(id),
             Err(err) => refused = Some(err),
         }
-        tokio::time::sleep(AGAIN.duration()).await;
+        tokio::time::sleep(RETRY_DELAY.duration()).await;
     }
     refused.iter().for_each(|err| println!("job refused: {err}"));
     None
 }
 
-async fn withdraw(cell: Arc<Cell>) {
+async fn cancel_campaign(cell: Arc<Cell>) {
     let (_, addr) = cell.entries[3];
-    let wave = json!({"kind": "campaign", "tasks": 1_000, "cpu": 4_000, "mem": 2_000, "run": 700});
-    let Ok(id) = cell.submit(addr, &wave).await else { return };
-    tokio::time::sleep((LOOK + LOOK).duration()).await;
+    let campaign =
+        json!({"kind": "campaign", "tasks": 1_000, "cpu": 4_000, "mem": 2_000, "run": 700});
+    let Ok(id) = cell.submit(addr, &campaign).await else { return };
+    tokio::time::sleep((POLL_INTERVAL + POLL_INTERVAL).duration()).await;
     let _ = cell.send(addr, Method::DELETE, &format!("/v1/jobs/{id}"), &[], "").await;
 }
 
-async fn stop_one(cell: Arc<Cell>, after: Millis) {
+async fn stop_entry(cell: Arc<Cell>, after: Millis) {
     tokio::time::sleep(after.duration()).await;
     let (entry, addr) = &cell.entries[1];
     println!("planned stop of the entry at {addr}");
@@ -150,16 +162,16 @@
 }
 
 /// Waits until no job has tasks waiting or running.
-async fn finish(cell: &Cell, addr: SocketAddr) -> Result<()> {
+async fn wait_until_done(cell: &Cell, addr: SocketAddr) -> Result<()> {
     let begun = Millis::now();
-    while Millis::now().since(begun) < FINISH {
+    while Millis::now().since(begun) < FINISH_TIMEOUT {
         let answer = cell.send(addr, Method::GET, "/v1/jobs", &[], "").await?;
         let jobs: Vec<Value> = serde_json::from_slice(&answer.body)?;
         let open = |job: &&Value| job["state"] == "queued" || job["state"] == "running";
         if !jobs.iter().any(|job| open(&job)) {
             return Ok(());
         }
-        tokio::time::sleep(LOOK.duration()).await;
+        tokio::time::sleep(POLL_INTERVAL.duration()).await;
     }
     anyhow::bail!("jobs did not end")
 }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -17,9 +17,9 @@
 pub async fn run(length: Millis) -> Result<()> {
     let cell = Arc::new(Cell::start().await?);
     println!("cell up: 2 failure domains, 4 entries, 8 workers, 4 runners, 1 platform");
-    let before = report::Cost::now(&cell);
+    let before = report::ControlCost::now(&cell);
     load::run(cell.clone(), length).await?;
-    let after = report::Cost::now(&cell);
+    let after = report::ControlCost::now(&cell);
     let events = cell.events();
     report::print(&events, &before, &after);
     let broken = check::check(&events);
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::Ordering;
 
 /// Clock ticks of the kernel's accounting, a second.
-const TICKS: u64 = 100;
+const TICKS_PER_SECOND: u64 = 100;
 
 /// What control has cost so far.
-pub struct Cost {
+pub struct ControlCost {
     at: Millis,
     appends: u64,
     log_bytes: u64,
@@ -20,10 +20,10 @@
     cpu: Millis,
     nodes: u64,
     /// All workers' processors, in thousandths of a core.
-    capacity: u64,
+    total_cpu: u64,
 }
 
-impl Cost {
+impl ControlCost {
     /// The cost up to now.
     pub fn now(cell: &Cell) -> Self {
         let usage = cell.platform.usage();
@@ -37,19 +37,19 @@
             log_bytes: usage.bytes,
             messages: sum.0,
             peer_bytes: sum.1 / 2,
-            cpu: processor_time(),
+            cpu: cpu_time(),
             nodes: 16,
-            capacity: cell.cpu,
+            total_cpu: cell.total_cpu,
         }
     }
 }
 
 /// Processor time of this process, from the kernel's accounting; zero where there is none.
-fn processor_time() -> Millis {
+fn cpu_time() -> Millis {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-    Millis((ticks(11) + ticks(12)) * 1000 / TICKS)
+    Millis((ticks(11) + ticks(12)) * 1000 / TICKS_PER_SECOND)
 }
 
 /// Waits of one kind, in milliseconds.
@@ -57,19 +57,19 @@
 struct Waits(Vec<u64>);
 
 impl Waits {
-    fn at(&self, thousandth: usize) -> u64 {
+    fn quantile(&self, thousandth: usize) -> u64 {
         let last = self.0.len().saturating_sub(1);
         self.0.get((self.0.len() * thousandth / 1000).min(last)).copied().unwrap_or(0)
     }
 
-    fn line(&self, kind: &str) -> String {
-        let [p50, p99, p999] = [500, 990, 999].map(|at| self.at(at));
+    fn format_row(&self, kind: &str) -> String {
+        let [p50, p99, p999] = [500, 990, 999].map(|at| self.quantile(at));
         format!("{kind:<12} {:>6} {p50:>7} {p99:>7} {p999:>7}", self.0.len())
     }
 }
 
 /// Prints the report.
-pub fn print(events: &[Event], before: &Cost, after: &Cost) {
+pub fn print(events: &[Event], before: &ControlCost, after: &ControlCost) {
     print_requests(events);
     print_tasks(events);
     print_packing(events, before, after);
@@ -106,7 +106,7 @@
     println!("{:<12} {:>6} {:>7} {:>7} {:>7}", "kind", "count", "median", "99%", "99.9%");
     for (kind, mut waits) in waits {
         waits.0.sort_unstable();
-        println!("{}", waits.line(&kind));
+        println!("{}", waits.format_row(&kind));
     }
 }
 
@@ -128,12 +128,12 @@
 }
 
 /// The mean share of the workers' processors that was given to tasks.
-fn print_packing(events: &[Event], before: &Cost, after: &Cost) {
+fn print_packing(events: &[Event], before: &ControlCost, after: &ControlCost) {
     let mut running = BTreeMap::new();
-    let (mut used, mut area, mut last, mut most) = (0_u64, 0_u64, before.at, 0_u64);
+    let (mut used, mut cpu_ms, mut last, mut peak) = (0_u64, 0_u64, before.at, 0_u64);
     for event in events {
         let now = event.at.millis().max(last).min(after.at);
-        area += used * now.since(last).0;
+        cpu_ms += used * now.since(last).0;
         last = now;
         match &event.what {
             What::WorkerStarted { task, size, .. } => {
@@ -143,15 +143,15 @@
             What::WorkerEnded { task, .. } => used -= running.remove(task).unwrap_or(0),
             _ => {}
         }
-        most = most.max(used);
+        peak = peak.max(used);
     }
-    let span = after.at.since(before.at).0.max(1);
-    let share = |cpu: u64| cpu as f64 / after.capacity.max(1) as f64;
-    let mean = share(area) / span as f64;
-    println!("\npacking: processors given to tasks, mean {mean:.3}, most {:.3}", share(most));
+    let period_ms = after.at.since(before.at).0.max(1);
+    let share = |cpu: u64| cpu as f64 / after.total_cpu.max(1) as f64;
+    let mean = share(cpu_ms) / period_ms as f64;
+    println!("\npacking: processors given to tasks, mean {mean:.3}, most {:.3}", share(peak));
 }
 
-fn print_cost(before: &Cost, after: &Cost) {
+fn print_cost(before: &ControlCost, after: &ControlCost) {
     let seconds = after.at.since(before.at).0 as f64 / 1000.0;
     let rate = |a: u64, b: u64| (b - a) as f64 / seconds.max(0.001);
     println!("\ncontrol, over {seconds:.1} s and {} nodes", after.nodes);
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -16,6 +16,6 @@
 
 /// Gives out the time line.
 #[handler]
-pub fn timeline(trace: Data<&Arc<Trace>>, ask: Json<TraceRequest>) -> Json<Vec<Event>> {
+pub fn serve_timeline(trace: Data<&Arc<Trace>>, ask: Json<TraceRequest>) -> Json<Vec<Event>> {
     Json(trace.after(ask.since, ask.max))
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -6,7 +6,7 @@
 use crate::platform::api::{AppendReply, LogRecord, ReadReply, ReadRequest};
 use crate::platform::http::CALLER_HEADER;
 use crate::server::TRACE_PATH;
-use crate::standin::timeline;
+use crate::standin::serve_timeline;
 use crate::trace::{Trace, What};
 use poem::http::StatusCode;
 use poem::web::{Data, Json};
@@ -28,7 +28,7 @@
     pub slow: Millis,
     /// This many appends take effect and are answered with an error.
     pub lose_replies: u32,
-    /// A new list is shown this much later.
+    /// A new list is newest_visible this much later.
     pub list_lag: Millis,
     /// Callers, by name, for whom log and list are down.
     pub cut: Vec<Name>,
@@ -110,23 +110,23 @@
         AppendReply { offset }
     }
 
-    fn read(&self, ask: &ReadRequest) -> ReadReply {
+    fn read(&self, body: &ReadRequest) -> ReadReply {
         let mut log = lock(&self.log);
         let oldest = Millis::now() - self.retention;
         while log.records.front().is_some_and(|(at, _)| *at < oldest) {
             log.records.pop_front();
         }
         let first = log.records.front().map_or(log.next, |(_, record)| record.offset);
-        let skip = ask.from.saturating_sub(first) as usize;
-        let found = log.records.iter().skip(skip).take(ask.max as usize);
-        let records = found.map(|(_, record)| record.clone()).collect();
+        let skip = body.from.saturating_sub(first) as usize;
+        let wanted = log.records.iter().skip(skip).take(body.max as usize);
+        let records = wanted.map(|(_, record)| record.clone()).collect();
         ReadReply { first, next: log.next, records }
     }
 
     fn list(&self) -> VmList {
-        let shown = Millis::now() - lock(&self.faults).list_lag;
+        let newest_visible = Millis::now() - lock(&self.faults).list_lag;
         let lists = lock(&self.lists);
-        let newest = lists.iter().rev().find(|(at, _)| *at <= shown).or(lists.first());
+        let newest = lists.iter().rev().find(|(at, _)| *at <= newest_visible).or(lists.first());
         newest.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
@@ -140,25 +140,25 @@
             .at("/set/list", post(set_list))
             .at("/set/faults", post(set_faults))
             .at("/usage", post(usage))
-            .at(TRACE_PATH, post(timeline))
+            .at(TRACE_PATH, post(serve_timeline))
             .data(trace)
             .data(self)
     }
 }
 
-fn is_cut(platform: &Platform, request: &poem::Request) -> bool {
+fn is_cut_off(platform: &Platform, request: &poem::Request) -> bool {
     let caller = request.header(CALLER_HEADER).unwrap_or("");
     lock(&platform.faults).cut.iter().any(|cut| **cut == *caller)
 }
 
-fn down() -> poem::Error {
+fn unavailable() -> poem::Error {
     poem::Error::from_status(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn pass(platform: &Platform, request: &poem::Request) -> poem::Result<()> {
+async fn check_faults(platform: &Platform, request: &poem::Request) -> poem::Result<()> {
     let faults = lock(&platform.faults).clone();
     tokio::time::sleep(faults.slow.duration()).await;
-    if faults.log_down || is_cut(platform, request) { Err(down()) } else { Ok(()) }
+    if faults.log_down || is_cut_off(platform, request) { Err(unavailable()) } else { Ok(()) }
 }
 
 #[handler]
@@ -167,12 +167,12 @@
     request: &poem::Request,
     data: String,
 ) -> poem::Result<Json<AppendReply>> {
-    pass(&platform, request).await?;
+    check_faults(&platform, request).await?;
     let reply = platform.append(data);
     let mut faults = lock(&platform.faults);
     if faults.lose_replies > 0 {
         faults.lose_replies -= 1;
-        return Err(down());
+        return Err(unavailable());
     }
     Ok(Json(reply))
 }
@@ -181,17 +181,17 @@
 async fn read(
     platform: Data<&Arc<Platform>>,
     request: &poem::Request,
-    ask: Json<ReadRequest>,
+    body: Json<ReadRequest>,
 ) -> poem::Result<Json<ReadReply>> {
-    pass(&platform, request).await?;
+    check_faults(&platform, request).await?;
     let appended = platform.appended.notified();
-    let reply = platform.read(&ask);
-    if !reply.records.is_empty() || reply.first > ask.from || ask.wait == Millis(0) {
+    let reply = platform.read(&body);
+    if !reply.records.is_empty() || reply.first > body.from || body.wait == Millis(0) {
         return Ok(Json(reply));
     }
-    let _ = tokio::time::timeout(ask.wait.duration(), appended).await;
-    pass(&platform, request).await?;
-    Ok(Json(platform.read(&ask)))
+    let _ = tokio::time::timeout(body.wait.duration(), appended).await;
+    check_faults(&platform, request).await?;
+    Ok(Json(platform.read(&body)))
 }
 
 #[handler]
@@ -199,8 +199,8 @@
     platform: Data<&Arc<Platform>>,
     request: &poem::Request,
 ) -> poem::Result<Json<VmList>> {
-    if lock(&platform.faults).list_down || is_cut(&platform, request) {
-        return Err(down());
+    if lock(&platform.faults).list_down || is_cut_off(&platform, request) {
+        return Err(unavailable());
     }
     Ok(Json(platform.list()))
 }
--- a/src/standin/runner.rs
+++ b/src/standin/runner.rs
@@ -4,7 +4,7 @@
 use crate::id::Name;
 use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
 use crate::server::TRACE_PATH;
-use crate::standin::timeline;
+use crate::standin::serve_timeline;
 use crate::trace::{Trace, What};
 use bytes::Bytes;
 use poem::http::StatusCode;
@@ -17,11 +17,11 @@
 use tokio::sync::Semaphore;
 
 /// The most exchanges at once; more are refused.
-const CONNECTIONS: usize = 64;
+const MAX_EXCHANGES: usize = 64;
 /// How long a request runs if it does not say.
-const DEFAULT_RUN: Millis = Millis(20);
+const DEFAULT_RUN_TIME: Millis = Millis(20);
 /// The header by which callers of stand-ins say how long their request runs, in milliseconds.
-pub const RUN_HEADER: &str = "work-millis";
+pub const RUN_TIME_HEADER: &str = "work-millis";
 
 /// Faults that can be set at any time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Runner {
     slots: Semaphore,
-    open: Semaphore,
+    exchanges: Semaphore,
     faults: Mutex<Faults>,
     trace: Arc<Trace>,
 }
@@ -51,7 +51,7 @@
         trace.add(What::Up { role: "runner".into() });
         Arc::new(Self {
             slots: Semaphore::new(slots as usize),
-            open: Semaphore::new(CONNECTIONS),
+            exchanges: Semaphore::new(MAX_EXCHANGES),
             faults: Mutex::default(),
             trace,
         })
@@ -72,7 +72,7 @@
         Route::new()
             .at("/run/:kind", post(run))
             .at("/set/faults", post(set_faults))
-            .at(TRACE_PATH, post(timeline))
+            .at(TRACE_PATH, post(serve_timeline))
             .data(trace)
             .data(self)
     }
@@ -89,10 +89,10 @@
     request: &poem::Request,
     body: Vec<u8>,
 ) -> poem::Result<Response> {
-    let _open = runner.open.try_acquire().map_err(|_| unavailable())?;
+    let _exchange = runner.exchanges.try_acquire().map_err(|_| unavailable())?;
     let _slot = runner.slots.acquire().await.map_err(|_| unavailable())?;
-    let number = request.header(RUN_HEADER).and_then(|text| text.parse().ok());
-    tokio::time::sleep(Millis(number.unwrap_or(DEFAULT_RUN.0)).duration()).await;
+    let run_time = request.header(RUN_TIME_HEADER).and_then(|text| text.parse().ok());
+    tokio::time::sleep(Millis(run_time.unwrap_or(DEFAULT_RUN_TIME.0)).duration()).await;
     let id: Name = request.header(REQUEST_ID_HEADER).unwrap_or("").into();
     runner.trace.add(What::RunnerRan { request: id });
     let faults = runner.faults().clone();
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -7,7 +7,7 @@
 use crate::platform::api::{Report, Running, StartOrder, StopOrder, SyncOrder, TaskReply};
 use crate::server::TRACE_PATH;
 use crate::size::Size;
-use crate::standin::timeline;
+use crate::standin::serve_timeline;
 use crate::trace::{Trace, What};
 use poem::web::{Data, Json};
 use poem::{EndpointExt, IntoEndpoint, Route, handler, post};
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// How often leases and run times are looked at.
-const LOOK: Millis = Millis(20);
+const CHECK_INTERVAL: Millis = Millis(20);
 
 /// Faults that can be set at any time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 
 #[derive(Debug)]
 enum Task {
-    Running { order: StartOrder, ends: Option<Millis>, lease: Millis, throttled: bool },
+    Running { order: StartOrder, ends_at: Option<Millis>, lease_end: Millis, throttled: bool },
     Ended(Outcome),
 }
 
@@ -69,22 +69,22 @@
 
     /// Ends tasks whose time or lease is over, for as long as the worker lives.
     pub async fn run(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(LOOK.duration());
+        let mut timer = tokio::time::interval(CHECK_INTERVAL.duration());
         loop {
             timer.tick().await;
-            self.look(Millis::now());
+            self.end_due_tasks(Millis::now());
         }
     }
 
-    fn look(&self, now: Millis) {
+    fn end_due_tasks(&self, now: Millis) {
         let fail = lock(&self.faults).fail;
         let mut tasks = lock(&self.tasks);
         for (id, task) in tasks.iter_mut() {
-            let Task::Running { ends, lease, .. } = task else { continue };
+            let Task::Running { ends_at, lease_end, .. } = task else { continue };
             let outcome = match () {
-                _ if *lease <= now => Outcome::Stopped,
+                _ if *lease_end <= now => Outcome::Stopped,
                 _ if fail => Outcome::Failed,
-                _ if ends.is_some_and(|ends| ends <= now) => Outcome::Done,
+                _ if ends_at.is_some_and(|ends_at| ends_at <= now) => Outcome::Done,
                 _ => continue,
             };
             self.trace.add(What::WorkerEnded { task: id.clone(), outcome });
@@ -105,11 +105,11 @@
         let now = Millis::now();
         let stretch = if faults.stretch == 0 { 100 } else { faults.stretch as u64 };
         let run = Millis(order.run.0 * stretch / 100);
-        let ends = (order.run > Millis(0)).then(|| now + run);
+        let ends_at = (order.run > Millis(0)).then(|| now + run);
         let (task, size, repeat) = (order.task.clone(), order.size, order.repeat);
         self.trace.add(What::WorkerStarted { task: task.clone(), size, total: self.size, repeat });
-        let lease = now + order.lease;
-        tasks.insert(task, Task::Running { order, ends, lease, throttled: false });
+        let lease_end = now + order.lease;
+        tasks.insert(task, Task::Running { order, ends_at, lease_end, throttled: false });
         TaskReply::Running
     }
 
@@ -132,8 +132,8 @@
         let mut tasks = lock(&self.tasks);
         let until = Millis::now() + order.lease;
         for id in &order.renew {
-            if let Some(Task::Running { lease, .. }) = tasks.get_mut(id) {
-                *lease = until;
+            if let Some(Task::Running { lease_end, .. }) = tasks.get_mut(id) {
+                *lease_end = until;
             }
         }
         for id in &order.ack {
@@ -171,7 +171,7 @@
             .at("/throttle", post(throttle))
             .at("/sync", post(sync))
             .at("/set/faults", post(set_faults))
-            .at(TRACE_PATH, post(timeline))
+            .at(TRACE_PATH, post(serve_timeline))
             .data(trace)
             .data(self)
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,16 +20,16 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-pub const OPERATOR: &str = "operator-token-0123";
-pub const NILEWIRE: &str = "nilewire-token-0123";
-pub const VIESTISILTA: &str = "viesti-token-012345";
+pub const OPERATOR_TOKEN: &str = "operator-token-0123";
+pub const NILEWIRE_TOKEN: &str = "nilewire-token-0123";
+pub const VIESTISILTA_TOKEN: &str = "viesti-token-012345";
 
 /// Longer than anything that is waited for takes on a busy machine.
-const PATIENCE: usize = 1_200;
-const LOOK: Duration = Duration::from_millis(50);
-const LIMIT: Millis = Millis(20_000);
+const MAX_POLLS: usize = 1_200;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Millis = Millis(20_000);
 
-pub const TABLE: &str = "\
+pub const EXAMPLE_TABLE: &str = "\
 kind,team,class,weight,limit,queue,deadline,repeat,retries,pack,spread,quota,site:nasr-hall,site:pasila
 preview,nilewire,request,100,64,100,5000,yes,0,0,0,0,100,100
 ingest-step,nilewire,request,50,64,100,10000,no,0,0,0,0,100,100
@@ -72,9 +72,9 @@
 
 impl Addresses {
     pub fn new() -> Self {
-        static CELLS: AtomicU8 = AtomicU8::new(2);
-        let (pid, cell) = (std::process::id(), CELLS.fetch_add(1, Ordering::Relaxed));
-        Self { host: Ipv4Addr::new(127, (pid >> 8) as u8, pid as u8, cell), port: FIRST_PORT }
+        static NEXT_CELL: AtomicU8 = AtomicU8::new(2);
+        let (pid, cell) = (std::process::id(), NEXT_CELL.fetch_add(1, Ordering::Relaxed));
+        Self { host: Ipv4Addr::new(127, (pid >> 8) as u8, pid as u8, cell), port: BASE_PORT }
     }
 
     pub fn next(&mut self) -> SocketAddr {
@@ -100,12 +100,12 @@
     pub runners: BTreeMap<String, Process>,
     settings: BTreeMap<String, PathBuf>,
     addresses: Addresses,
-    folder: PathBuf,
+    dir: PathBuf,
     pub http: HttpClient,
-    past: Vec<Event>,
+    saved_events: Vec<Event>,
 }
 
-const FIRST_PORT: u16 = 10_000;
+const BASE_PORT: u16 = 10_000;
 const DOMAINS: [&str; 2] = ["nasr-hall", "pasila"];
 
 impl Cell {
@@ -115,8 +115,8 @@
 
     /// A cell whose log drops records after `retention`, and whose entries have other settings.
     pub async fn start_with(name: &str, retention: u64, settings: Value) -> Self {
-        let folder = std::env::temp_dir().join(format!("spruce-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("folder");
+        let dir = std::env::temp_dir().join(format!("spruce-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&dir).expect("dir");
         let http = HttpClient::default();
         let mut addresses = Addresses::new();
         let platform = platform(addresses.next(), retention);
@@ -127,9 +127,9 @@
             runners: BTreeMap::new(),
             settings: BTreeMap::new(),
             addresses,
-            folder,
+            dir,
             http,
-            past: Vec::new(),
+            saved_events: Vec::new(),
         };
         for domain in DOMAINS {
             for index in 1..=2 {
@@ -140,20 +140,20 @@
             let name = format!("{domain}-r1");
             cell.runners.insert(name.clone(), runner(cell.addresses.next(), &name));
         }
-        cell.write_settings(&settings);
+        cell.write_all_settings(&settings);
         for name in cell.settings.keys().cloned().collect::<Vec<_>>() {
             cell.start_entry(&name);
         }
         let platform = cell.platform.addr;
-        cell.until("platform", async || {
-            cell.post(platform, "/set/list", &cell.list(1)).await.is_ok()
+        cell.wait_until("platform", async || {
+            cell.post(platform, "/set/list", &cell.vm_list(1)).await.is_ok()
         })
         .await;
         cell
     }
 
     /// The VM list in a version.
-    pub fn list(&self, rev: u64) -> Value {
+    pub fn vm_list(&self, rev: u64) -> Value {
         let mut vms = Vec::new();
         for (name, process) in &self.workers {
             let acc = if name.ends_with("w1") { 2 } else { 0 };
@@ -174,7 +174,7 @@
         json!({"rev": rev, "vms": vms})
     }
 
-    fn write_settings(&mut self, other: &Value) {
+    fn write_all_settings(&mut self, other: &Value) {
         let authority = Authority::new("test").expect("authority");
         let names = DOMAINS.iter().flat_map(|d| (1..=2).map(move |i| (format!("{d}-{i}"), *d)));
         let peers: Vec<(String, &str, SocketAddr)> =
@@ -200,21 +200,21 @@
                 },
                 "peers": others,
                 "tokens": [
-                    {"name": "op", "token": OPERATOR, "right": "operator"},
-                    {"name": "desk", "token": NILEWIRE, "right": "team:nilewire"},
-                    {"name": "clinic", "token": VIESTISILTA, "right": "team:viestisilta"},
+                    {"name": "op", "token": OPERATOR_TOKEN, "right": "operator"},
+                    {"name": "desk", "token": NILEWIRE_TOKEN, "right": "team:nilewire"},
+                    {"name": "clinic", "token": VIESTISILTA_TOKEN, "right": "team:viestisilta"},
                 ],
                 "stop_grace": 200, "sync_every": 200, "list_every": 200, "beat_every": 200,
             });
             merge(&mut settings, other);
-            let path = self.folder.join(format!("{name}.jsonc"));
+            let path = self.dir.join(format!("{name}.jsonc"));
             std::fs::write(&path, format!("// {name}\n{settings}")).expect("settings");
             self.settings.insert(name.clone(), path);
         }
     }
 
     /// Changes settings of an entry that is not running.
-    pub fn set_settings(&self, name: &str, other: &Value) {
+    pub fn change_settings(&self, name: &str, other: &Value) {
         let path = &self.settings[name];
         let text = std::fs::read_to_string(path).expect("settings");
         let (_, body) = text.split_once('\n').expect("comment");
@@ -225,7 +225,7 @@
 
     /// Stops an entry by plan and waits for its end.
     pub async fn stop_entry(&mut self, name: &str) {
-        self.keep_events(name).await;
+        self.save_events(name).await;
         let mut process = self.entries.remove(name).expect("entry");
         process.signal(Signal::SIGTERM);
         let status = process.wait();
@@ -246,12 +246,12 @@
     }
 
     /// Looks until `ready` holds.
-    pub async fn until(&self, what: &str, mut ready: impl AsyncFnMut() -> bool) {
-        for _ in 0..PATIENCE {
+    pub async fn wait_until(&self, what: &str, mut ready: impl AsyncFnMut() -> bool) {
+        for _ in 0..MAX_POLLS {
             if ready().await {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("waited in vain: {what}");
     }
@@ -270,7 +270,7 @@
             builder = builder.header(*name, *value);
         }
         let request = builder.body(Full::from(Bytes::from(body))).expect("request");
-        self.http.send(&addr, request, LIMIT).await
+        self.http.send(&addr, request, CALL_TIMEOUT).await
     }
 
     /// Sends with a token and returns status and JSON body.
@@ -296,7 +296,7 @@
     }
 
     pub async fn get(&self, entry: &str, path: &str) -> Value {
-        self.call(entry, OPERATOR, Method::GET, path, Value::Null).await.1
+        self.call(entry, OPERATOR_TOKEN, Method::GET, path, Value::Null).await.1
     }
 
     /// Sends a caller's request.
@@ -307,7 +307,7 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> (u16, String) {
-        let token = if kind == "render" { VIESTISILTA } else { NILEWIRE };
+        let token = if kind == "render" { VIESTISILTA_TOKEN } else { NILEWIRE_TOKEN };
         let auth = format!("Bearer {token}");
         let mut all = vec![(AUTHORIZATION.as_str(), &*auth)];
         all.extend_from_slice(headers);
@@ -321,7 +321,7 @@
     }
 
     pub async fn publish(&self, entry: &str, base: u64, table: &str) -> (u16, Value) {
-        let auth = format!("Bearer {OPERATOR}");
+        let auth = format!("Bearer {OPERATOR_TOKEN}");
         let headers = [
             (AUTHORIZATION.as_str(), &*auth),
             (CONTENT_TYPE.as_str(), "text/plain; charset=utf-8"),
@@ -337,12 +337,13 @@
     }
 
     /// Publishes the table and waits until all entries have it and all shards have owners.
-    pub async fn ready(&self) {
+    pub async fn publish_table_and_wait(&self) {
         let first = self.entries.keys().next().expect("entries").clone();
-        self.until("publish", async || self.publish(&first, 0, TABLE).await.0 == 200).await;
+        self.wait_until("publish", async || self.publish(&first, 0, EXAMPLE_TABLE).await.0 == 200)
+            .await;
         for name in self.entries.keys() {
-            self.until("table", async || self.get(name, "/v1/table").await["rev"] == 1).await;
-            self.until("owners", async || self.owners(name).await.len() == 2).await;
+            self.wait_until("table", async || self.get(name, "/v1/table").await["rev"] == 1).await;
+            self.wait_until("owners", async || self.owners(name).await.len() == 2).await;
         }
     }
 
@@ -366,7 +367,7 @@
 
     pub async fn submit(&self, entry: &str, token: &str, job: Value) -> String {
         let mut id = String::new();
-        self.until("submit", async || {
+        self.wait_until("submit", async || {
             let (status, answer) =
                 self.call(entry, token, Method::POST, "/v1/jobs", job.clone()).await;
             id = answer["job"].as_str().unwrap_or("").to_string();
@@ -381,10 +382,10 @@
         self.get(entry, &format!("/v1/jobs/{id}")).await
     }
 
-    pub async fn until_job(&self, entry: &str, id: &str, state: &str) -> Value {
+    pub async fn wait_for_job(&self, entry: &str, id: &str, state: &str) -> Value {
         let mut last = Value::Null;
         let what = format!("job {id} {state}");
-        self.until(&what, async || {
+        self.wait_until(&what, async || {
             last = self.job(entry, id).await;
             last["state"] == state
         })
@@ -398,15 +399,15 @@
         path: &str,
         body: &Value,
     ) -> Result<Value, HttpError> {
-        self.http.post_json("test", &addr.to_string(), path, body, LIMIT).await
+        self.http.post_json("test", &addr.to_string(), path, body, CALL_TIMEOUT).await
     }
 
-    pub async fn platform_faults(&self, faults: Value) {
+    pub async fn set_platform_faults(&self, faults: Value) {
         self.post(self.platform.addr, "/set/faults", &faults).await.expect("faults");
     }
 
     async fn events_of(&self, addr: SocketAddr) -> Vec<Event> {
-        let auth = format!("Bearer {OPERATOR}");
+        let auth = format!("Bearer {OPERATOR_TOKEN}");
         let headers =
             [(AUTHORIZATION.as_str(), &*auth), (CONTENT_TYPE.as_str(), "application/json")];
         let ask = json!({"since": 0, "max": 1_000_000}).to_string();
@@ -415,14 +416,14 @@
     }
 
     /// Keeps the events of a process that is about to be killed.
-    pub async fn keep_events(&mut self, entry: &str) {
+    pub async fn save_events(&mut self, entry: &str) {
         let events = self.events_of(self.addr(entry)).await;
-        self.past.extend(events);
+        self.saved_events.extend(events);
     }
 
     /// The time line over all processes.
     pub async fn timeline(&self) -> Vec<Event> {
-        let mut events = self.past.clone();
+        let mut events = self.saved_events.clone();
         let all = self.entries.values().chain(self.workers.values()).chain(self.runners.values());
         for process in all {
             events.extend(self.events_of(process.addr).await);
@@ -432,7 +433,7 @@
     }
 
     /// Whether some line of the time line has all of these texts.
-    pub async fn saw(&self, texts: &[&str]) -> bool {
+    pub async fn has_event(&self, texts: &[&str]) -> bool {
         let events = self.timeline().await;
         let lines = events.iter().map(ToString::to_string);
         let mut found = lines.filter(|line| texts.iter().all(|text| line.contains(text)));
@@ -440,7 +441,7 @@
     }
 
     /// No event of the time line broke a promise.
-    pub async fn check(&self) {
+    pub async fn check_invariants(&self) {
         let events = self.timeline().await;
         assert!(events.len() > 10, "time line too short: {}", events.len());
         let broken = check::check(&events);
@@ -456,7 +457,7 @@
 
 impl Drop for Cell {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::{Cell, NILEWIRE, VIESTISILTA};
+use common::{Cell, NILEWIRE_TOKEN, VIESTISILTA_TOKEN};
 use hyper::Method;
 use serde_json::{Value, json};
 
 #[tokio::test]
 async fn serves_requests_and_jobs_end_to_end() {
     let cell = Cell::start("path").await;
-    cell.ready().await;
+    cell.publish_table_and_wait().await;
     previews(&cell).await;
     build(&cell).await;
     gang(&cell).await;
@@ -17,15 +17,15 @@
     teams(&cell).await;
     bad_bodies(&cell).await;
     for text in ["event=table-in-force", "event=request-sent", "event=worker-started"] {
-        assert!(cell.saw(&[text]).await, "{text}");
+        assert!(cell.has_event(&[text]).await, "{text}");
     }
-    cell.check().await;
+    cell.check_invariants().await;
 }
 
 async fn previews(cell: &Cell) {
     for entry in cell.entries.keys() {
         let mut answer = (0, String::new());
-        cell.until("preview", async || {
+        cell.wait_until("preview", async || {
             answer = cell.request(entry, "preview", &[], "page one").await;
             answer.0 == 200
         })
@@ -36,34 +36,36 @@
 
 async fn build(cell: &Cell) {
     let job = json!({"kind": "build", "cpu": 2000, "mem": 1000, "acc": 1, "run": 300});
-    let id = cell.submit("nasr-hall-1", NILEWIRE, job).await;
-    let state = cell.until_job("nasr-hall-2", &id, "ended").await;
+    let id = cell.submit("nasr-hall-1", NILEWIRE_TOKEN, job).await;
+    let state = cell.wait_for_job("nasr-hall-2", &id, "ended").await;
     assert_eq!(state["ended"], json!({"done": 1}));
     let task = format!("task={id}/0#0");
-    assert!(cell.saw(&["event=worker-started", &task, "-w1"]).await, "{task}");
-    assert!(cell.saw(&["event=worker-ended", &task, "outcome=done"]).await);
+    assert!(cell.has_event(&["event=worker-started", &task, "-w1"]).await, "{task}");
+    assert!(cell.has_event(&["event=worker-ended", &task, "outcome=done"]).await);
 }
 
 async fn gang(cell: &Cell) {
     let big =
         json!({"kind": "build", "tasks": 4, "gang": true, "cpu": 4000, "mem": 1000, "run": 300});
-    let id = cell.submit("pasila-1", NILEWIRE, big).await;
-    let state = cell.until_job("pasila-2", &id, "ended").await;
+    let id = cell.submit("pasila-1", NILEWIRE_TOKEN, big).await;
+    let state = cell.wait_for_job("pasila-2", &id, "ended").await;
     assert_eq!(state["ended"], json!({"done": 4}));
     let never = json!({"kind": "build", "tasks": 5, "gang": true, "cpu": 4000, "mem": 1000});
-    let (status, answer) = cell.call("pasila-1", NILEWIRE, Method::POST, "/v1/jobs", never).await;
+    let (status, answer) =
+        cell.call("pasila-1", NILEWIRE_TOKEN, Method::POST, "/v1/jobs", never).await;
     assert_eq!((status, &answer["reason"]), (422, &json!("never-fits")));
     assert_eq!(answer["run"], "no");
 }
 
 async fn campaign(cell: &Cell) {
     let job = json!({"kind": "campaign", "tasks": 100, "cpu": 4000, "mem": 1000, "run": 60000});
-    let id = cell.submit("pasila-1", VIESTISILTA, job).await;
-    cell.until_job("pasila-2", &id, "running").await;
+    let id = cell.submit("pasila-1", VIESTISILTA_TOKEN, job).await;
+    cell.wait_for_job("pasila-2", &id, "running").await;
     let path = format!("/v1/jobs/{id}");
-    let (status, _) = cell.call("pasila-2", VIESTISILTA, Method::DELETE, &path, Value::Null).await;
+    let (status, _) =
+        cell.call("pasila-2", VIESTISILTA_TOKEN, Method::DELETE, &path, Value::Null).await;
     assert_eq!(status, 200);
-    let state = cell.until_job("pasila-1", &id, "cancelled").await;
+    let state = cell.wait_for_job("pasila-1", &id, "cancelled").await;
     assert_eq!((&state["queued"], &state["running"]), (&json!(0), &json!(0)));
 }
 
@@ -89,7 +91,7 @@
         let mut job = good.clone();
         job[field] = value.clone();
         let (status, answer) =
-            cell.call("nasr-hall-1", NILEWIRE, Method::POST, "/v1/jobs", job).await;
+            cell.call("nasr-hall-1", NILEWIRE_TOKEN, Method::POST, "/v1/jobs", job).await;
         assert_eq!((status, &answer["run"]), (want, &json!("no")), "{field}={value}: {answer}");
         assert!(answer["reason"].is_string(), "{answer}");
     }
@@ -97,9 +99,9 @@
 
 async fn teams(cell: &Cell) {
     let job = json!({"kind": "campaign", "cpu": 100, "mem": 10, "run": 10});
-    let id = cell.submit("pasila-1", VIESTISILTA, job).await;
+    let id = cell.submit("pasila-1", VIESTISILTA_TOKEN, job).await;
     let path = format!("/v1/jobs/{id}");
-    let (status, _) = cell.call("pasila-1", NILEWIRE, Method::GET, &path, Value::Null).await;
+    let (status, _) = cell.call("pasila-1", NILEWIRE_TOKEN, Method::GET, &path, Value::Null).await;
     assert_eq!(status, 404, "another team's job is not to be seen");
     let (status, _) = cell.call("pasila-1", "no-such-token", Method::GET, &path, Value::Null).await;
     assert_eq!(status, 401);
--- a/tests/request.rs
+++ b/tests/request.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Cell, NILEWIRE};
+use common::{Cell, NILEWIRE_TOKEN};
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -15,8 +15,9 @@
 /// A cell whose first entry serves previews.
 async fn serving(name: &str) -> Cell {
     let cell = Cell::start(name).await;
-    cell.ready().await;
-    cell.until("preview", async || cell.request(ENTRY, "preview", &[], "x").await.0 == 200).await;
+    cell.publish_table_and_wait().await;
+    cell.wait_until("preview", async || cell.request(ENTRY, "preview", &[], "x").await.0 == 200)
+        .await;
     cell
 }
 
@@ -42,7 +43,7 @@
     runner_faults(&cell, json!({})).await;
     let again = cell.request(ENTRY, "ingest-step", &[("idempotency-key", "k1")], "x").await;
     assert_eq!(problem(&again), (409, json!("key-known"), json!("unknown")));
-    cell.check().await;
+    cell.check_invariants().await;
 }
 
 #[tokio::test]
@@ -51,7 +52,8 @@
     let slow = [("work-millis", "3000"), ("prefer", "wait=4")];
     let request = cell.request(ENTRY, "preview", &slow, "x");
     let kill = async {
-        cell.until("sent", async || cell.saw(&["event=request-sent", ENTRY]).await).await;
+        cell.wait_until("sent", async || cell.has_event(&["event=request-sent", ENTRY]).await)
+            .await;
         cell.runners[RUNNER].signal(Signal::SIGKILL);
     };
     let (answer, ()) = tokio::join!(request, kill);
@@ -61,7 +63,7 @@
     let after = cell.request(ENTRY, "preview", &[("prefer", "wait=1")], "x").await;
     let (status, _, run) = problem(&after);
     assert_eq!((status, run), (503, json!("no")));
-    cell.check().await;
+    cell.check_invariants().await;
 }
 
 #[tokio::test]
@@ -75,7 +77,7 @@
     let ran = events.iter().filter(|e| *e.who == *RUNNER && e.to_string().contains("runner-ran"));
     let sent = events.iter().filter(|e| e.to_string().contains(&format!("runner={RUNNER}")));
     assert_eq!(ran.count(), sent.count());
-    cell.check().await;
+    cell.check_invariants().await;
 }
 
 #[tokio::test]
@@ -95,7 +97,7 @@
         };
         assert_eq!(run, truly, "{status} {reason}");
     }
-    cell.check().await;
+    cell.check_invariants().await;
 }
 
 #[tokio::test]
@@ -104,7 +106,8 @@
     let slow = [("work-millis", "3000")];
     let request = cell.request(ENTRY, "preview", &slow, "x");
     let kill = async {
-        cell.until("sent", async || cell.saw(&["event=request-sent", ENTRY]).await).await;
+        cell.wait_until("sent", async || cell.has_event(&["event=request-sent", ENTRY]).await)
+            .await;
         cell.entries[ENTRY].signal(Signal::SIGKILL);
     };
     let (answer, ()) = tokio::join!(request, kill);
@@ -116,7 +119,7 @@
     let cell = serving("callers").await;
     let addr = cell.addr(ENTRY);
     let head = format!(
-        "POST /run/preview HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {NILEWIRE}\r\n\
+        "POST /run/preview HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {NILEWIRE_TOKEN}\r\n\
          content-length: 1000\r\n\r\n"
     );
     let mut open = Vec::new();
@@ -135,7 +138,7 @@
     let refused = cell.request(ENTRY, "preview", &[], &large).await;
     assert_eq!(problem(&refused), (413, json!("too-large"), json!("no")));
     let mut odd = (0, Value::Null, Value::Null);
-    cell.until("a connection that the refusal did not close", async || {
+    cell.wait_until("a connection that the refusal did not close", async || {
         odd = problem(&cell.request(ENTRY, "preview", &[("work-repeat", "perhaps")], "x").await);
         odd.0 != 0
     })
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -4,7 +4,7 @@
 #[path = "../benches/common/mod.rs"]
 mod common;
 
-use common::{Desk, Draw, RACK, spec, table};
+use common::{OwnerHarness, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use sprucerudder::controller::gossip::{Inbox, Outbox};
 use sprucerudder::controller::shard::office::Event;
 use sprucerudder::id::{EntryId, TaskId};
@@ -58,28 +58,29 @@
 
 /// The owners of a cell whose workers are about half full, with `stuck` shapes a shard that cannot
 /// run.
-fn cell(workers: usize, stuck: u32) -> Vec<Desk> {
+fn cell(workers: usize, stuck: u32) -> Vec<OwnerHarness> {
     let rows = table(&[("build", "batch", 50, 10, 0), ("urgent", "batch", 100, 5, 5)]);
-    let desk = |rack| {
-        let mut desk = Desk::new(&format!("rack{rack}"), &[WORKER; RACK], rows.clone());
-        desk.office.set_shards(workers.div_ceil(RACK));
-        desk.submit(spec("build", 44, false, Size::new(1_400, 2_000, 0)));
+    let owner = |rack| {
+        let mut owner =
+            OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows.clone());
+        owner.office.set_shards(workers.div_ceil(WORKERS_PER_RACK));
+        owner.submit(job_spec("build", 44, false, Size::new(1_400, 2_000, 0)));
         for less in 0..stuck {
-            desk.submit(spec("build", 1, false, Size::new(16_000, 32_000 - less, 2)));
+            owner.submit(job_spec("build", 1, false, Size::new(16_000, 32_000 - less, 2)));
         }
-        desk
+        owner
     };
-    (0..workers.div_ceil(RACK)).map(desk).collect()
+    (0..workers.div_ceil(WORKERS_PER_RACK)).map(owner).collect()
 }
 
 /// Allocations of one placement: submit, bind, start and end.
 fn placement(workers: usize, stuck: u32) -> u64 {
-    let (mut desks, mut draw) = (cell(workers, stuck), Draw(7));
+    let (mut owners, mut rng) = (cell(workers, stuck), SplitMix64(7));
     allocations(TIMES, || {
-        let at = draw.below(desks.len() as u64) as usize;
-        let (job, did) = desks[at].submit(spec("urgent", 1, false, SMALL));
-        assert_eq!(did.len(), 1, "placed at once");
-        desks[at].end(&TaskId { job, index: 0, attempt: 0 }, Outcome::Done);
+        let at = rng.below(owners.len() as u64) as usize;
+        let (job, decisions) = owners[at].submit(job_spec("urgent", 1, false, SMALL));
+        assert_eq!(decisions.len(), 1, "placed at once");
+        owners[at].end(&TaskId { job, index: 0, attempt: 0 }, Outcome::Done);
     })
 }
 
@@ -97,12 +98,12 @@
 fn cancels_cost_the_same_in_a_long_queue() {
     let cost = |jobs: u64| {
         let rows = table(&[("campaign", "batch", 10, 10, 0)]);
-        let mut desk = Desk::new("rack0", &[WORKER; RACK], rows);
-        desk.submit(spec("campaign", 8, false, Size::new(16_000, 1, 0)));
-        let submit = |_| desk.submit(spec("campaign", 1, false, SMALL)).0;
+        let mut owner = OwnerHarness::new("rack0", &[WORKER; WORKERS_PER_RACK], rows);
+        owner.submit(job_spec("campaign", 8, false, Size::new(16_000, 1, 0)));
+        let submit = |_| owner.submit(job_spec("campaign", 1, false, SMALL)).0;
         let waiting: Vec<_> = (0..jobs).map(submit).collect();
         let mut next = waiting.into_iter();
-        allocations(jobs, || drop(next.next().map(|job| desk.cancel(job))))
+        allocations(jobs, || drop(next.next().map(|job| owner.cancel(job))))
     };
     let [few, many] = [500, 10_000].map(cost);
     assert!(many * 10 <= few * 12, "{few} and {many} allocations a cancel");
@@ -112,14 +113,14 @@
 #[test]
 fn a_control_round_costs_by_tasks_only() {
     let round = |workers| {
-        let mut desks = cell(workers, 0);
+        let mut owners = cell(workers, 0);
         let each = allocations(20, || {
-            for desk in &mut desks {
-                desk.report();
-                desk.step(Event::Tick);
+            for owner in &mut owners {
+                owner.report();
+                owner.step(Event::Tick);
             }
         });
-        each / desks.len() as u64
+        each / owners.len() as u64
     };
     let [small, large] = [48, 1_100].map(round);
     assert!(large * 10 <= small * 12, "{small} and {large} allocations a shard");
@@ -131,10 +132,13 @@
 
 #[test]
 fn a_note_for_replicas_stays_small() {
-    let mut desk =
-        Desk::new("nasr-hall-rack-12", &[WORKER; RACK], table(&[("build", "batch", 50, 10, 0)]));
+    let mut owner = OwnerHarness::new(
+        "nasr-hall-rack-12",
+        &[WORKER; WORKERS_PER_RACK],
+        table(&[("build", "batch", 50, 10, 0)]),
+    );
     let bind = |index| Note::Bind {
-        task: TaskId { job: desk.job(), index, attempt: 0 },
+        task: TaskId { job: owner.next_job_id(), index, attempt: 0 },
         worker: "nasr-hall-rack-12-w3".into(),
         inc: 1_764_000_000_000,
         owner: EntryId { name: "nasr-hall-entry-1".into(), inc: 1_764_000_000_000 },
