--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -324,8 +324,8 @@
             _ => (0, WORKERS),
         };
         let lost = is_rack_lost(self.now, 0);
-        let mut fitting =
-            (from..to).filter(|at| free[*at].can_fit(size) && !(lost && at / WORKERS_PER_RACK == 0));
+        let mut fitting = (from..to)
+            .filter(|at| free[*at].can_fit(size) && !(lost && at / WORKERS_PER_RACK == 0));
         match self.rule {
             PlacementRule::RandomFit => {
                 let all: Vec<usize> = fitting.collect();
--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -148,9 +148,8 @@
     pub(in crate::cell) fn assign_requests(&mut self, now: Millis) {
         while let Some((entry, request)) = self.advice_queue.assign_next(now) {
             let job = self.jobs.get(&request.step.job);
-            let since = job
-                .and_then(|job| job.step(request.step))
-                .map(|step| step.clearances.requested_at);
+            let since =
+                job.and_then(|job| job.step(request.step)).map(|step| step.clearances.requested_at);
             log::info!(
                 "event=advice-requested step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 request.step,
@@ -199,7 +198,8 @@
         let clearances = &mut step.clearances;
         clearances.request_pending = false;
         clearances.retry_at = now + REQUEST_INTERVAL;
-        let allowed: BTreeSet<Name> = cleared.tickets.iter().map(|(name, _)| name.clone()).collect();
+        let allowed: BTreeSet<Name> =
+            cleared.tickets.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
         clearances.denied.extend(denied.cloned());
         for (name, text) in cleared.tickets.into_iter().filter(|(name, _)| is_same(name)) {
--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -182,7 +182,11 @@
 
     /// Confirms the possible crashes of other incarnations at an address, because `incarnation` is
     /// at it now.
-    pub(in crate::cell) fn confirm_earlier_crashes(&mut self, incarnation: &Incarnation, addr: &Name) {
+    pub(in crate::cell) fn confirm_earlier_crashes(
+        &mut self,
+        incarnation: &Incarnation,
+        addr: &Name,
+    ) {
         let is_before = |other: &Incarnation, candidate: &PossibleCrash| {
             candidate.addr == *addr && other.differs_from(incarnation)
         };
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -97,7 +97,8 @@
                 step.place(task.index, name.clone(), *number);
                 // The run is considered over unless the first report of the worker names it.
                 let mut run = Run::new(*number, &spec, Phase::Running(Millis(0)));
-                run.usage_guard = owner.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
+                run.usage_guard =
+                    owner.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
                 // The earlier owner may have sent the start.
                 (run.is_sent, run.known_since) = (true, now);
                 worker.add_run(TaskKey { step: step_key, index: task.index }, run);
@@ -130,7 +131,8 @@
         let keys = job.step_keys(key);
         let unblocked: Vec<StepKey> =
             keys.into_iter().filter(|step| job.dependencies_done(*step)).collect();
-        let due: Vec<Millis> = unblocked.iter().map(|step| job.work.due_at(step.repetition)).collect();
+        let due: Vec<Millis> =
+            unblocked.iter().map(|step| job.work.due_at(step.repetition)).collect();
         for (step, due) in unblocked.into_iter().zip(due) {
             match is_scheduled {
                 true => drop(self.start_timers.insert((due, step))),
--- a/src/cell/owner/retry.rs
+++ b/src/cell/owner/retry.rs
@@ -5,7 +5,7 @@
 //! would use up their retries before the outage ends, although their jobs could have waited
 //! longer, and all of them would retry at the same moment.
 
-use crate::workload::{JobKey, Queue, Work};
+use crate::workload::{JobDefinition, JobKey, Queue};
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 /// The time that a caller keeps retrying, as a multiple of its first wait.
@@ -20,8 +20,8 @@
 /// The number of seconds after which the caller of a refused job should retry, such that its
 /// retries cover the time in which the job can still meet its objective. Jobs with slack get one
 /// of two waits, so that their callers neither retry all at once nor before those without slack.
-pub fn retry_after(queue: &Queue, work: &Work, job: JobKey) -> u64 {
-    let chain = work.chain();
+pub fn retry_after(queue: &Queue, work: &JobDefinition, job: JobKey) -> u64 {
+    let chain = work.critical_path();
     let slack = queue.objective(work) - chain;
     let after =
         (slack.0 / RETRY_SPAN / MILLIS_PER_SECOND).clamp(MIN_RETRY_SECONDS, MAX_RETRY_SECONDS);
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -170,8 +170,13 @@
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
-            let unavailable =
-                self.reservations.unavailable(name, key, step_rank, spec.is_preemptible(), relaxation);
+            let unavailable = self.reservations.unavailable(
+                name,
+                key,
+                step_rank,
+                spec.is_preemptible(),
+                relaxation,
+            );
             let step_runs = if spec.worker_limit == 0 { 0 } else { count_step_runs(worker, key) };
             let is_reserved = self.reservations.has_gang_at(name, key);
             Candidate {
@@ -291,7 +296,7 @@
         now: Millis,
         task: TaskKey,
         name: &Name,
-        no: u64,
+        run_number: u64,
         spec: &Step,
         checkpoint: &str,
     ) {
@@ -299,7 +304,8 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut run = Run::new(run_number, spec, Phase::Starting);
         run.known_since = now;
-        run.usage_guard = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
+        run.usage_guard =
+            job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
         let run_times = self.run_times.get(&job.queue.name).filter(|_| !spec.long_running);
         run.late_after = run_times.and_then(|times| times.late_after(spec.estimate));
         worker.add_run(task, run);
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -83,7 +83,11 @@
 
     /// Handles the report of a worker to a call that was sent at `sent`.
     pub fn on_report(&mut self, now: Millis, sent: Millis, name: &Name, report: &WorkerReport) {
-        if self.workers.get(name).is_some_and(|worker| worker.is_other_incarnation(report.started_at)) {
+        if self
+            .workers
+            .get(name)
+            .is_some_and(|worker| worker.is_other_incarnation(report.started_at))
+        {
             self.on_worker_restart(now, sent, name, report);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -113,7 +117,9 @@
             }
             let run = worker.remove_run(row.task, row.run);
             self.needs_placement = true;
-            if let Some(run) = run.filter(|run| row.reason == EndReason::Done && run.started_at.0 > 0) {
+            if let Some(run) =
+                run.filter(|run| row.reason == EndReason::Done && run.started_at.0 > 0)
+            {
                 self.record_run_time(row.task, now.since(run.started_at));
             }
             self.on_run_end(now, name, row);
@@ -155,7 +161,11 @@
     /// Handles the end of a run.
     fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedTask) {
         let task = row.task;
-        log::info!("event=run-ended task={task} run={} worker={name} end={:?}", row.run, row.reason);
+        log::info!(
+            "event=run-ended task={task} run={} worker={name} end={:?}",
+            row.run,
+            row.reason
+        );
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -116,8 +116,8 @@
     /// report at once, and gets no new tasks until it reports.
     pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &WorkerInfo) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
-        let is_new =
-            worker.is_other_incarnation(listed.started_at) && worker.listed.started_at != listed.started_at;
+        let is_new = worker.is_other_incarnation(listed.started_at)
+            && worker.listed.started_at != listed.started_at;
         if is_new {
             worker.mark_unanswered(now);
             self.actions.push(Action::PollNow(listed.id.clone()));
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -149,7 +149,8 @@
     /// Takes the current list of workers, of all services.
     pub fn set_workers(&mut self, now: Millis, listed: Vec<WorkerInfo>) {
         let ids: BTreeSet<Name> = listed.iter().map(|entry| entry.id.clone()).collect();
-        let incarnations: BTreeSet<Incarnation> = listed.iter().map(WorkerInfo::incarnation).collect();
+        let incarnations: BTreeSet<Incarnation> =
+            listed.iter().map(WorkerInfo::incarnation).collect();
         self.ended_lives.retain(|incarnation, _| incarnations.contains(incarnation));
         for worker in self.workers.values_mut() {
             worker.is_listed = ids.contains(&worker.listed.id);
@@ -171,7 +172,8 @@
         self.expect_new_incarnation(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
-                let starts_leaving = listed.leaves_in.is_some() && worker.listed.leaves_in.is_none();
+                let starts_leaving =
+                    listed.leaves_in.is_some() && worker.listed.leaves_in.is_none();
                 worker.listed = listed;
                 if starts_leaving {
                     self.evacuate(&name);
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -227,8 +227,7 @@
     for RawTenant { name, api_keys, weight, upper_bound: RawResourceLimit { cpu, mem_mb, gpu } } in
         raw
     {
-        let limit =
-            Resources {
+        let limit = Resources {
             cpu: or_unlimited(cpu, unlimited.cpu),
             mem: or_unlimited(mem_mb, unlimited.mem),
             gpu: or_unlimited(gpu, unlimited.gpu),
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -219,7 +219,7 @@
         &self,
         path: &str,
         payload: &P,
-        limit: Millis,
+        timeout: Millis,
     ) -> OrderOutcome {
         match self.call(path, payload, timeout).await {
             Ok(response) => parse_outcome(&response),
@@ -255,7 +255,13 @@
     }
 
     /// Limits a run to a percentage of its full speed.
-    pub async fn pace(&self, task: TaskKey, run: u64, percent: u32, timeout: Millis) -> OrderOutcome {
+    pub async fn pace(
+        &self,
+        task: TaskKey,
+        run: u64,
+        percent: u32,
+        timeout: Millis,
+    ) -> OrderOutcome {
         let payload = RawPace { task: task.to_string(), run, percent, fence: self.fence };
         self.send_order("/pace", &payload, timeout).await
     }
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -434,7 +434,12 @@
     new.set_workers(Millis(12), vec![list_entry("w1", "a")]);
     write_batches(&mut new, 13);
     let task = TaskKey { step: StepKey { job: key, repetition: 0, step: 0 }, index: 0 };
-    new.on_report(Millis(20), Millis(15), &"w1".into(), &end_report(1, task, 1_025, EndReason::Stopped));
+    new.on_report(
+        Millis(20),
+        Millis(15),
+        &"w1".into(),
+        &end_report(1, task, 1_025, EndReason::Stopped),
+    );
     assert_eq!(new.take_batch(Millis(21)), None);
     assert!(!new.has_unstored());
 }
@@ -795,7 +800,13 @@
             lost.into_iter().partition(|(due, ..)| *due <= now + 50);
         lost = rest;
         for (_, name, start) in due {
-            cell.on_start_outcome(Millis(now + 50), &name, start.task, start.run, OrderOutcome::Unknown);
+            cell.on_start_outcome(
+                Millis(now + 50),
+                &name,
+                start.task,
+                start.run,
+                OrderOutcome::Unknown,
+            );
         }
     }
     assert_eq!(
@@ -824,7 +835,13 @@
     let mut by_start = cell(&[list_entry("w1", "a")]);
     submit(&mut by_start, 10, 1, "q", vec![step(1)]);
     let (name, start) = starts(&mut by_start, 11).remove(0);
-    by_start.on_start_outcome(Millis(12), &name, start.task, start.run, OrderOutcome::Refused(fence));
+    by_start.on_start_outcome(
+        Millis(12),
+        &name,
+        start.task,
+        start.run,
+        OrderOutcome::Refused(fence),
+    );
     assert!(deposed(&mut by_start));
     let mut by_stop = cell(&[list_entry("w1", "a")]);
     by_stop.on_stop_outcome(Millis(12), &name, start.task, start.run, OrderOutcome::Refused(fence));
@@ -999,7 +1016,12 @@
     }
     // The worker had answered all the time: the task was done long ago.
     let (task, run) = (first[0].1.task, first[0].1.run);
-    cell.on_report(Millis(20_000), Millis(19_900), &name, &end_report(1, task, run, EndReason::Done));
+    cell.on_report(
+        Millis(20_000),
+        Millis(19_900),
+        &name,
+        &end_report(1, task, run, EndReason::Done),
+    );
     write_batches(&mut cell, 20_001);
     cell.set_overloaded(false);
     cell.tick(Millis(20_100), Millis(20_100));
@@ -1170,7 +1192,12 @@
     write_batches(&mut cell, 1);
     let w1: Name = "w1".into();
     cell.report_call(Millis(2), &w1, true);
-    cell.on_report(Millis(3), Millis(2), &w1, &WorkerReport { clock: 1_000, ..WorkerReport::default() });
+    cell.on_report(
+        Millis(3),
+        Millis(2),
+        &w1,
+        &WorkerReport { clock: 1_000, ..WorkerReport::default() },
+    );
     let started = starts(&mut cell, 4);
     let indices: Vec<u32> = started.iter().map(|(_, start)| start.task.index).collect();
     assert_eq!(indices, [1]);
