--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -7,12 +7,12 @@
 };
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{JobKey, Queue, Step, StepKey, TaskKey, Work};
+use crate::workload::{JobDefinition, JobKey, Queue, Step, StepKey, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Added to the priority value of jobs beyond their workspace's share. It is larger than the priority value of any queue,
-/// so these jobs come after all others.
+/// Added to the priority value of jobs beyond their workspace's share. It is larger than the
+/// priority value of any queue, so these jobs come after all others.
 const OVER_SHARE_PENALTY: u32 = 1 << 16;
 
 /// The status of a task.
@@ -37,7 +37,8 @@
 pub struct Task {
     /// Its status.
     pub status: TaskStatus,
-    /// The runs of it that failed. After a takeover a worker may report the same failure again, which must not count twice.
+    /// The runs of it that failed. After a takeover a worker may report the same failure again,
+    /// which must not count twice.
     pub failed_runs: Vec<u64>,
     /// The number of its last run that was started in this epoch.
     pub last_run: u64,
@@ -47,7 +48,8 @@
     pub failed_workers: Vec<Name>,
     /// Crashes of workers while it ran on them.
     pub crashes: Vec<Crash>,
-    /// Since when it has waited for a worker. Only set for tasks that run until their job is cancelled.
+    /// Since when it has waited for a worker. Only set for tasks that run until their job is
+    /// cancelled.
     pub idle_since: Option<Millis>,
 }
 
@@ -68,7 +70,8 @@
 }
 
 impl Task {
-    /// The worker and the number of the run that the task is assigned as, if that run is older than `run`.
+    /// The worker and the number of the run that the task is assigned as, if that run is older than
+    /// `run`.
     pub fn older_run(&self, run: u64) -> Option<(Name, u64)> {
         match &self.status {
             TaskStatus::Placed { worker, run: older } if *older < run => {
@@ -85,29 +88,30 @@
     /// The text that an order to start a task must carry.
     pub text: Name,
     /// When it expires.
-    pub until: Millis,
+    pub expires_at: Millis,
 }
 
 /// What the advice service answered about the workers for a step.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Clearances {
     /// A request for the step is queued or was sent, and has not been answered yet.
-    pub is_asking: bool,
+    pub request_pending: bool,
     /// When that request was made.
-    pub asked_at: Millis,
+    pub requested_at: Millis,
     /// No further request is made before this time.
     pub retry_at: Millis,
-    /// Workers that may run the step. The clearance of a worker never changes; only its ticket expires.
+    /// Workers that may run the step. The clearance of a worker never changes; only its ticket
+    /// expires.
     pub cleared: BTreeMap<Name, Ticket>,
     /// Workers that may not run the step.
     pub denied: BTreeSet<Name>,
 }
 
 impl Clearances {
-    /// Workers whose tickets are valid at `until`.
-    pub fn ticket_holders(&self, until: Millis) -> impl Iterator<Item = &Name> {
-        let holds = move |(_, ticket): &(&Name, &Ticket)| ticket.until > until;
-        self.cleared.iter().filter(holds).map(|(name, _)| name)
+    /// Workers whose tickets are valid at a time.
+    pub fn ticket_holders(&self, at: Millis) -> impl Iterator<Item = &Name> {
+        let is_valid = move |(_, ticket): &(&Name, &Ticket)| ticket.expires_at > at;
+        self.cleared.iter().filter(is_valid).map(|(name, _)| name)
     }
 
     /// Whether the advice service has not cleared or denied any worker yet.
@@ -115,14 +119,14 @@
         self.cleared.is_empty() && self.denied.is_empty()
     }
 
-    /// Whether any ticket is valid at `until`.
-    pub fn has_any_ticket(&self, until: Millis) -> bool {
-        self.ticket_holders(until).next().is_some()
+    /// Whether any ticket is valid at a time.
+    pub fn has_any_ticket(&self, at: Millis) -> bool {
+        self.ticket_holders(at).next().is_some()
     }
 
-    /// Whether a worker's ticket is valid at `until`.
-    pub fn has_ticket_for(&self, name: &Name, until: Millis) -> bool {
-        self.cleared.get(name).is_some_and(|ticket| ticket.until > until)
+    /// Whether a worker's ticket is valid at a time.
+    pub fn has_ticket_for(&self, name: &Name, at: Millis) -> bool {
+        self.cleared.get(name).is_some_and(|ticket| ticket.expires_at > at)
     }
 }
 
@@ -151,7 +155,7 @@
     /// Its queue.
     pub queue: Arc<Queue>,
     /// What the caller submitted.
-    pub work: Arc<Work>,
+    pub work: Arc<JobDefinition>,
     /// The workspace of its caller; `None` if any caller may ask for it.
     pub workspace: Option<Name>,
     /// Its workspace had used up its share of submissions when the job was submitted.
@@ -160,7 +164,8 @@
     pub known_since: Millis,
     /// The batch with the record of the job.
     pub batch: u64,
-    /// It was accepted by an earlier owner, so its tasks may run on workers that have not reported to this owner yet.
+    /// It was accepted by an earlier owner, so its tasks may run on workers that have not reported
+    /// to this owner yet.
     pub is_inherited: bool,
     /// One of its tasks has been assigned to a worker.
     pub was_placed: bool,
@@ -180,14 +185,14 @@
 
 impl Job {
     /// Creates a job of which no task has run.
-    pub fn new(queue: Arc<Queue>, work: Arc<Work>, now: Millis, batch: u64) -> Self {
+    pub fn new(queue: Arc<Queue>, work: Arc<JobDefinition>, now: Millis, batch: u64) -> Self {
         let new_step = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             unfinished: step.count,
             waiting: (0..step.count).collect(),
             ..StepState::default()
         };
-        let steps = (0..work.times).flat_map(|_| work.steps.iter().map(new_step)).collect();
+        let steps = (0..work.repetitions).flat_map(|_| work.steps.iter().map(new_step)).collect();
         Self {
             queue,
             work,
@@ -207,17 +212,17 @@
     }
 
     /// Creates a job that ended under an earlier owner. Only how it ended is known.
-    pub fn ended(queue: Arc<Queue>, fate: JobOutcome, now: Millis) -> Self {
-        let work = Work {
-            spec: "".into(),
+    pub fn ended(queue: Arc<Queue>, outcome: JobOutcome, now: Millis) -> Self {
+        let work = JobDefinition {
+            payload: "".into(),
             steps: Vec::new(),
-            times: 0,
-            first: Millis(0),
-            every: Millis(0),
+            repetitions: 0,
+            first_due: Millis(0),
+            interval: Millis(0),
         };
         let job = Self::new(queue, Arc::new(work), now, 0);
         Self {
-            closed: Some((fate, 0, now)),
+            closed: Some((outcome, 0, now)),
             was_placed: true,
             has_run: true,
             is_inherited: true,
@@ -226,7 +231,7 @@
     }
 
     /// The position in `steps` of a step in a repetition.
-    fn step_index(&self, time: u32, step: u16) -> usize {
+    fn step_position(&self, time: u32, step: u16) -> usize {
         time as usize * self.work.steps.len() + usize::from(step)
     }
 
@@ -237,24 +242,25 @@
 
     /// Returns the state of a step.
     pub fn step(&self, key: StepKey) -> Option<&StepState> {
-        self.steps.get(self.step_index(key.time, key.step))
+        self.steps.get(self.step_position(key.repetition, key.step))
     }
 
     /// Returns the mutable state of a step.
     pub fn step_mut(&mut self, key: StepKey) -> Option<&mut StepState> {
-        let at = self.step_index(key.time, key.step);
+        let at = self.step_position(key.repetition, key.step);
         self.steps.get_mut(at)
     }
 
-    /// The priority of the job: 0 comes first. Jobs beyond their workspace's share come after all others.
+    /// The priority of the job: 0 comes first. Jobs beyond their workspace's share come after all
+    /// others.
     pub fn priority(&self) -> u32 {
         self.queue.priority.saturating_add(if self.is_over_share { OVER_SHARE_PENALTY } else { 0 })
     }
 
     /// Whether a step has been ready for at least `length`.
     pub fn has_waited(&self, now: Millis, key: StepKey, length: Millis) -> bool {
-        let turn = self.step(key).and_then(|step| step.ready_since);
-        turn.is_some_and(|turn| now.since(turn) >= length)
+        let ready_since = self.step(key).and_then(|step| step.ready_since);
+        ready_since.is_some_and(|ready| now.since(ready) >= length)
     }
 
     /// Whether the job has not ended.
@@ -265,9 +271,9 @@
     /// Whether all steps that a step depends on are done.
     pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(spec) = self.spec(key.step) else { return false };
-        spec.after.iter().all(|after| {
+        spec.dependencies.iter().all(|after| {
             self.steps
-                .get(self.step_index(key.time, *after))
+                .get(self.step_position(key.repetition, *after))
                 .is_some_and(|step| step.unfinished == 0)
         })
     }
@@ -275,15 +281,15 @@
     /// The steps of the same repetition that depend on a step.
     pub fn dependents(&self, key: StepKey) -> Vec<StepKey> {
         let steps = self.work.steps.iter().enumerate();
-        let dependents = steps.filter(|(_, spec)| spec.after.contains(&key.step));
+        let dependents = steps.filter(|(_, spec)| spec.dependencies.contains(&key.step));
         dependents.map(|(index, _)| StepKey { step: index as u16, ..key }).collect()
     }
 
-    /// Marks long-running tasks without a worker as idle since the start of this owner's clock, because they may have waited
-    /// for long under an earlier owner.
+    /// Marks long-running tasks without a worker as idle since the start of this owner's clock,
+    /// because they may have waited for long under an earlier owner.
     pub fn mark_idle_at_takeover(&mut self) {
         let steps = self.steps.iter_mut().zip(self.work.steps.iter().cycle());
-        for (step, _) in steps.filter(|(_, spec)| spec.lasting) {
+        for (step, _) in steps.filter(|(_, spec)| spec.long_running) {
             step.mark_idle(Millis(0));
         }
     }
@@ -296,8 +302,10 @@
     /// The keys of every step in every repetition.
     pub fn step_keys(&self, job: JobKey) -> Vec<StepKey> {
         let steps = self.work.steps.len() as u16;
-        let times = 0..self.work.times;
-        times.flat_map(|time| (0..steps).map(move |step| StepKey { job, time, step })).collect()
+        let times = 0..self.work.repetitions;
+        times
+            .flat_map(|repetition| (0..steps).map(move |step| StepKey { job, repetition, step }))
+            .collect()
     }
 
     /// The runs that are assigned to workers, with the workers.
@@ -325,19 +333,19 @@
     /// The stored record of the job's progress, from which another owner can continue.
     pub fn progress(&self) -> Progress {
         let step_count = self.work.steps.len().max(1);
-        let notes = self.steps.iter().enumerate().filter_map(|(index, step)| {
-            let note =
-                step.progress_note(((index / step_count) as u32, (index % step_count) as u16));
-            (!note.done.is_empty() || !note.tasks.is_empty()).then_some(note)
+        let records = self.steps.iter().enumerate().filter_map(|(index, step)| {
+            let record =
+                step.progress_record(((index / step_count) as u32, (index % step_count) as u16));
+            (!record.done.is_empty() || !record.tasks.is_empty()).then_some(record)
         });
-        Progress { steps: notes.collect() }
+        Progress { steps: records.collect() }
     }
 
     /// The stored records of worker crashes, for each task that has any.
-    pub fn crash_notes(&self) -> Vec<TaskCrashes> {
+    pub fn crash_records(&self) -> Vec<TaskCrashes> {
         let step_count = self.work.steps.len().max(1);
         let steps = self.steps.iter().enumerate();
-        let notes = steps.flat_map(|(index, step)| {
+        let records = steps.flat_map(|(index, step)| {
             let step_index = ((index / step_count) as u32, (index % step_count) as u16);
             let tasks = step.tasks.iter().enumerate();
             let with_crashes = tasks.filter(|(_, task)| !task.crashes.is_empty());
@@ -347,17 +355,17 @@
                 crashes: task.crashes.clone(),
             })
         });
-        notes.collect()
+        records.collect()
     }
 
     /// Restores the crashes that an earlier owner counted.
-    pub fn restore_crashes(&mut self, notes: &[TaskCrashes]) {
-        for note in notes {
-            let at = self.step_index(note.step_index.0, note.step_index.1);
+    pub fn restore_crashes(&mut self, records: &[TaskCrashes]) {
+        for record in records {
+            let at = self.step_position(record.step_index.0, record.step_index.1);
             let step = self.steps.get_mut(at);
-            let task = step.and_then(|step| step.tasks.get_mut(note.index as usize));
+            let task = step.and_then(|step| step.tasks.get_mut(record.index as usize));
             if let Some(task) = task {
-                task.crashes.clone_from(&note.crashes);
+                task.crashes.clone_from(&record.crashes);
             }
         }
         self.has_crashes = true;
@@ -365,25 +373,27 @@
 
     /// Restores the progress that an earlier owner recorded.
     pub fn restore_progress(&mut self, progress: &Progress) {
-        for note in &progress.steps {
-            let at = self.step_index(note.step_index.0, note.step_index.1);
+        for record in &progress.steps {
+            let at = self.step_position(record.step_index.0, record.step_index.1);
             if let Some(step) = self.steps.get_mut(at) {
-                step.restore(note);
+                step.restore(record);
             }
         }
-        // Progress is recorded once a task was assigned to a worker, and the record stays even when nothing is left to
-        // record.
+        // Progress is recorded once a task was assigned to a worker, and the record stays even when
+        // nothing is left to record.
         self.was_placed = true;
-        let has_run = |note: &TaskProgress| !note.failed.is_empty() || !note.checkpoint.is_empty();
+        let has_run =
+            |record: &TaskProgress| !record.failed.is_empty() || !record.checkpoint.is_empty();
         let shows_run =
-            |note: &StepProgress| !note.done.is_empty() || note.tasks.iter().any(has_run);
+            |record: &StepProgress| !record.done.is_empty() || record.tasks.iter().any(has_run);
         self.has_run = self.has_run || progress.steps.iter().any(shows_run);
         self.has_progress = true;
     }
 }
 
 impl StepState {
-    /// Marks the waiting tasks as idle since `since`. Those that are already marked keep their earlier time.
+    /// Marks the waiting tasks as idle since `since`. Those that are already marked keep their
+    /// earlier time.
     pub fn mark_idle(&mut self, since: Millis) {
         for index in &self.waiting {
             if let Some(task) = self.tasks.get_mut(*index as usize) {
@@ -392,23 +402,24 @@
         }
     }
 
-    /// Since when the longest waiting task has waited. Only known for tasks that run until their job is cancelled.
+    /// Since when the longest waiting task has waited. Only known for tasks that run until their
+    /// job is cancelled.
     pub fn longest_idle(&self) -> Option<Millis> {
         let waiting = self.waiting.iter().filter_map(|index| self.tasks.get(*index as usize));
         waiting.filter_map(|task| task.idle_since).min()
     }
 
-    /// The stored record of the step's progress; `place` is the repetition and the step.
-    fn progress_note(&self, step_index: (u32, u16)) -> StepProgress {
+    /// The stored record of the step's progress; `step_index` is the repetition and the step.
+    fn progress_record(&self, step_index: (u32, u16)) -> StepProgress {
         const BITS_PER_BYTE: usize = 8;
-        let mut note = StepProgress { step_index, ..StepProgress::default() };
+        let mut record = StepProgress { step_index, ..StepProgress::default() };
         if self.unfinished < self.tasks.len() as u32 {
-            note.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
+            record.done = vec![0; self.tasks.len().div_ceil(BITS_PER_BYTE)];
         }
         for (index, task) in self.tasks.iter().enumerate() {
             let assignment = match &task.status {
                 TaskStatus::Done => {
-                    if let Some(byte) = note.done.get_mut(index / BITS_PER_BYTE) {
+                    if let Some(byte) = record.done.get_mut(index / BITS_PER_BYTE) {
                         *byte |= 1 << (index % BITS_PER_BYTE);
                     }
                     continue;
@@ -418,7 +429,7 @@
             };
             if assignment.is_some() || !task.failed_runs.is_empty() || !task.checkpoint.is_empty() {
                 let (failed, checkpoint) = (task.failed_runs.clone(), task.checkpoint.clone());
-                note.tasks.push(TaskProgress {
+                record.tasks.push(TaskProgress {
                     index: index as u32,
                     failed,
                     checkpoint,
@@ -426,19 +437,19 @@
                 });
             }
         }
-        note
+        record
     }
 
     /// Restores the progress that an earlier owner recorded.
-    fn restore(&mut self, note: &StepProgress) {
+    fn restore(&mut self, record: &StepProgress) {
         const BITS_PER_BYTE: usize = 8;
         for index in 0..self.tasks.len() {
-            let byte = note.done.get(index / BITS_PER_BYTE).copied().unwrap_or(0);
+            let byte = record.done.get(index / BITS_PER_BYTE).copied().unwrap_or(0);
             if byte & (1 << (index % BITS_PER_BYTE)) != 0 {
                 self.finish(index as u32);
             }
         }
-        for known in &note.tasks {
+        for known in &record.tasks {
             if let Some(task) = self.tasks.get_mut(known.index as usize) {
                 task.failed_runs = known.failed.clone();
                 task.checkpoint = known.checkpoint.clone();
--- a/src/cell/owner/cell_map.rs
+++ b/src/cell/owner/cell_map.rs
@@ -8,7 +8,7 @@
 //! or worker moved to another cell.
 
 use crate::id::{Name, hash};
-use crate::order::Listed;
+use crate::order::WorkerInfo;
 use crate::workload::JobKey;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
     /// Assigns the workers to cells of `size` workers or slightly more. Racks stay whole, and each
     /// goes to the cell that has the least CPU of its service so far, so that every cell gets a
     /// share of each large service and failure domain.
-    pub fn new(workers: &[Listed], size: NonZeroUsize) -> Self {
+    pub fn new(workers: &[WorkerInfo], size: NonZeroUsize) -> Self {
         let cell_count = (workers.len() / size).min(max_racks(workers)).max(1) as u32;
         if cell_count == 1 {
             return Self { cell_count, racks: BTreeMap::new() };
@@ -68,7 +68,7 @@
 
     /// The cell of a worker. Racks that were added after the map was created are assigned by a hash
     /// of their names, and workers without a rack by a hash of their ids.
-    pub fn cell_of_worker(&self, worker: &Listed) -> u32 {
+    pub fn cell_of_worker(&self, worker: &WorkerInfo) -> u32 {
         let Some(rack) = worker.rack() else { return self.hash_to_cell(worker.id.as_bytes()) };
         let known = self.racks.get(&(worker.domain.clone(), rack.clone()));
         known.copied().unwrap_or_else(|| self.hash_to_cell(rack.as_bytes()))
@@ -105,7 +105,7 @@
 impl<'a> RackAssigner<'a> {
     /// Prepares an assignment in which a cell that gets any workers of a service should get at
     /// least `min_workers` of them.
-    fn new(workers: &'a [Listed], cell_count: u32, min_workers: usize) -> Self {
+    fn new(workers: &'a [WorkerInfo], cell_count: u32, min_workers: usize) -> Self {
         let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
         for worker in workers {
             *counts.entry(&worker.service).or_default() += 1;
@@ -120,12 +120,12 @@
         }
     }
 
-    fn assign(mut self, workers: &'a [Listed]) -> BTreeMap<(Name, Name), u32> {
+    fn assign(mut self, workers: &'a [WorkerInfo]) -> BTreeMap<(Name, Name), u32> {
         let mut sizes: BTreeMap<(&Name, &Name, &Name), u64> = BTreeMap::new();
         for worker in workers {
             if let Some(rack) = worker.rack() {
                 let rack = (&worker.service, &worker.domain, rack);
-                *sizes.entry(rack).or_default() += worker.room.cpu;
+                *sizes.entry(rack).or_default() += worker.capacity.cpu;
             }
         }
         let mut racks = BTreeMap::new();
@@ -156,7 +156,7 @@
 /// The number of racks of the service that has the most. With more cells than that, a cell could be
 /// without any workers. A worker without a rack counts as a rack of its own. Jobs of a service with
 /// fewer racks than there are cells run in the cells that have some.
-fn max_racks(workers: &[Listed]) -> usize {
+fn max_racks(workers: &[WorkerInfo]) -> usize {
     let mut racks: BTreeMap<&Name, BTreeSet<(&Name, &Name)>> = BTreeMap::new();
     for worker in workers {
         let rack = (&worker.domain, worker.rack().unwrap_or(&worker.id));
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -17,7 +17,7 @@
 use crate::cell::owner::log_reports::LogHistory;
 use crate::clock::{Clock, Millis};
 use crate::id::{EntryId, Name};
-use crate::order::Cleared;
+use crate::order::ClearedWorkers;
 use crate::platform::advice::AdviceClient;
 use crate::platform::config::Policy;
 use crate::platform::http::HttpClient;
@@ -95,7 +95,7 @@
     /// # Errors
     /// See [`NodeError`].
     pub async fn run(settings: Settings, stop: watch::Receiver<bool>) -> Result<(), NodeError> {
-        let id = EntryId { name: settings.name.clone(), inc: Millis::now().0 };
+        let id = EntryId { name: settings.name.clone(), incarnation: Millis::now().0 };
         let http = HttpClient::default();
         let clock = Clock::default();
         let node = Arc::new(Self {
@@ -192,7 +192,12 @@
     }
 
     /// Asks the advice service about a step on behalf of an owner.
-    async fn advise(&self, step: StepKey, workers: &[Name], cost: Millis) -> Option<Cleared> {
+    async fn advise(
+        &self,
+        step: StepKey,
+        workers: &[Name],
+        cost: Millis,
+    ) -> Option<ClearedWorkers> {
         let adviser = self.adviser.as_ref()?;
         let started = self.now();
         let timeout = cost + cost + ADVICE_MARGIN;
--- a/src/node/owner/forward.rs
+++ b/src/node/owner/forward.rs
@@ -7,7 +7,7 @@
 use crate::node::lock;
 use crate::node::msg::{EntryMessage, RefusalReason};
 use crate::node::owner::Owner;
-use crate::workload::{JobKey, Work};
+use crate::workload::{JobDefinition, JobKey};
 use std::sync::Arc;
 
 /// How long to try to reach the home cell of a forgotten job so that it drops its record too.
@@ -34,7 +34,7 @@
         &self,
         job: JobKey,
         queue: &str,
-        work: &Work,
+        work: &JobDefinition,
         workspace: Option<&Name>,
     ) -> Result<(), RefusalReason> {
         if self.view.cell_count == 1 || !self.is_serving() || lock(&self.cell).knows_job(job) {
@@ -71,9 +71,9 @@
 
     /// The cell with the rack that is preferred by a job's largest step with such a preference, if
     /// that cell accepts jobs.
-    fn cell_near_data(&self, cells: &Cells, work: &Work) -> Option<u32> {
-        let steps = work.steps.iter().filter(|step| !step.near.is_empty());
-        let rack = &steps.max_by_key(|step| step.count)?.near;
+    fn cell_near_data(&self, cells: &Cells, work: &JobDefinition) -> Option<u32> {
+        let steps = work.steps.iter().filter(|step| !step.data_rack.is_empty());
+        let rack = &steps.max_by_key(|step| step.count)?.data_rack;
         let target = cells.map.cell_of_rack(rack)?;
         cells.get(target).filter(|view| view.accepts_jobs())?;
         Some(target)
@@ -97,12 +97,12 @@
 
     /// Adds the first steps of a forwarded job to the load of the target cell, until its owner
     /// sends a newer figure.
-    fn add_forwarded_load(&self, cells: &Cells, target: u32, service: &Name, work: &Work) {
+    fn add_forwarded_load(&self, cells: &Cells, target: u32, service: &Name, work: &JobDefinition) {
         let cpu: u64 = work
             .steps
             .iter()
-            .filter(|step| step.after.is_empty())
-            .map(|step| step.charge().cpu * u64::from(step.count))
+            .filter(|step| step.dependencies.is_empty())
+            .map(|step| step.charged_resources().cpu * u64::from(step.count))
             .sum();
         let capacity = lock(&self.cell).service_cpu(service).max(1);
         if let Some(view) = cells.get(target) {
