--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -333,7 +333,7 @@
         if self.reservations.expire(now) {
             self.needs_placement = true;
         }
-        self.expire_questions(now);
+        self.expire_requests(now);
     }
 
     /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -136,7 +136,9 @@
         let clearances = &step.clearances;
         let tickets = clearances.ticket_holders(now).count();
         let request = match clearances.request_pending {
-            true => self.advice_queue.asked(key).map_or("queued".to_string(), ToString::to_string),
+            true => {
+                self.advice_queue.client_of(key).map_or("queued".to_string(), ToString::to_string)
+            }
             false => "none".to_string(),
         };
         log::info!(
--- a/src/node/owner/transfer.rs
+++ b/src/node/owner/transfer.rs
@@ -1,8 +1,8 @@
-//! When an owner gives the cell to another entry: that one has more processors, this one does not
-//! keep up, or the store turns only this one away.
+//! Gives the cell to another entry if that one has more processors, if this one does not keep up,
+//! or if only this one cannot reach the store.
 
 use crate::cell::mechanism::Mechanism;
-use crate::cell::owner::lag::BACK_OFF;
+use crate::cell::owner::lag::CLAIM_BACKOFF;
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::node::frame::encode;
@@ -11,57 +11,60 @@
 use crate::node::owner::Owner;
 use std::sync::Arc;
 
-/// How often an owner looks whether a larger entry should have the cell. A transfer holds up starts
-/// for some 300 ms, so it is not worth more haste.
+/// Time between two checks of whether another entry should own the cell. A transfer delays starts
+/// by some 300 ms, so checking more often gains little.
 const CHECK_INTERVAL: Millis = Millis(1_000);
-/// A larger entry has at least this many times the processors.
+/// The cell is transferred to an entry with at least this many times the processors of its owner.
 const MIN_SIZE_RATIO: u32 = 2;
 
 impl Owner {
-    /// The store failed this owner: the others are asked whether it fails them too.
+    /// Notes that a call of this owner to the store failed. If it keeps failing, the other entries
+    /// are asked whether they can read the log.
     pub fn store_failed(&self) {
         let now = self.node.now();
         let is_due = {
             let mut authority = lock(&self.authority);
-            authority.fail(now);
+            authority.record_store_failure(now);
             authority.should_probe(now)
         };
         if is_due {
-            log::info!("event=store-probed epoch={}", self.epoch);
+            log::info!("event=log-probe-sent epoch={}", self.epoch);
             self.broadcast(&OwnerMessage::ProbeLog);
         }
     }
 
-    /// An entry says whether it could read the log. If most can, one of them should own the cell.
+    /// Notes whether an entry could read the log. If most can, this owner gives up the cell so that
+    /// one of them claims it.
     pub fn handle_log_probe(&self, entry: &Name, readable: bool) {
         let is_isolated = {
             let mut authority = lock(&self.authority);
-            authority.probed(entry, readable);
+            authority.record_probe(entry, readable);
             authority.is_isolated(self.node.now())
         };
         if is_isolated && !self.has_ended() {
-            log::info!("event=isolated epoch={}", self.epoch);
+            log::info!("event=owner-isolated epoch={}", self.epoch);
             self.end();
             self.broadcast(&OwnerMessage::SteppedDown { epoch: self.epoch });
         }
     }
 
+    /// Sends a message to all connected entries.
     fn broadcast(&self, message: &OwnerMessage) {
         for (entry, sender) in lock(&self.peers).iter() {
             let sent = encode(0, message.clone()).map(|frame| sender.try_send(frame));
             if !matches!(sent, Ok(Ok(()))) {
-                log::info!("event=not-told entry={entry} message={message:?}");
+                log::info!("event=broadcast-not-sent entry={entry} message={message:?}");
             }
         }
     }
 
-    /// The processors of the largest other entry that could own the cell, in thousandths.
+    /// The processors of the largest other entry that could own the cell, in thousandths of one.
     pub fn largest_peer_cpu(&self) -> u32 {
-        lock(&self.authority).largest(self.node.now())
+        lock(&self.authority).largest_peer_cpu(self.node.now())
     }
 
-    /// Hands the cell over once an entry with far more processors could own it, or once this one
-    /// does not keep up and another one could.
+    /// Transfers the cell once an entry with far more processors could own it, or once this one
+    /// does not keep up and another entry could own it.
     pub(super) async fn watch_for_transfer(self: Arc<Self>) {
         if self.node.settings.disabled.contains(Mechanism::OwnershipTransfer) {
             return std::future::pending().await;
@@ -73,17 +76,18 @@
             let largest = self.largest_peer_cpu();
             let is_small = largest >= cpu.max(1) * MIN_SIZE_RATIO;
             let may_hand_over = lock(&self.view.election).may_hand_over(now);
-            let is_overloaded = largest > 0 && may_hand_over && lock(&self.lag).is_heavy(now);
+            let is_overloaded =
+                largest > 0 && may_hand_over && lock(&self.lag).should_hand_over(now);
             if !(is_small || is_overloaded) || !self.is_serving() {
                 continue;
             }
             log::info!(
-                "event=transfer cell={} epoch={} cpu={cpu} largest={largest} late={is_overloaded}",
+                "event=cell-transfer cell={} epoch={} cpu={cpu} largest={largest} late={is_overloaded}",
                 self.view.cell,
                 self.epoch
             );
             if is_overloaded {
-                lock(&self.view.election).back_off(now + BACK_OFF);
+                lock(&self.view.election).back_off(now + CLAIM_BACKOFF);
             }
             let (view, owner) = (self.view.clone(), self.clone());
             tokio::spawn(async move { view.transfer(&owner, is_overloaded).await });
