--- a/src/cell/placing/fair_share.rs
+++ b/src/cell/placing/fair_share.rs
@@ -1,8 +1,8 @@
 //! Detection of jobs that a workspace submits in excess of its share.
 //!
 //! A workspace may submit many times its usual number of jobs for some seconds. In order of deadline they would all go
-//! before the jobs that other workspaces submit later, and make those late. So each workspace has a token bucket that is
-//! refilled at the rate of its share, and jobs in excess of it become less urgent.
+//! before the jobs that other workspaces submit later, and make those late. So each workspace has a token bucket that
+//! is refilled at the rate of its share, and jobs in excess of it become less urgent.
 
 use crate::cell::Cell;
 use crate::cell::mechanism::Mechanism;
@@ -26,7 +26,8 @@
 pub(in crate::cell) struct ShareLimits(HashMap<Name, TokenBucket>);
 
 impl ShareLimits {
-    /// Takes a token for a job of a workspace whose share is `rate` jobs per second; returns whether there was none left.
+    /// Takes a token for a job of a workspace whose share is `rate` jobs per second; returns whether there was none
+    /// left.
     pub fn exceeds(&mut self, now: Millis, workspace: &Name, rate: f64) -> bool {
         let capacity = (rate * BURST_SECONDS).max(1.0);
         let full_bucket = || TokenBucket { tokens: capacity, refilled: now };
@@ -42,8 +43,8 @@
 }
 
 impl Cell {
-    /// Counts a submitted job against its workspace's share; returns whether it exceeds the share. A workspace with weight
-    /// 0 has no share to exceed.
+    /// Counts a submitted job against its workspace's share; returns whether it exceeds the share. A workspace with
+    /// weight 0 has no share to exceed.
     pub(in crate::cell) fn exceeds_share(&mut self, now: Millis, name: &Name) -> bool {
         let weight = self.usages.workspace(name).map_or(0, |workspace| workspace.weight);
         let is_disabled = self.config.disabled.contains(Mechanism::WorkspaceShares);
--- a/src/cell/placing/gang.rs
+++ b/src/cell/placing/gang.rs
@@ -1,8 +1,8 @@
 //! Reservations for gangs that don't find enough free resources.
 //!
 //! The tasks of a gang all start together. In a cell that is nearly full, tasks that were submitted later would take
-//! resources one by one as they become free, and in a small cell a gang with many tasks would wait until nothing else is
-//! left to run. So resources are reserved for the gang while they become free.
+//! resources one by one as they become free, and in a small cell a gang with many tasks would wait until nothing else
+//! is left to run. So resources are reserved for the gang while they become free.
 
 use crate::cell::Cell;
 use crate::cell::jobs::lifecycle::queue_rank;
@@ -29,7 +29,8 @@
 
 impl Cell {
     /// Reserves resources for all unplaced tasks of a gang, so that less urgent tasks can't take them. Prefers the
-    /// cleared workers on which most of its tasks fit. Reserves for one gang at a time, since two could block each other.
+    /// cleared workers on which most of its tasks fit. Reserves for one gang at a time, since two could block each
+    /// other.
     pub(in crate::cell) fn reserve_for_gang(
         &mut self,
         now: Millis,
--- a/src/cell/placing/preempt.rs
+++ b/src/cell/placing/preempt.rs
@@ -1,8 +1,8 @@
 //! Preemption: stops less urgent tasks so that more urgent ones can start.
 //!
-//! It is meant for large tasks that need whole workers, of which the advice service clears only a few, while small tasks
-//! of a less urgent queue occupy a part of each worker. The small tasks aren't urgent and save their progress, so each
-//! loses half a second of work and the time to restore its progress.
+//! It is meant for large tasks that need whole workers, of which the advice service clears only a few, while small
+//! tasks of a less urgent queue occupy a part of each worker. The small tasks aren't urgent and save their progress, so
+//! each loses half a second of work and the time to restore its progress.
 
 use crate::cell::Cell;
 use crate::cell::jobs::lifecycle::queue_rank;
@@ -38,8 +38,8 @@
 
 impl Cell {
     /// Stops less urgent tasks so that unplaced tasks of a step can start on the candidates, and reserves the freed
-    /// resources. For a gang, tasks are stopped only if that makes room for all of it. Without preemption, tasks that need
-    /// most of a worker's accelerators could wait forever while tasks that need one accelerator keep starting.
+    /// resources. For a gang, tasks are stopped only if that makes room for all of it. Without preemption, tasks that
+    /// need most of a worker's accelerators could wait forever while tasks that need one accelerator keep starting.
     pub(in crate::cell) fn preempt_for(
         &mut self,
         now: Millis,
@@ -49,7 +49,8 @@
         let UnplacedTasks { step: key, spec, count: unplaced } = *unplaced_tasks;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let is_early = !job.has_waited(now, key, MIN_WAIT);
-        // A job that isn't stored yet may still be refused, and the tasks stopped for it would have lost work for nothing.
+        // A job that isn't stored yet may still be refused, and the tasks stopped for it would have lost work for
+        // nothing.
         let is_unstored = job.batch > self.stored_batch;
         if is_early || is_unstored || candidates.is_empty() || self.reservations.has_exclusive(key)
         {
--- a/src/cell/placing/reservation.rs
+++ b/src/cell/placing/reservation.rs
@@ -1,7 +1,7 @@
 //! Reservations of resources on workers for steps that are about to start.
 //!
-//! Without them a gang that needs whole workers could wait forever, while smaller tasks of less urgent jobs keep arriving
-//! and take all resources as they become free.
+//! Without them a gang that needs whole workers could wait forever, while smaller tasks of less urgent jobs keep
+//! arriving and take all resources as they become free.
 
 use crate::cell::placing::relaxation::Relaxation;
 use crate::clock::Millis;
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -19,8 +19,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 impl Cell {
-    /// Places as many waiting tasks as fit, the most urgent first. Does nothing unless the cell's state has changed since
-    /// the last pass.
+    /// Places as many waiting tasks as fit, the most urgent first. Does nothing unless the cell's state has changed
+    /// since the last pass.
     pub fn schedule(&mut self, now: Millis) {
         self.fail_exhausted_jobs(now);
         if self.list_stale || !std::mem::take(&mut self.needs_placement) {
@@ -33,8 +33,8 @@
         self.ask_next(now);
     }
 
-    /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes why
-    /// the step waits.
+    /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes
+    /// why the step waits.
     fn place_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_inherited && self.unrecorded_starts.is_some() {
@@ -128,8 +128,8 @@
         self.filter_candidates(now, key, job, spec, cleared)
     }
 
-    /// The workers that the advice service has cleared for a step, also with expired tickets. All workers that may run its
-    /// tasks if the queue doesn't use the advice service.
+    /// The workers that the advice service has cleared for a step, also with expired tickets. All workers that may run
+    /// its tasks if the queue doesn't use the advice service.
     pub(in crate::cell) fn cleared_candidates(
         &self,
         now: Millis,
@@ -146,8 +146,8 @@
         self.filter_candidates(now, key, job, spec, cleared)
     }
 
-    /// Selects from `workers` those that may run a step's tasks. Their free resources don't include what is reserved for
-    /// other steps.
+    /// Selects from `workers` those that may run a step's tasks. Their free resources don't include what is reserved
+    /// for other steps.
     fn filter_candidates<'a>(
         &self,
         now: Millis,
@@ -184,8 +184,8 @@
         suitable.map(to_candidate).collect()
     }
 
-    /// Assigns a home failure domain to a job: the one with the most idle cores. Its tasks go there while they fit, so that
-    /// a network partition between failure domains delays few jobs.
+    /// Assigns a home failure domain to a job: the one with the most idle cores. Its tasks go there while they fit, so
+    /// that a network partition between failure domains delays few jobs.
     fn choose_home_domain(&mut self, key: StepKey, candidates: &[Candidate]) {
         if self.config.disabled.contains(Mechanism::PreferDomain) {
             return;
@@ -284,8 +284,8 @@
         (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
     }
 
-    /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding is
-    /// stored.
+    /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding
+    /// is stored.
     fn bind(
         &mut self,
         now: Millis,
@@ -376,11 +376,11 @@
         self.jobs.get(&key).is_none_or(|job| job.batch <= self.stored_batch)
     }
 
-    /// Sends starts whose bindings aren't stored, while the store is unavailable to all entries. The next owner will know of
-    /// the outage. Jobs that aren't stored are excluded: they aren't accepted yet and may still be refused.
+    /// Sends starts whose bindings aren't stored, while the store is unavailable to all entries. The next owner will
+    /// know of the outage. Jobs that aren't stored are excluded: they aren't accepted yet and may still be refused.
     pub fn send_unstored(&mut self, now: Millis) {
-        // Crashes of a task have to be stored before it starts again. Otherwise it could start more often than is allowed
-        // over several outages that each end with a takeover.
+        // Crashes of a task have to be stored before it starts again. Otherwise it could start more often than is
+        // allowed over several outages that each end with a takeover.
         self.send_starts_if(now, |cell, batch, task| {
             batch <= cell.stored_batch || cell.task_crashes(task).is_empty()
         });
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -12,8 +12,8 @@
 
 impl Cell {
     /// Removes unstable workers from the candidates if none of the step's waiting tasks may run on them, or if the step
-    /// is a gang and some of its tasks may not. Returns whether all candidates were removed, so that the step has to wait
-    /// until a worker becomes stable. Also records when the next of the unstable candidates becomes stable.
+    /// is a gang and some of its tasks may not. Returns whether all candidates were removed, so that the step has to
+    /// wait until a worker becomes stable. Also records when the next of the unstable candidates becomes stable.
     pub(in crate::cell) fn retain_stable(
         &mut self,
         key: StepKey,
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// The number of tasks of a size that a workspace may start, at most `max`. A single task that exceeds the limit may
-    /// start if the workspace has nothing else running: it would never run otherwise.
+    /// The number of tasks of a size that a workspace may start, at most `max`. A single task that exceeds the limit
+    /// may start if the workspace has nothing else running: it would never run otherwise.
     pub fn allowed_tasks(&self, workspace: &Workspace, room: &Room, max: usize) -> usize {
         let used = self.used(&workspace.name);
         let left = workspace.limit.less(&used);
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,5 +1,5 @@
-//! The pooled HTTP client for calls to the platform, workers and runners. It reads whole bodies of limited size within a
-//! time limit.
+//! The pooled HTTP client for calls to the platform, workers and runners. It reads whole bodies of limited size within
+//! a time limit.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -69,8 +69,9 @@
 }
 
 impl HttpResponse {
-    /// Decodes the JSON body. Returns the default for an empty body, which most responses have, and for a malformed one:
-    /// then only the status decides, and a refusal without a known reason counts as the general one, which is safe.
+    /// Decodes the JSON body. Returns the default for an empty body, which most responses have, and for a malformed
+    /// one: then only the status decides, and a refusal without a known reason counts as the general one, which is
+    /// safe.
     pub fn json_or_default<T: DeserializeOwned + Default>(&self) -> T {
         if self.body.is_empty() {
             return T::default();
@@ -90,9 +91,9 @@
 
 /// An HTTP client with a pool of connections for each address.
 ///
-/// Existing connections may become dead without a reset while new ones work. So an exchange that times out, or can't open
-/// a connection, drops all idle connections to its address. Otherwise each of up to [`MAX_IDLE_CONNECTIONS`] dead ones
-/// would cost one more exchange its whole time limit.
+/// Existing connections may become dead without a reset while new ones work. So an exchange that times out, or can't
+/// open a connection, drops all idle connections to its address. Otherwise each of up to `MAX_IDLE_CONNECTIONS` dead
+/// ones would cost one more exchange its whole time limit.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     pools: Arc<Mutex<HashMap<Name, Arc<Pool>>>>,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! Clients, formats and wire names of the platform's systems: its store, its workers, its advice service and its callers.
+//! Clients, formats and wire names of the platform's systems: its store, its workers, its advice service and its
+//! callers.
 
 pub mod advice;
 pub mod api;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -12,7 +12,8 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// The maximum size of the response to a read, in kilobytes. A quarter of a core decodes that within a few milliseconds.
+/// The maximum size of the response to a read, in kilobytes. A quarter of a core decodes that within a few
+/// milliseconds.
 const MAX_READ_KB: u32 = 512;
 
 /// Why a call to the store failed.
@@ -151,8 +152,8 @@
     body.put_slice(value);
 }
 
-/// Splits a record of a keyed topic into its key and its value; `None` if it is malformed. Readers skip malformed records,
-/// so that one doesn't hide the others.
+/// Splits a record of a keyed topic into its key and its value; `None` if it is malformed. Readers skip malformed
+/// records, so that one doesn't hide the others.
 pub fn decode_keyed(record: &Bytes) -> Option<(Name, Bytes)> {
     let decode = || -> Result<(Name, Bytes), String> {
         let len = usize::from(*record.first().ok_or("the record is empty")?);
@@ -250,8 +251,8 @@
         parse_page(&response.body)
     }
 
-    /// Reads all pages of the latest records of all keys, and the end of the partition as of the first page. Later pages
-    /// may contain newer records.
+    /// Reads all pages of the latest records of all keys, and the end of the partition as of the first page. Later
+    /// pages may contain newer records.
     ///
     /// # Errors
     /// See [`StoreError`].
