--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -55,7 +55,7 @@
 
     /// The resources in use and the total resources of the workers of a service that currently report.
     fn service_usage(&self, service: &Name) -> (Room, Room) {
-        let heard = self.workers.values().filter(|worker| worker.heard);
+        let heard = self.workers.values().filter(|worker| worker.is_reachable);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
         let zero = (Room::default(), Room::default());
         of_service.fold(zero, |(used, total), worker| {
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -1,6 +1,6 @@
 //! The scheduling pass: places the tasks of waiting steps on workers, and sends the start orders.
 
-use crate::cell::advising::clearance::TICKET_SPARE;
+use crate::cell::advice::request::MIN_TICKET_VALIDITY;
 use crate::cell::jobs::job::{Job, StepState};
 use crate::cell::jobs::lifecycle::queue_rank;
 use crate::cell::jobs::restart_policy::{is_paused, needs_stable_worker};
@@ -11,7 +11,7 @@
 };
 use crate::cell::placing::relaxation::Relaxation;
 use crate::cell::workers::worker::{Phase, Run, Worker};
-use crate::cell::{Action, Cell, RUN_BITS};
+use crate::cell::{Action, Cell, RUN_NUMBER_BITS};
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::order::Start;
@@ -30,7 +30,7 @@
         for key in ready {
             self.place_step(now, key);
         }
-        self.ask_next(now);
+        self.assign_requests(now);
     }
 
     /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes
@@ -51,7 +51,7 @@
         // Most steps wait for a response of the advice service most of the time. Stop early for them.
         let awaits_advice =
             advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
-        if awaits_advice && !step.clearances.has_any_ticket(now + TICKET_SPARE) {
+        if awaits_advice && !step.clearances.has_any_ticket(now + MIN_TICKET_VALIDITY) {
             let why = self.wait_reason(now, key, &[]);
             return self.set_wait_reason(now, key, why);
         }
@@ -91,7 +91,7 @@
                     self.ready_steps.remove(&(priority, due, key));
                 }
             }
-            Some(advice) if unplaced > 0 => self.question(now, key, &spec, advice, unplaced),
+            Some(advice) if unplaced > 0 => self.request_advice(now, key, &spec, advice, unplaced),
             _ => {}
         }
         let why = self.wait_reason(now, key, &candidates).map(|why| match why {
@@ -123,7 +123,7 @@
         step: &StepState,
         spec: &Step,
     ) -> Vec<Candidate> {
-        let tickets = step.clearances.ticket_holders(now + TICKET_SPARE);
+        let tickets = step.clearances.ticket_holders(now + MIN_TICKET_VALIDITY);
         let cleared = tickets.filter_map(|name| Some((name, self.workers.get(name)?)));
         self.filter_candidates(now, key, job, spec, cleared)
     }
@@ -163,10 +163,10 @@
         let relaxation = self.relaxation(now, job, key);
         let is_excluded = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_sidelined && worker.is_aside(now)) || is_quarantined(worker))
+                && ((skips_sidelined && worker.is_excluded(now)) || is_quarantined(worker))
         };
-        let open =
-            workers.filter(|(_, worker)| worker.is_open(self.stored_batch) && !is_excluded(worker));
+        let open = workers
+            .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
@@ -281,7 +281,7 @@
             let task = step?.tasks.get(index as usize)?;
             Some(task.last_run)
         });
-        (self.epoch << RUN_BITS).max(runs.max().unwrap_or(0)) + 1
+        (self.epoch << RUN_NUMBER_BITS).max(runs.max().unwrap_or(0)) + 1
     }
 
     /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding
@@ -297,12 +297,12 @@
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut run = Run::bound(run_number, spec, Phase::Starting);
-        run.since = now;
-        run.held = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
+        let mut run = Run::new(run_number, spec, Phase::Starting);
+        run.known_since = now;
+        run.usage_guard = job.workspace.as_ref().map(|owner| self.usages.acquire(owner, spec.room));
         let run_times = self.run_times.get(&job.queue.name).filter(|_| !spec.lasting);
-        run.limit = run_times.and_then(|times| times.limit(spec.estimate));
-        worker.add(task, run);
+        run.late_after = run_times.and_then(|times| times.late_after(spec.estimate));
+        worker.add_run(task, run);
         let age = now.since(job.known_since);
         job.was_placed = true;
         let spec_text = job.work.spec.clone();
@@ -346,17 +346,17 @@
             if run.is_none_or(|run| run.phase != Phase::Starting) {
                 continue;
             }
-            if worker.is_other(worker.listed.born) {
+            if worker.is_other_incarnation(worker.listed.born) {
                 log::info!("event=start-given-up task={} worker={name} why=restarted", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
             }
-            if worker.is_overfull() {
+            if worker.is_overcommitted() {
                 log::info!("event=worker-overcommitted task={} worker={name}", start.task);
                 self.abandon_run(&name, start.task, start.run);
                 continue;
             }
-            let Some(until) = worker.lease(now, lease) else {
+            let Some(until) = worker.renew_lease(now, lease) else {
                 log::info!(
                     "event=start-given-up task={} worker={name} why=clock-unknown",
                     start.task
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -24,7 +24,7 @@
         let Some((any, all)) = step.map(needs_stable) else { return false };
         let unstable = candidates.iter().filter(|candidate| any && !candidate.is_stable);
         let times =
-            unstable.filter_map(|candidate| self.workers.get(&candidate.name)?.settles_at());
+            unstable.filter_map(|candidate| self.workers.get(&candidate.name)?.stable_from());
         self.next_settled = times.chain(self.next_settled).min();
         // All tasks of a gang start together.
         if all || (any && spec.gang) {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,7 +1,7 @@
 //! Decodes the settings file that the platform provides for an entry.
 
 use crate::cell::mechanism::DisabledMechanisms;
-use crate::cell::owner::map::CELL_WORKERS;
+use crate::cell::owner::cell_map::MIN_CELL_WORKERS;
 use crate::clock::Millis;
 use crate::id::Name;
 use serde::Deserialize;
@@ -162,7 +162,7 @@
             store_addr: raw.platform.address,
             call_bytes: raw.platform.call_bytes,
             partitions: raw.platform.parts.max(1),
-            min_workers: CELL_WORKERS,
+            min_workers: MIN_CELL_WORKERS,
             advice_addr: raw.advice.filter(|addr| !addr.is_empty()),
             has_workspaces: raw.contracts.iter().any(|contract| **contract == *TENANTS_CONTRACT),
             cores: raw.limits.cores.max(1),
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -2,14 +2,15 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
+    /// An owner calls a worker for a report.
     pub(super) fn poll_report(&mut self, owner: usize, worker: Name) {
         if self.owners[owner].deposed {
             return;
         }
         let renew = self.has_authority(owner);
         let sent = self.now;
-        let Some(hold) = self.owners[owner].cell.hold(Millis(sent), &worker, renew) else {
+        let Some(hold) = self.owners[owner].cell.report_call(Millis(sent), &worker, renew) else {
             self.owners[owner].polled.remove(&worker);
             return;
         };
@@ -26,6 +27,7 @@
         self.schedule_after(delay, event);
     }
 
+    /// Whether messages of an owner reach a worker.
     pub(super) fn can_reach(&self, owner: usize, worker: &Name) -> bool {
         let worker = self.workers.get(worker);
         worker.is_some_and(|worker| {
@@ -35,6 +37,7 @@
         })
     }
 
+    /// A report call reaches its worker, or is lost.
     pub(super) fn deliver_report_call(
         &mut self,
         owner: usize,
@@ -63,9 +66,9 @@
             let report = self.workers.get(&name).map(|worker| worker.report(now));
             report.ok_or(HoldError::Refused(Refusal::OtherLife))
         };
-        let busy = matches!(&result, Ok(report) if report.ended.is_empty());
-        let delay = if busy { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
-        if busy {
+        let is_polling = matches!(&result, Ok(report) if report.ended.is_empty());
+        let delay = if is_polling { 1 + self.pick(MAX_POLL_MS) } else { 1 + self.pick(3) };
+        if is_polling {
             // The answer is delayed and reports the state at that time.
             let again =
                 Event::ReportCall { owner, worker: name, seen, until: None, sent, lost: false };
@@ -103,6 +106,7 @@
         self.check_attempts();
     }
 
+    /// Answers a report call with the state after `delay` milliseconds.
     pub(super) fn answer_delayed(&mut self, delay: u64, again: Event) {
         let Event::ReportCall { owner, worker: name, sent, .. } = again else { return };
         self.now += delay;
@@ -126,9 +130,9 @@
     ) {
         let cell = &self.owners[owner].cell;
         let is_other = life.as_ref().is_some_and(|life| cell.has_restarted(life));
-        let there = self.workers.get(name).map(|worker| worker.listed.life());
+        let current_life = self.workers.get(name).map(|worker| worker.listed.life());
         match action {
-            _ if delivery == Delivery::ArrivesLate && there != life => return,
+            _ if delivery == Delivery::ArrivesLate && current_life != life => return,
             Action::Start { .. }
                 if delivery != Delivery::ArrivesLate && !self.has_authority(owner) =>
             {
@@ -187,6 +191,7 @@
         );
     }
 
+    /// Picks what happens to an order on its way.
     pub(super) fn pick_delivery(&mut self) -> Delivery {
         match self.chance(8) {
             false => Delivery::Answered,
