--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -1,9 +1,9 @@
 //! Relaxed placement for steps that have waited for long although enough resources are free.
 //!
 //! Resources are reserved again and again for a gang that doesn't find enough, and then for the steps that wait behind
-//! it; workers are sidelined, or quarantined for one job. Each of these is right for a while, but together they can
-//! leave workers idle while there are tasks that fit on them. So a step that has waited for long ignores some or all of
-//! them.
+//! it; workers are excluded from placement, or quarantined for one job. Each of these is right for a while, but
+//! together they can leave workers idle while there are tasks that fit on them. So a step that has waited for long
+//! ignores some or all of them.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
@@ -24,8 +24,8 @@
 pub(in crate::cell) enum Relaxation {
     /// None: the step hasn't waited for long, or it isn't long-running and at least half of the cores are in use.
     None,
-    /// Workers that are sidelined, which lasts for at most 16 s; workers that are quarantined for another job, which
-    /// lasts for as long as its task runs; reservations for a gang that aren't all free yet.
+    /// Workers that are excluded from placement, which lasts for at most 16 s; workers that are quarantined for another
+    /// job, which lasts for as long as its task runs; reservations for a gang that aren't all free yet.
     Partial,
     /// All reservations, too: at least half of all resources are free, or the step is long-running, since the bound on
     /// its wait holds however full the service is. If only cores are free, other reservations stay in force: while most
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -157,16 +157,16 @@
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Candidate> {
         let step_rank = queue_rank(job);
-        let skips_sidelined = !self.config.disabled.contains(Mechanism::SidelineWorkers);
+        let skips_excluded = !self.config.disabled.contains(Mechanism::SidelineWorkers);
         let is_quarantined =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let relaxation = self.relaxation(now, job, key);
-        let is_excluded = |worker: &Worker| {
+        let is_avoided = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_sidelined && worker.is_excluded(now)) || is_quarantined(worker))
+                && ((skips_excluded && worker.is_excluded(now)) || is_quarantined(worker))
         };
         let open = workers
-            .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
+            .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_avoided(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
@@ -259,19 +259,20 @@
             return;
         };
         let run = self.next_run_number(key, 0..spec.count);
-        let saved = self.saved_gang_progress(key);
+        let checkpoint = self.gang_checkpoint(key);
         for (index, name) in chosen.iter().enumerate() {
             let task = TaskKey { step: key, index: index as u32 };
-            self.bind(now, task, name, run, spec, &saved);
+            self.bind(now, task, name, run, spec, &checkpoint);
         }
     }
 
-    /// The saved progress of the first member that has any. It is valid for the whole gang.
-    fn saved_gang_progress(&self, key: StepKey) -> Name {
+    /// The checkpoint of the first member that has one. It is valid for the whole gang.
+    fn gang_checkpoint(&self, key: StepKey) -> Name {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let tasks = step.map(|step| step.tasks.as_slice()).unwrap_or_default();
-        let saved = tasks.iter().map(|task| &task.checkpoint).find(|saved| !saved.is_empty());
-        saved.cloned().unwrap_or_else(|| "".into())
+        let checkpoint =
+            tasks.iter().map(|task| &task.checkpoint).find(|checkpoint| !checkpoint.is_empty());
+        checkpoint.cloned().unwrap_or_else(|| "".into())
     }
 
     /// The run number for a new start: higher than all earlier ones of these tasks, in this epoch and before.
@@ -293,7 +294,7 @@
         name: &Name,
         run_number: u64,
         spec: &Step,
-        saved: &str,
+        checkpoint: &str,
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -312,9 +313,9 @@
         let ticket = step.clearances.cleared.get(name).map(|ticket| ticket.text.clone());
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
         state.last_run = run_number;
-        let saved = match saved {
+        let saved = match checkpoint {
             "" if !spec.gang => state.checkpoint.clone(),
-            saved => saved.into(),
+            checkpoint => checkpoint.into(),
         };
         log::info!("event=start task={task} run={run_number} worker={name} age_ms={age}");
         let ticket = ticket.unwrap_or_else(|| "".into());
@@ -326,9 +327,9 @@
         self.unsent_starts.push_back((self.open_batch, name.clone(), start));
     }
 
-    /// Sends the starts whose bindings are in the store, up to batch `kept`. The next owner has to know of them.
-    pub(in crate::cell) fn send_starts(&mut self, now: Millis, kept: u64) {
-        self.send_starts_if(now, |_, batch, _| batch <= kept);
+    /// Sends the starts whose bindings are in the store, up to `stored_batch`. The next owner has to know of them.
+    pub(in crate::cell) fn send_starts(&mut self, now: Millis, stored_batch: u64) {
+        self.send_starts_if(now, |_, batch, _| batch <= stored_batch);
     }
 
     /// Sends the queued starts of accepted jobs for which `may_send` holds. The others stay queued in order.
