--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -53,10 +53,10 @@
         }
     }
 
-    /// The resources in use and the total resources of the workers of a service that currently report.
+    /// The resources in use and the total resources of the reachable workers of a service.
     fn service_usage(&self, service: &Name) -> (Room, Room) {
-        let heard = self.workers.values().filter(|worker| worker.is_reachable);
-        let of_service = heard.filter(|worker| worker.listed.service == *service);
+        let reachable = self.workers.values().filter(|worker| worker.is_reachable);
+        let of_service = reachable.filter(|worker| worker.listed.service == *service);
         let zero = (Room::default(), Room::default());
         of_service.fold(zero, |(used, total), worker| {
             (used.plus(&worker.used), total.plus(&worker.listed.room))
