--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -19,8 +19,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 impl Cell {
-    /// Places as many waiting tasks as fit, the most urgent first. Does nothing unless the cell's state has changed since
-    /// the last pass.
+    /// Places as many waiting tasks as fit, the most urgent first. Does nothing unless the cell's state has changed
+    /// since the last pass.
     pub fn schedule(&mut self, now: Millis) {
         self.fail_exhausted_jobs(now);
         if self.list_stale || !std::mem::take(&mut self.needs_placement) {
@@ -33,8 +33,8 @@
         self.assign_requests(now);
     }
 
-    /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes why
-    /// the step waits.
+    /// Places the waiting tasks of one step. For the tasks that don't fit, tries preemption and reservations, and notes
+    /// why the step waits.
     fn place_step(&mut self, now: Millis, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         if job.is_inherited && self.unrecorded_starts.is_some() {
@@ -128,8 +128,8 @@
         self.filter_candidates(now, key, job, spec, cleared)
     }
 
-    /// The workers that the advice service has cleared for a step, also with expired tickets. All workers that may run its
-    /// tasks if the queue doesn't use the advice service.
+    /// The workers that the advice service has cleared for a step, also with expired tickets. All workers that may run
+    /// its tasks if the queue doesn't use the advice service.
     pub(in crate::cell) fn cleared_candidates(
         &self,
         now: Millis,
@@ -146,8 +146,8 @@
         self.filter_candidates(now, key, job, spec, cleared)
     }
 
-    /// Selects from `workers` those that may run a step's tasks. Their free resources don't include what is reserved for
-    /// other steps.
+    /// Selects from `workers` those that may run a step's tasks. Their free resources don't include what is reserved
+    /// for other steps.
     fn filter_candidates<'a>(
         &self,
         now: Millis,
@@ -157,16 +157,16 @@
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Candidate> {
         let step_rank = queue_rank(job);
-        let skips_sidelined = !self.config.disabled.contains(Mechanism::SidelineWorkers);
+        let skips_excluded = !self.config.disabled.contains(Mechanism::SidelineWorkers);
         let is_quarantined =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let relaxation = self.relaxation(now, job, key);
-        let is_excluded = |worker: &Worker| {
+        let is_avoided = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_sidelined && worker.is_excluded(now)) || is_quarantined(worker))
+                && ((skips_excluded && worker.is_excluded(now)) || is_quarantined(worker))
         };
         let open = workers
-            .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
+            .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_avoided(worker));
         let suitable = open.filter(|(_, worker)| is_suitable(worker, &job.queue.service, spec));
         let to_candidate = |(name, worker)| {
             let candidate = Candidate::new(now, name, worker);
@@ -189,8 +189,8 @@
         suitable.map(to_candidate).collect()
     }
 
-    /// Assigns a home failure domain to a job: the one with the most idle cores. Its tasks go there while they fit, so that
-    /// a network partition between failure domains delays few jobs.
+    /// Assigns a home failure domain to a job: the one with the most idle cores. Its tasks go there while they fit, so
+    /// that a network partition between failure domains delays few jobs.
     fn choose_home_domain(&mut self, key: StepKey, candidates: &[Candidate]) {
         if self.config.disabled.contains(Mechanism::PreferDomain) {
             return;
@@ -264,19 +264,20 @@
             return;
         };
         let run = self.next_run_number(key, 0..spec.count);
-        let saved = self.saved_gang_progress(key);
+        let checkpoint = self.gang_checkpoint(key);
         for (index, name) in chosen.iter().enumerate() {
             let task = TaskKey { step: key, index: index as u32 };
-            self.bind(now, task, name, run, spec, &saved);
+            self.bind(now, task, name, run, spec, &checkpoint);
         }
     }
 
-    /// The saved progress of the first member that has any. It is valid for the whole gang.
-    fn saved_gang_progress(&self, key: StepKey) -> Name {
+    /// The checkpoint of the first member that has one. It is valid for the whole gang.
+    fn gang_checkpoint(&self, key: StepKey) -> Name {
         let step = self.jobs.get(&key.job).and_then(|job| job.step(key));
         let tasks = step.map(|step| step.tasks.as_slice()).unwrap_or_default();
-        let saved = tasks.iter().map(|task| &task.checkpoint).find(|saved| !saved.is_empty());
-        saved.cloned().unwrap_or_else(|| "".into())
+        let checkpoint =
+            tasks.iter().map(|task| &task.checkpoint).find(|checkpoint| !checkpoint.is_empty());
+        checkpoint.cloned().unwrap_or_else(|| "".into())
     }
 
     /// The run number for a new start: higher than all earlier ones of these tasks, in this epoch and before.
@@ -289,8 +290,8 @@
         (self.epoch << RUN_NUMBER_BITS).max(runs.max().unwrap_or(0)) + 1
     }
 
-    /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding is
-    /// stored.
+    /// Binds a task to a worker: takes the resources for the run and queues the start, which is sent once the binding
+    /// is stored.
     fn bind(
         &mut self,
         now: Millis,
@@ -332,9 +333,9 @@
         self.unsent_starts.push_back((self.open_batch, name.clone(), start));
     }
 
-    /// Sends the starts whose bindings are in the store, up to batch `kept`. The next owner has to know of them.
-    pub(in crate::cell) fn send_starts(&mut self, now: Millis, kept: u64) {
-        self.send_starts_if(now, |_, batch, _| batch <= kept);
+    /// Sends the starts whose bindings are in the store, up to `stored_batch`. The next owner has to know of them.
+    pub(in crate::cell) fn send_starts(&mut self, now: Millis, stored_batch: u64) {
+        self.send_starts_if(now, |_, batch, _| batch <= stored_batch);
     }
 
     /// Sends the queued starts of accepted jobs for which `may_send` holds. The others stay queued in order.
@@ -382,11 +383,11 @@
         self.jobs.get(&key).is_none_or(|job| job.batch <= self.stored_batch)
     }
 
-    /// Sends starts whose bindings aren't stored, while the store is unavailable to all entries. The next owner will know of
-    /// the outage. Jobs that aren't stored are excluded: they aren't accepted yet and may still be refused.
+    /// Sends starts whose bindings aren't stored, while the store is unavailable to all entries. The next owner will
+    /// know of the outage. Jobs that aren't stored are excluded: they aren't accepted yet and may still be refused.
     pub fn send_unstored(&mut self, now: Millis) {
-        // Crashes of a task have to be stored before it starts again. Otherwise it could start more often than is allowed
-        // over several outages that each end with a takeover.
+        // Crashes of a task have to be stored before it starts again. Otherwise it could start more often than is
+        // allowed over several outages that each end with a takeover.
         self.send_starts_if(now, |cell, batch, task| {
             batch <= cell.stored_batch || cell.task_crashes(task).is_empty()
         });
