--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,5 @@
-//! Time in milliseconds: one type, a wall clock, and the clock that ages and leases are measured on.
+//! Time in milliseconds: the wall clock, and a monotonic clock for ages and leases that also counts time in
+//! suspend.
 
 use nix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
@@ -20,12 +21,12 @@
         Self(since.as_millis() as u64)
     }
 
-    /// The time from `earlier` to `self`, zero if `earlier` is later.
+    /// Time elapsed from `earlier` to `self`; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// This length of time for use with timers.
+    /// Converts this length of time for use with timers.
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
@@ -53,18 +54,18 @@
     }
 }
 
-/// A process that did not look at its clock for this long did not run, or its machine did not: an idle
-/// entry looks every 270 ms. With what an owner learned before it, that is within the shortest time for
-/// which the platform's contract lets a machine act on what it knew (3 s).
+/// Minimum time between two readings of the clock that counts as a pause, in which the process or its machine
+/// did not run. An idle entry reads the clock every 270 ms. The platform's contract allows a machine to act on
+/// its last knowledge for at least 3 s; this threshold plus the age of an owner's knowledge stays within that.
 const MIN_PAUSE: Millis = Millis(2_500);
 
-/// The time since a process started, which goes on while its machine is suspended. The steady clock of the
-/// system does not: by that one an owner would wake after 20 s and believe in its lease.
+/// A monotonic clock that starts with the process and continues while the machine is suspended. The system's
+/// `CLOCK_MONOTONIC` stops in suspend: after 20 s of suspend, an owner would still take its lease for valid.
 #[derive(Debug)]
 pub struct Clock {
     source: fn() -> Millis,
     origin: Millis,
-    /// When it was last looked at.
+    /// Latest reading, in milliseconds.
     last_reading: AtomicU64,
     pause_count: AtomicU64,
 }
@@ -76,13 +77,13 @@
 }
 
 impl Clock {
-    /// A clock that begins now, by another one.
+    /// Creates a clock that starts now and takes its time from `source`.
     pub fn new(source: fn() -> Millis) -> Self {
         let (last_reading, pause_count) = (AtomicU64::new(0), AtomicU64::new(0));
         Self { source, origin: source(), last_reading, pause_count }
     }
 
-    /// The time since it began, and one: never zero. Notices if the process did not run for long.
+    /// Milliseconds since the clock started plus one, so never zero. Detects and counts pauses of the process.
     pub fn now(&self) -> Millis {
         let now = (self.source)().since(self.origin) + Millis(1);
         let last = Millis(self.last_reading.fetch_max(now.0, Ordering::Relaxed));
@@ -94,19 +95,19 @@
         now
     }
 
-    /// How often the process did not run for so long that what it knew is too old.
+    /// Number of pauses so far. Knowledge from before a pause may be too old to act on.
     pub fn pause_count(&self) -> u64 {
         self.pause_count.load(Ordering::Relaxed)
     }
 }
 
-/// The time since the system started, suspended or not.
+/// Time since boot, including time in suspend.
 fn boot_time() -> Millis {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Millis(time.tv_sec() as u64 * 1_000 + time.tv_nsec() as u64 / 1_000_000),
         Err(err) => {
-            // Every Linux since 2.6.39 has this clock.
-            log::error!("event=no-clock error={err:?}");
+            // Doesn't happen on Linux 2.6.39 or later, which all have CLOCK_BOOTTIME.
+            log::error!("event=boot-clock-unavailable error={err:?}");
             Millis::now()
         }
     }
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and identifiers shared by every module.
+//! Names and identifiers shared by all modules, and stable hashing of names.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,7 +10,7 @@
 /// A shared immutable name: of a VM, a failure domain, a shard, a team or a kind of work.
 pub type Name = Arc<str>;
 
-/// One run of one entry: a restarted entry has the same name and a higher incarnation.
+/// Identifies one run of an entry's process: a restarted entry keeps its name and has a higher incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryId {
     /// The entry's name from its settings.
@@ -26,23 +26,23 @@
     }
 }
 
-/// A job: the shard that owns it and a number unique in the cell.
+/// Identifies a job by the shard that owns it and a number that is unique in the cell.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct JobId {
     /// The owning shard.
     pub shard: Name,
-    /// A number unique in the cell.
+    /// Number of the job, unique in the cell; a hash, so the numbers have no order.
     pub number: u64,
 }
 
-/// An identifier could not be parsed.
+/// A text is not a valid job id.
 #[derive(Debug, Error, PartialEq)]
-#[error("{0:?} is not a job id: want SHARD.HEX")]
+#[error("{0:?} is not a job id: expected SHARD.HEX with 16 hexadecimal digits")]
 pub struct ParseJobIdError(pub String);
 
 impl JobId {
-    /// A new id, unique as long as `counter` is never reused by the same incarnation of `me`.
+    /// Creates an id, which is unique as long as the same incarnation of `me` uses each `counter` once.
     pub fn new(shard: Name, me: &EntryId, counter: u64) -> Self {
         Self {
             shard,
@@ -90,14 +90,14 @@
     }
 }
 
-/// One attempt at one task of a job. A start repeated with the same id is idempotent at a worker.
+/// Identifies one attempt at one task of a job. Workers ignore a repeated start with the same id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's place in the job, from 0.
+    /// Index of the task in the job, from 0.
     pub index: u32,
-    /// How often the task was bound to a worker before.
+    /// How often the task was bound to a worker before this attempt.
     pub attempt: u32,
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// A stable hash over several byte strings, the same in every process and version.
+/// Hashes a sequence of byte strings. The result is the same in every process and version.
 pub fn hash(parts: &[&[u8]]) -> u64 {
     let mut buf = Vec::with_capacity(64);
     for part in parts {
@@ -117,8 +117,8 @@
     xxh3_64(&buf)
 }
 
-/// The member of `names` with the highest rendezvous weight for `key`: few keys move when the set
-/// changes.
+/// Chooses one of `names` for `key` by rendezvous hashing, so that few keys move to another name
+/// when the set of names changes.
 pub fn rendezvous<'a>(key: &str, names: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
     names.max_by_key(|name| hash(&[key.as_bytes(), name.as_bytes()]))
 }
--- a/src/order.rs
+++ b/src/order.rs
@@ -1,4 +1,4 @@
-//! Workers, and the orders and reports that pass between an owner and a worker.
+//! Messages between the owner of a cell and its workers: worker entries, orders and reports.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -6,26 +6,27 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One life of a worker, from a start of its process to its end. A restarted worker may keep its id: then
-/// only the time of its start tells the two apart. That is by a time of day that may be stepped back, so
-/// starts are compared for equality; reports tell which life is the later one.
+/// One run of a worker process, from its start to its exit. A restarted worker may keep its id, and then only
+/// the start time tells the two processes apart. The start time is wall-clock time, which can be set back, so
+/// start times are compared for equality only; the order of two incarnations follows from their reports.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "Name", into = "Name")]
 pub struct Incarnation {
     /// The worker's id.
     pub id: Name,
-    /// When the process started; `None`: it did not tell.
+    /// Start time of the process; `None` if the worker did not report one.
     pub started_at: Option<Millis>,
 }
 
 impl Incarnation {
-    /// Whether both are surely not the same life.
+    /// Whether the two are known to be different incarnations. False if they have the same id and a start
+    /// time is unknown.
     pub fn differs_from(&self, other: &Self) -> bool {
         self.id != other.id || start_times_differ(self.started_at, other.started_at)
     }
 }
 
-/// Whether two processes surely started at different times.
+/// Whether both start times are known and different.
 pub fn start_times_differ(one: Option<Millis>, other: Option<Millis>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
@@ -45,7 +46,7 @@
     }
 }
 
-/// Records of versions that knew no starts have the id alone.
+/// Records of versions that didn't store start times hold the id alone.
 impl From<Name> for Incarnation {
     fn from(text: Name) -> Self {
         let parts = text.rsplit_once('@').and_then(|(id, start)| Some((id, start.parse().ok()?)));
@@ -56,133 +57,133 @@
     }
 }
 
-/// A worker as it lists itself.
+/// A worker's entry in the platform's list of workers, as the worker registered it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerInfo {
-    /// Its id. A restarted worker may keep it.
+    /// Worker id. A restarted worker may keep it.
     pub id: Name,
-    /// When its process started, by its time of day: tells two lives with one id apart.
+    /// Start time of its process by its wall clock; distinguishes two incarnations with the same id.
     pub started_at: Option<Millis>,
-    /// The service it belongs to.
+    /// Service that the worker belongs to.
     pub service: Name,
-    /// Where it is called.
+    /// Address of the worker's API.
     pub addr: Name,
-    /// Its failure domain.
+    /// Failure domain that the worker runs in.
     pub domain: Name,
-    /// Its room.
+    /// Total resources that the worker offers to tasks.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Labels: the worker's kind first, then its rack.
     pub labels: Vec<Name>,
-    /// It takes nothing new: the least time until it leaves.
+    /// Set while the worker is draining and accepts no new tasks: the minimum time until it exits.
     pub leaves_in: Option<Millis>,
 }
 
 impl WorkerInfo {
-    /// The life that lists itself.
+    /// The incarnation that registered this entry.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), started_at: self.started_at }
     }
 
-    /// Its rack: the second of its labels.
+    /// The worker's rack, which is the second label.
     pub fn rack(&self) -> Option<&Name> {
         self.labels.get(1)
     }
 }
 
-/// How a run of a task ended.
+/// Why a run of a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndReason {
-    /// As it should.
+    /// The task completed.
     Done,
-    /// By its own fault or the worker's.
+    /// The task failed, through its own fault or the worker's.
     Failed,
-    /// It was told to.
+    /// The worker received an order to stop the run.
     Stopped,
-    /// Its lease ran out.
+    /// The run's lease expired.
     LeaseExpired,
-    /// Another member of its gang ended.
+    /// Another task of the gang ended.
     GangBroken,
-    /// The other members of its gang did not come in time.
+    /// The other tasks of the gang did not start in time.
     GangIncomplete,
 }
 
-/// A run that goes on.
+/// A run in progress, as the worker reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunningTask {
     /// The task.
     pub task: TaskKey,
     /// The number of its start.
     pub run: u64,
-    /// Its saved progress; empty: none.
+    /// Latest checkpoint; empty if there is none.
     pub checkpoint: Name,
-    /// The share at which it may work, in hundredths.
+    /// Pace at which the run may work, in percent of full speed.
     pub pace_percent: u32,
-    /// For a task that serves, the tail of its answers in milliseconds; else the processors in
-    /// use, in thousandths of a core. Absent in the first half second.
+    /// For a serving task its tail latency in milliseconds, for other tasks their CPU usage in
+    /// thousandths of a core. Absent in the first half second of a run.
     pub gauge: Option<f64>,
 }
 
-/// A run that ended.
+/// A run that has ended, as the worker reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndedTask {
-    /// Rises from 1 within a worker's life.
+    /// Sequence number, counted from 1 within a worker's incarnation.
     pub seq: u64,
     /// The task.
     pub task: TaskKey,
     /// The number of its start.
     pub run: u64,
-    /// How.
+    /// Why the run ended.
     pub reason: EndReason,
-    /// Its saved progress; empty: none.
+    /// Last checkpoint; empty if there is none.
     pub checkpoint: Name,
 }
 
-/// What a worker tells of itself.
+/// A worker's report of its running tasks and of those that ended.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkerReport {
-    /// When the process that reports started.
+    /// Start time of the reporting process.
     pub started_at: Option<Millis>,
-    /// The worker's own clock.
+    /// Reading of the worker's own clock, in milliseconds.
     pub clock: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunningTask>,
-    /// What ended and was not yet confirmed, in order.
+    /// Ended runs that the owner has not yet confirmed, in order of their sequence numbers.
     pub ended: Vec<EndedTask>,
 }
 
-/// Why an order was not followed.
+/// Why a worker refused an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// A higher fence was seen.
+    /// The worker has seen a higher fencing token.
     StaleFence,
-    /// A run that is not lower was stopped or ended there.
+    /// A run of this task with the same or a higher number was already stopped, or ended, at the worker.
     StaleRun,
-    /// The lease in the order had run out.
+    /// The lease in the order had expired.
     LeaseExpired,
-    /// No room.
+    /// The worker lacks free resources for the task.
     NoCapacity,
-    /// The ticket does not hold.
+    /// The advice service's ticket is not valid.
     InvalidTicket,
-    /// The worker is unwell and did nothing.
+    /// The worker is unhealthy and did not process the order.
     Unhealthy,
-    /// Another life is at this address: the one that was meant is over.
+    /// Another incarnation uses this address: the addressed one has ended.
     OtherIncarnation,
-    /// The order is malformed, or names what the worker does not know.
+    /// The order is malformed, or refers to something unknown to the worker.
     Malformed,
 }
 
-/// What became of an order.
+/// The outcome of an order, as far as its sender knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It was followed; the worker's clock if it told.
+    /// The worker carried it out; holds the worker's clock reading if the reply had one.
     Done(Option<u64>),
-    /// It was not followed, and won't be.
+    /// The worker refused it and will not carry it out.
     Refused(Refusal),
-    /// Nothing was sent: the worker could not be reached.
+    /// Not sent, because no connection to the worker could be made.
     Unsent,
-    /// Nothing was sent: what the order rested on was too old.
+    /// Not sent, because the state that the order was based on was too old.
     Withheld,
-    /// It may have been followed, or may be later.
+    /// Unknown: the worker may have carried it out, or may do so later.
     Unknown,
 }
 
@@ -193,28 +194,28 @@
     pub task: TaskKey,
     /// The number of the start.
     pub run: u64,
-    /// The job's text.
+    /// The job's payload, which the task is started with.
     pub payload: Name,
-    /// Saved progress to go on from; empty: none.
+    /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: Name,
-    /// The advice service's ticket; empty: none.
+    /// Ticket of the advice service; empty if the queue needs none.
     pub ticket: Name,
 }
 
-/// Why a worker's report could not be had.
+/// Why a request for a worker's report failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportError {
-    /// The worker refused.
+    /// The worker refused the request.
     Refused(Refusal),
-    /// No answer, or one that cannot be read.
+    /// No reply, or one that can't be parsed.
     NoReply(String),
 }
 
-/// The workers that the advice service cleared for a step.
+/// The workers that the advice service has approved for a step.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClearedWorkers {
-    /// Workers and their tickets.
+    /// Approved workers, each with its ticket.
     pub tickets: Vec<(Name, Name)>,
-    /// How long the tickets hold, if the service says.
+    /// Validity of the tickets, if the service states it.
     pub valid_for: Option<Millis>,
 }
--- a/src/size.rs
+++ b/src/size.rs
@@ -1,35 +1,35 @@
-//! Amounts of a worker's resources.
+//! Resource amounts of workers and tasks.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Processors, memory and accelerators.
+/// An amount of CPU, memory and accelerators.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Processors, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu: u32,
     /// Memory, in MB.
     pub mem: u32,
-    /// Accelerators, whole.
+    /// Number of accelerators.
     #[serde(default)]
     pub acc: u32,
 }
 
 impl Size {
-    /// A size from cores in thousandths, MB and whole accelerators.
+    /// Creates a size from thousandths of a core, MB and a number of accelerators.
     pub const fn new(cpu: u32, mem: u32, acc: u32) -> Self {
         Self { cpu, mem, acc }
     }
 
-    /// Whether `self` has room for `need` in every dimension.
+    /// Whether `need` fits into `self` in every dimension.
     pub fn can_fit(&self, need: &Self) -> bool {
         need.cpu <= self.cpu && need.mem <= self.mem && need.acc <= self.acc
     }
 
-    /// `self + other`, or `None` on overflow.
+    /// Adds `other`; `None` on overflow.
     pub fn checked_add(&self, other: &Self) -> Option<Self> {
         Some(Self {
             cpu: self.cpu.checked_add(other.cpu)?,
@@ -38,7 +38,7 @@
         })
     }
 
-    /// `self - other`, zero in a dimension where `other` is larger.
+    /// Subtracts `other`, stopping at zero in each dimension.
     pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The larger of each dimension.
+    /// The larger value in each dimension.
     pub fn component_max(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
@@ -56,13 +56,13 @@
         }
     }
 
-    /// How many times `need` fits into `self`; a need of nothing fits without limit.
+    /// How many copies of `need` fit into `self`; `u32::MAX` if `need` is zero.
     pub fn max_copies(&self, need: &Self) -> u32 {
         let per = |have: u32, want: u32| have.checked_div(want).unwrap_or(u32::MAX);
         per(self.cpu, need.cpu).min(per(self.mem, need.mem)).min(per(self.acc, need.acc))
     }
 
-    /// The largest used share of `self` over the dimensions, in thousandths, if `used` is taken.
+    /// Dominant share: the largest fraction of `self` that `used` takes in any dimension, in thousandths.
     pub fn dominant_share(&self, used: &Self) -> u32 {
         let part = |used: u32, all: u32| (used as u64 * 1000).checked_div(all as u64).unwrap_or(0);
         part(used.cpu, self.cpu).max(part(used.mem, self.mem)).max(part(used.acc, self.acc)) as u32
--- a/src/workload.rs
+++ b/src/workload.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: jobs made of steps of equal tasks, and the queues that they go to.
+//! Job definitions: jobs consist of steps, steps of identical tasks, and every job goes to a queue.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -7,22 +7,22 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The largest text that a job may carry for its tasks, in bytes; from the platform's contract.
+/// Maximum size of a job's payload, in bytes; set by the platform's contract.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
-/// The most tasks of one job over all its steps and times; bounds what one caller can make an
-/// owner hold (about 100 bytes a task).
+/// Maximum number of tasks of one job over all steps and repetitions. Limits the memory that one
+/// caller can make an owner use (about 100 bytes for each task).
 pub const MAX_TASKS: u64 = 100_000;
-/// How many characters a job's key has.
+/// Length of a job key, in hexadecimal digits.
 const JOB_KEY_DIGITS: usize = 16;
 
-/// A job's key, chosen by its caller: the same key is the same job.
+/// A job's key, chosen by the caller. Submitting the same key again refers to the same job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobKey(pub u64);
 
-/// A text is not a job's key or not a task's name.
+/// A text is neither a job key nor a task key.
 #[derive(Debug, Error, PartialEq)]
-#[error("{0:?} is not 16 hexadecimal digits, or not the name of a task")]
+#[error("{0:?} is neither a job key of 16 hexadecimal digits nor a task key")]
 pub struct ParseKeyError(pub String);
 
 impl fmt::Display for JobKey {
@@ -44,14 +44,14 @@
     }
 }
 
-/// One step of one repetition of a job.
+/// Identifies one step in one repetition of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepKey {
     /// The job.
     pub job: JobKey,
-    /// Which repetition, from 0.
+    /// Index of the repetition, from 0.
     pub repetition: u32,
-    /// Which step, from 0.
+    /// Index of the step, from 0.
     pub step: u16,
 }
 
@@ -61,12 +61,12 @@
     }
 }
 
-/// A task of a step.
+/// Identifies one task of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
-    /// Its step.
+    /// The task's step.
     pub step: StepKey,
-    /// Its place in the step, from 0.
+    /// Index of the task in its step, from 0.
     pub index: u32,
 }
 
@@ -94,10 +94,10 @@
     }
 }
 
-/// Room at a worker or wanted by a task.
+/// Amounts of a worker's resources, offered by a worker or requested for a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processors, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu: u64,
     /// Memory, in megabytes.
     pub mem: u64,
@@ -106,18 +106,18 @@
 }
 
 impl Resources {
-    /// More than any worker has, and little enough to be added up.
+    /// Stands for an unknown request: more than any worker has, and small enough to be summed without overflow.
     pub const UNKNOWN: Self = Self { cpu: 1 << 32, mem: 1 << 32, gpu: 1 << 32 };
 
-    /// No bound: more than all workers have, and little enough to be added up.
+    /// No limit: more than all workers have together, and small enough to be summed without overflow.
     pub const UNLIMITED: Self = Self { cpu: u64::MAX / 4, mem: u64::MAX / 4, gpu: u64::MAX / 4 };
 
-    /// Whether `other` fits into this room.
+    /// Whether these resources are enough for `other` in every dimension.
     pub fn can_fit(&self, other: &Self) -> bool {
         self.cpu >= other.cpu && self.mem >= other.mem && self.gpu >= other.gpu
     }
 
-    /// This room without `other`, never below zero.
+    /// Subtracts `other`, stopping at zero in each dimension.
     pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -126,56 +126,56 @@
         }
     }
 
-    /// This room and `other`.
+    /// Adds `other`.
     pub fn plus(&self, other: &Self) -> Self {
         Self { cpu: self.cpu + other.cpu, mem: self.mem + other.mem, gpu: self.gpu + other.gpu }
     }
 }
 
-/// Equal tasks of a job.
+/// A step of a job: a number of identical tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each asks for.
+    /// Resources requested for each task.
     pub resources: Resources,
-    /// The caller's guess of a task's run time; often far off.
+    /// The caller's estimate of a task's run time; often inaccurate.
     pub estimate: Millis,
-    /// Earlier steps that must be done first.
+    /// Indices of earlier steps that must be completed first.
     pub dependencies: Vec<u16>,
-    /// The tasks work only together: all are started, and end, as one.
+    /// Gang scheduling: the tasks work only together, so all are started together and end together.
     pub is_gang: bool,
-    /// A gang is slower if it stands on more than one rack.
+    /// The gang runs slower if it is spread over several racks.
     pub same_rack: bool,
-    /// A label that the worker must have; empty: any worker.
+    /// Label that a worker must have; empty if any worker will do.
     pub required_label: Name,
-    /// The rack that holds the data; empty: none.
+    /// Rack that holds the input data; empty if there is none.
     pub data_rack: Name,
-    /// The most tasks of this step on one worker; 0: any number.
+    /// Maximum number of tasks of this step on one worker; 0 for no limit.
     pub worker_limit: u32,
-    /// Copies of a task may run side by side.
+    /// Several copies of a task may run at the same time.
     pub allow_copies: bool,
-    /// The tasks save their progress and can go on from it.
+    /// The tasks write checkpoints and can resume from them.
     pub has_checkpoints: bool,
     /// The tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of the same image are expected to behave alike.
     pub image: Name,
-    /// The bound on the tail of a serving task's answers; 0: it serves nobody.
+    /// Upper bound for a serving task's tail latency; 0 if the tasks serve no requests.
     pub latency_bound: Millis,
-    /// The tasks take processors that others leave unused, and none of their own.
+    /// The tasks use only CPU that other tasks leave idle, and reserve none.
     pub best_effort: bool,
-    /// How many tasks of a lasting step may be away at once by our doing.
+    /// Maximum number of tasks of a long-running step that the scheduler may take down at the same time.
     pub max_unavailable: u32,
 }
 
 impl Step {
-    /// Whether its tasks can be stopped for more urgent ones with little work lost.
+    /// Whether its tasks can be preempted by more urgent ones with little loss of work.
     pub fn is_preemptible(&self) -> bool {
         self.has_checkpoints && !self.long_running && !self.is_gang && !self.best_effort
     }
 
-    /// The room that a task is charged at its worker.
+    /// Resources that a task reserves at its worker; a best-effort task reserves no CPU.
     pub fn charged_resources(&self) -> Resources {
         match self.best_effort {
             true => Resources { cpu: 0, ..self.resources },
@@ -184,46 +184,46 @@
     }
 }
 
-/// What a caller submits.
+/// A job as its caller submits it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobDefinition {
-    /// The text that tasks are started with.
+    /// Text that the tasks are started with.
     pub payload: Name,
-    /// The steps, each after the ones it depends on.
+    /// The steps in topological order: each one comes after its dependencies.
     pub steps: Vec<Step>,
-    /// How many times the steps run, at least 1.
+    /// How often the steps run, at least 1.
     pub repetitions: u32,
-    /// When the first time is due, on the wall clock; 0: at once.
+    /// Wall-clock time at which the first repetition is due; 0 for at once.
     pub first_due: Millis,
-    /// The time between due times.
+    /// Time from one repetition's due time to the next.
     pub interval: Millis,
 }
 
-/// Why a job is refused for good.
+/// Why a job definition is invalid; submitting it again has the same result.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum JobDefinitionError {
-    /// No step.
+    /// The job has no steps.
     #[error("a job needs at least one step")]
     NoSteps,
-    /// The text for the tasks is too long.
-    #[error("the text for tasks has {0} bytes, and at most {MAX_PAYLOAD_BYTES} are taken")]
+    /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
+    #[error("the payload for tasks has {0} bytes; the maximum is {MAX_PAYLOAD_BYTES}")]
     PayloadTooLong(usize),
-    /// A step without tasks.
+    /// A step has no tasks.
     #[error("step {0} has no tasks")]
     EmptyStep(usize),
-    /// A step depends on itself or on a later one.
-    #[error("step {0} depends on step {1}, which is not before it")]
+    /// A step depends on itself or on a later step.
+    #[error("step {0} depends on step {1}, which is not an earlier step")]
     DependencyOrder(usize, u16),
-    /// Too many tasks.
-    #[error("the job has {0} tasks, and at most {MAX_TASKS} are taken")]
+    /// The job has more than [`MAX_TASKS`] tasks.
+    #[error("the job has {0} tasks; the maximum is {MAX_TASKS}")]
     TooManyTasks(u64),
 }
 
 impl JobDefinition {
-    /// Checks what must hold whatever the workers are.
+    /// Checks the rules that don't depend on the available workers.
     ///
     /// # Errors
-    /// The first fault found.
+    /// The first violated rule.
     pub fn validate(&self) -> Result<(), JobDefinitionError> {
         if self.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(JobDefinitionError::PayloadTooLong(self.payload.len()));
@@ -246,14 +246,14 @@
         }
     }
 
-    /// When repetition `time` is due on the wall clock.
+    /// Wall-clock time at which a repetition is due.
     pub fn due_at(&self, repetition: u32) -> Millis {
         Millis(
             self.first_due.0.saturating_add(self.interval.0.saturating_mul(u64::from(repetition))),
         )
     }
 
-    /// The estimated length of the longest chain of dependent steps.
+    /// Estimated run time of the critical path, the longest chain of dependent steps.
     pub fn critical_path(&self) -> Millis {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -264,38 +264,39 @@
     }
 }
 
-/// How workers for a queue's steps are cleared by the advice service.
+/// How the advice service approves workers for a queue's steps, and what a request costs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AdviceConfig {
-    /// The fixed part of an answer's time.
+    /// Fixed part of the time that the service takes to reply.
     pub base_latency: Millis,
-    /// The part for each worker named, in microseconds.
+    /// Additional reply time for each worker in the request, in microseconds.
     pub worker_micros: u64,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub ticket_validity: Millis,
 }
 
-/// A queue: a row of the policy in force.
+/// A queue of the active policy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: Name,
-    /// The service whose workers run its tasks.
+    /// Service whose workers run the queue's tasks.
     pub service: Name,
-    /// 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// How often a task may fail.
+    /// Maximum number of attempts for a task.
     pub max_attempts: u32,
-    /// The objective of a job is this times its longest chain, in thousandths, and `target`.
+    /// Factor for a job's critical path, in thousandths: the objective is `stretch` times the critical path
+    /// plus `target`.
     pub stretch: u64,
-    /// The fixed part of a job's objective.
+    /// Fixed part of a job's objective.
     pub target: Millis,
-    /// Whether and how workers must be cleared first.
+    /// Set if the advice service must approve workers before tasks are placed on them.
     pub advice: Option<AdviceConfig>,
 }
 
 impl Queue {
-    /// The time within which a job counts in full, by its own estimates.
+    /// Time within which a job must finish to be credited in full, from its own run time estimates.
     pub fn objective(&self, definition: &JobDefinition) -> Millis {
         Millis(definition.critical_path().0.saturating_mul(self.stretch) / 1_000) + self.target
     }
--- a/src/workspace.rs
+++ b/src/workspace.rs
@@ -1,29 +1,29 @@
-//! Workspaces: the teams that callers belong to, each with keys, a share, and a bound on what it runs.
+//! Workspaces: the customers that callers belong to, each with API keys, a fair share and a resource limit.
 
 use crate::id::Name;
 use crate::workload::Resources;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A workspace: a row of the policy in force.
+/// A workspace of the active policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: Name,
-    /// Its share when everything is full, as jobs a second.
+    /// Fair share of the workspace under full load, in jobs per second.
     pub weight: u32,
-    /// The most that it may have running over all workers.
+    /// Maximum resources of its running tasks over all workers.
     pub limit: Resources,
 }
 
 impl Workspace {
-    /// Whether there is a bound on what it has running.
+    /// Whether the resources of its running tasks are limited.
     pub fn is_bounded(&self) -> bool {
         self.limit != Resources::UNLIMITED
     }
 }
 
-/// Workspaces, by what they are asked for.
+/// The workspaces of a policy, indexed by name and by API key.
 #[derive(Debug, Clone, Default)]
 pub struct Workspaces {
     by_name: HashMap<Name, Arc<Workspace>>,
@@ -31,29 +31,29 @@
 }
 
 impl Workspaces {
-    /// Adds a workspace with its callers' keys.
+    /// Adds a workspace with the API keys of its callers.
     pub fn add(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = Name>) {
         let workspace = Arc::new(workspace);
         self.by_api_key.extend(keys.into_iter().map(|key| (key, workspace.clone())));
         self.by_name.insert(workspace.name.clone(), workspace);
     }
 
-    /// The workspace of a caller's key.
+    /// Returns the workspace that an API key belongs to.
     pub fn by_api_key(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.by_api_key.get(key)
     }
 
-    /// A workspace by its name.
+    /// Returns the workspace with a name.
     pub fn get(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.by_name.get(name)
     }
 
-    /// How many there are.
+    /// Number of workspaces.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no workspaces.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
