--- a/src/cmd/client.rs
+++ b/src/cmd/client.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry's administration API.
+//! HTTP client of an entry's administration API, and printing of its JSON responses.
 
 use crate::clock::Millis;
 use crate::cmd::RefusedError;
@@ -12,10 +12,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// How long a call may take.
+/// Timeout of one API call.
 const CALL_TIMEOUT: Millis = Millis(15_000);
 
-/// Which entry to call, and as whom.
+/// The entry to call and the token to call it with.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Target {
     /// Address of an entry
@@ -26,19 +26,22 @@
     token: String,
 }
 
-/// A client for one command.
+/// API client for the run of one command.
 pub struct Client {
     target: Target,
     http: HttpClient,
 }
 
 impl Client {
-    /// A client of `target`.
+    /// Creates a client that calls `target`.
     pub fn new(target: Target) -> Self {
         Self { target, http: HttpClient::default() }
     }
 
-    /// Calls the API and returns its JSON answer.
+    /// Calls the API and returns the JSON body of its response; `key` is the idempotency key.
+    ///
+    /// # Errors
+    /// The entry can't be reached, or answers with an error status: then a [`RefusedError`].
     pub async fn call(
         &self,
         method: Method,
@@ -58,7 +61,7 @@
         }
         let request = builder.body(Full::from(Bytes::from(body)))?;
         let answer =
-            self.http.send(&addr, request, CALL_TIMEOUT).await.context("cannot ask the entry")?;
+            self.http.send(&addr, request, CALL_TIMEOUT).await.context("cannot reach the entry")?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let value: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
         match answer.status.is_success() {
@@ -67,13 +70,13 @@
         }
     }
 
-    /// Gets a JSON answer.
+    /// Sends a GET request and returns the JSON body of the response.
     pub async fn get(&self, path: &str) -> Result<Value> {
         self.call(Method::GET, path, "application/json", None, String::new()).await
     }
 }
 
-/// A refusal in words.
+/// Describes an error response in one line.
 fn describe_refusal(status: u16, problem: &Value) -> String {
     let field = |name: &str| match problem.get(name) {
         Some(Value::String(text)) => format!(" {name}={text}"),
@@ -85,7 +88,7 @@
     format!("refused: status={status}{fields_text}")
 }
 
-/// Prints a value as JSON, or as one line of key=value pairs for each object.
+/// Prints a value as JSON, or as a line of key=value pairs for each object.
 pub fn print_value(value: &Value, json: bool) -> Result<()> {
     if json {
         println!("{}", serde_json::to_string_pretty(value)?);
@@ -98,7 +101,7 @@
     Ok(())
 }
 
-/// One line of key=value pairs.
+/// Formats an object as one line of key=value pairs.
 pub fn format_line(value: &Value) -> String {
     let Value::Object(fields) = value else { return value.to_string() };
     let pair = |(key, value): (&String, &Value)| match value {
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a whole small cell in one process.
+//! `demo`: runs a small but complete cell in one process.
 
 use crate::clock::Millis;
 use crate::cmd::{Run, runtime, start_log};
@@ -7,10 +7,10 @@
 use bpaf::Bpaf;
 use simplelog::LevelFilter;
 
-/// What `demo` takes.
+/// Arguments of `demo`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct DemoArgs {
-    /// How long callers and jobs come, in seconds
+    /// How long requests and jobs are submitted, in seconds
     #[bpaf(argument("S"), fallback(10), display_fallback)]
     seconds: u64,
 }
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: begins the planned stop of an entry.
+//! `drain`: starts the planned shutdown of an entry.
 
 use crate::cmd::client::{Client, Target, target};
 use crate::cmd::{Run, runtime};
@@ -6,7 +6,7 @@
 use bpaf::Bpaf;
 use hyper::Method;
 
-/// What `drain` takes.
+/// Arguments of `drain`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct DrainArgs {
     #[bpaf(external)]
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -1,4 +1,4 @@
-//! `entry`: runs an entry.
+//! `entry`: runs an entry of a cell.
 
 use crate::cmd::{RefusedError, Run, runtime, start_log};
 use crate::entry::Entry;
@@ -10,7 +10,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// What `entry` takes.
+/// Arguments of `entry`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct EntryArgs {
     /// Settings file, JSON with comments
@@ -34,20 +34,20 @@
     }
 }
 
-/// Serves until a planned stop is done: the first SIGTERM or SIGINT, or a drain, begins one. A
-/// second signal ends the entry at once, with requests in flight.
+/// Serves until a planned shutdown is complete, which the first SIGTERM or SIGINT or a call of the drain API
+/// starts. A second signal ends the entry at once and drops requests in flight.
 async fn serve(settings: Settings) -> Result<()> {
     let (entry, listener) = Entry::bind(settings).await?;
     let signals = count_signals()?;
     let run = entry.clone().run(listener, planned_stop_done(entry, signals.clone()));
     tokio::select! {
         result = run => result?,
-        () = wait_for_signals(signals, 2) => log::warn!("event=stopped-at-once"),
+        () = wait_for_signals(signals, 2) => log::warn!("event=shutdown-aborted-by-signal"),
     }
     Ok(())
 }
 
-/// Counts SIGTERM and SIGINT.
+/// Counts received SIGTERM and SIGINT signals.
 fn count_signals() -> Result<watch::Receiver<u32>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -68,7 +68,7 @@
     let _ = signals.wait_for(|count| *count >= min_count).await;
 }
 
-/// Ready when the planned stop that a signal or a drain began is done.
+/// Completes when the planned shutdown is complete that a signal or a drain started.
 async fn planned_stop_done(entry: Arc<Entry>, signals: watch::Receiver<u32>) {
     tokio::select! {
         () = wait_for_signals(signals, 1) => entry.stop().await,
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: from log lines to what steps waited for.
+//! `explain`: reads log lines and sums up what steps waited for, and for how long.
 
 use crate::cmd::Run;
 use anyhow::{Context, Result};
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use std::io::BufRead;
 
-/// What `explain` takes.
+/// Arguments of `explain`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct ExplainArgs {
     /// Only steps of this job
@@ -31,28 +31,28 @@
     }
 }
 
-/// The value of a key in a log line.
+/// Returns the value of a key in a log line.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Where numbers of lines leap, in logs that follow each other process by process.
+/// Counts missing log lines by gaps in the line numbers. The logs of several processes must come one after the other.
 #[derive(Debug, Default)]
 pub struct MissingLines {
     last_number: Option<u64>,
-    /// Lines that are missing.
+    /// Number of missing lines.
     pub lines: u64,
-    /// How often lines are missing.
+    /// Number of gaps in the line numbers.
     pub gaps: u64,
 }
 
 impl MissingLines {
-    /// Takes in one line.
+    /// Adds one log line.
     pub fn add(&mut self, line: &str) {
         let Some(number) = field(line, "line").and_then(|text| text.parse::<u64>().ok()) else {
             return;
         };
-        // A lower number is the first of another process.
+        // A lower number than the last one starts the log of another process.
         let skipped = self.last_number.map_or(0, |last| number.saturating_sub(last + 1));
         self.lines += skipped;
         self.gaps += u64::from(skipped > 0);
@@ -60,14 +60,14 @@
     }
 }
 
-/// How long steps waited, by queue and reason.
+/// Waiting times of steps in milliseconds, by queue and reason.
 #[derive(Debug, Default)]
 pub struct WaitTimes {
     rows: BTreeMap<(String, String), Vec<u64>>,
 }
 
 impl WaitTimes {
-    /// Takes in one line of a log, if it tells of a wait, and of `job` if one is wanted.
+    /// Adds one log line if it is about a wait, and about `job` if that is set.
     pub fn add(&mut self, line: &str, job: Option<&str>) {
         let field = |name: &str| field(line, name);
         let of_job = |step: &str| job.is_none_or(|job| step.starts_with(job));
@@ -76,15 +76,15 @@
             return;
         }
         let (Some(queue), Some(reason)) = (field("queue"), field("for")) else { return };
-        // A line that was cut off has no length of time that could be added.
+        // A truncated line may lack the waiting time.
         let Some(ms) = field("ms").and_then(|ms| ms.parse().ok()) else { return };
         self.rows.entry((queue.to_string(), reason.to_string())).or_default().push(ms);
     }
 
-    /// A row for each queue and reason: how many waits, the sum, the median, one in ten, the longest.
+    /// Formats a table with a row for each queue and reason: number of waits, total, median, 90th percentile, maximum.
     pub fn table(&mut self) -> String {
         let mut text = String::new();
-        let headings = ["queue", "waited for", "waits", "sum s", "median ms", "90 % ms", "most ms"];
+        let headings = ["queue", "waited for", "waits", "total s", "median ms", "p90 ms", "max ms"];
         let [queue, reason, rest @ ..] = headings;
         let rest: String = rest.iter().map(|name| format!("{name:>11}")).collect();
         text.push_str(&format!("{queue:<24}{reason:<14}{rest}\n"));
@@ -102,7 +102,7 @@
             ];
             let figures: String =
                 figures.into_iter().flatten().map(|figure| format!("{figure:>11}")).collect();
-            // Writing to a string does not fail.
+            // Writing to a string doesn't fail.
             if writeln!(text, "{queue:<24}{reason:<14}{figures}").is_err() {
                 break;
             }
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -1,4 +1,4 @@
-//! `job`: submits, shows, withdraws and lists jobs.
+//! `job`: submits, shows, cancels and lists jobs.
 
 use crate::cmd::client::{Client, Target, print_value, target};
 use crate::cmd::{Run, runtime};
@@ -7,23 +7,23 @@
 use hyper::Method;
 use serde_json::json;
 
-/// What to do with jobs.
+/// Subcommands of `job`.
 #[derive(Debug, Clone, Bpaf)]
 pub enum JobArgs {
-    /// Submits a job and prints its id and where it is kept
+    /// Submits a job and prints its id and where it is stored
     #[bpaf(command)]
     Submit {
         #[bpaf(external)]
         target: Target,
-        /// The kind of work: a row of the table
+        /// Kind of work: a row of the table
         #[bpaf(argument("KIND"))]
         kind: String,
-        /// How many tasks
+        /// Number of tasks
         #[bpaf(argument("N"), fallback(1), display_fallback)]
         tasks: u32,
-        /// All tasks must run at once
+        /// Run all tasks at the same time or none
         gang: bool,
-        /// Processors of a task, in thousandths of a core
+        /// CPU of a task, in thousandths of a core
         #[bpaf(argument("N"))]
         cpu: u32,
         /// Memory of a task, in MB
@@ -35,9 +35,9 @@
         /// Declared run time of a task, in milliseconds; 0 for a service
         #[bpaf(argument("MS"), fallback(0), display_fallback)]
         run: u64,
-        /// A task must not be started again once it was started
+        /// Never start a task again once it was started
         once: bool,
-        /// Idempotency key: the same key gives the same job
+        /// Idempotency key: submitting again with the same key returns the same job
         #[bpaf(argument("KEY"))]
         key: Option<String>,
         /// Print the answer as JSON
@@ -54,7 +54,7 @@
         #[bpaf(positional("JOB"))]
         job: String,
     },
-    /// Withdraws a job
+    /// Cancels a job
     #[bpaf(command)]
     Cancel {
         #[bpaf(external)]
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: makes keys between entries.
+//! `keys`: creates the certificates and private keys with which entries authenticate each other.
 
 use crate::cmd::Run;
 use crate::wire::keys::Authority;
@@ -7,19 +7,19 @@
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
-/// The part of the output that holds the authority.
+/// Name of the output's field that holds the certificate authority.
 const AUTHORITY_FIELD: &str = "authority";
 
-/// What `keys` takes.
+/// Arguments of `keys`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct KeysArgs {
-    /// The cell's name
+    /// Name of the cell
     #[bpaf(argument("NAME"), fallback("cell".to_string()), display_fallback)]
     cell: String,
-    /// Output of an earlier call: its authority is used again
+    /// Output of an earlier call, whose certificate authority is reused
     #[bpaf(argument("FILE"))]
     authority: Option<PathBuf>,
-    /// Names of entries
+    /// Names of the entries
     #[bpaf(positional("ENTRY"), some("at least one entry"))]
     entries: Vec<String>,
 }
@@ -51,7 +51,8 @@
 fn load_authority(path: &Path) -> Result<Authority> {
     let text = std::fs::read_to_string(path);
     let text = text.with_context(|| format!("cannot read {}", path.display()))?;
-    let output: Value = serde_json::from_str(&text).context("not the output of keys")?;
+    let output: Value =
+        serde_json::from_str(&text).context("the file is not the output of `sprucerudder keys`")?;
     let part = |name: &str| {
         let text = output[AUTHORITY_FIELD][name].as_str();
         text.with_context(|| format!("no authority.{name} in {}", path.display()))
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands of the command line, one file each.
 
 mod client;
 mod demo;
@@ -23,10 +23,10 @@
 
 /// Runs a subcommand.
 pub trait Run {
-    /// Does its whole work.
+    /// Runs the subcommand to its end.
     ///
     /// # Errors
-    /// With context for people; [`RefusedError`] marks an answer of no.
+    /// An error with context for the user. A [`RefusedError`] sets the exit code for a refusal.
     fn run(self) -> Result<()>;
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Runs an entry until SIGTERM; a second one stops it at once
+    /// Runs an entry until SIGTERM; a second SIGTERM stops it at once
     ///
     ///
     /// Example: sprucerudder entry --settings nasr-1.jsonc
@@ -49,13 +49,13 @@
     /// Example: sprucerudder node --settings local.toml
     #[bpaf(command)]
     Node(#[bpaf(external(node::node_args))] node::NodeArgs),
-    /// Runs a small stand-in for a system that is not ours, for trials and tests
+    /// Runs a small stand-in for an external system, for trials and tests
     ///
     ///
     /// Example: sprucerudder standin worker --listen 127.0.0.1:9001 --name w1 --cpu 16000 --mem 32000
     #[bpaf(command)]
     Standin(#[bpaf(external(standin::standin_args))] standin::StandinArgs),
-    /// Runs a whole small cell in this process and reports waits, packing and control cost
+    /// Runs a small cell in this process and reports waiting times, packing and control cost
     ///
     ///
     /// Example: sprucerudder demo
@@ -67,7 +67,7 @@
     /// Example: sprucerudder table check desk.csv
     #[bpaf(command)]
     Table(#[bpaf(external(table::table_args))] table::TableArgs),
-    /// Submits, shows, withdraws and lists jobs
+    /// Submits, shows, cancels and lists jobs
     ///
     ///
     /// Example: sprucerudder job submit --kind build --cpu 2000 --mem 1000 --run 5000
@@ -79,25 +79,25 @@
     /// Example: sprucerudder status --addr 127.0.0.1:7001
     #[bpaf(command)]
     Status(#[bpaf(external(status::status_args))] status::StatusArgs),
-    /// Begins the planned stop of an entry, so that its VM can be replaced
+    /// Starts the planned shutdown of an entry, so that its VM can be replaced
     ///
     ///
     /// Example: sprucerudder drain --addr 127.0.0.1:7001
     #[bpaf(command)]
     Drain(#[bpaf(external(drain::drain_args))] drain::DrainArgs),
-    /// Shows the time line of several processes, in one order, and checks it
+    /// Shows the merged timeline of several processes and checks it
     ///
     ///
     /// Example: sprucerudder timeline --check 127.0.0.1:7001 127.0.0.1:9001
     #[bpaf(command)]
     Timeline(#[bpaf(external(timeline::timeline_args))] timeline::TimelineArgs),
-    /// Tells from log lines on standard input what steps waited for, by queue
+    /// Sums up from log lines on standard input what steps waited for, by queue
     ///
     ///
     /// Example: sprucerudder explain --job 27e4a95938c85eee < entry.log
     #[bpaf(command)]
     Explain(#[bpaf(external(explain::explain_args))] explain::ExplainArgs),
-    /// Makes a certificate authority and keys for entries, as parts of their settings
+    /// Creates a certificate authority and keys for entries, as parts of their settings
     ///
     ///
     /// Example: sprucerudder keys --cell delta nasr-1 nasr-2
@@ -108,7 +108,7 @@
     Settings(#[bpaf(external(settings::settings_args))] settings::SettingsArgs),
 }
 
-/// The command line's parser.
+/// Returns the parser of the command line.
 pub fn options() -> OptionParser<Command> {
     command()
 }
@@ -132,7 +132,7 @@
     }
 }
 
-/// An answer of no: the system refused, or a check found faults.
+/// The system refused a request, or a check found faults.
 #[derive(Debug)]
 pub struct RefusedError(pub String);
 
@@ -144,10 +144,10 @@
 
 impl std::error::Error for RefusedError {}
 
-/// The exit code of a refusal.
+/// Exit code for a [`RefusedError`].
 const REFUSED_EXIT_CODE: u8 = 3;
 
-/// Says what went wrong and returns the exit code for it.
+/// Prints an error and returns its exit code.
 pub fn report(err: &anyhow::Error) -> ExitCode {
     eprintln!("sprucerudder: {err:#}");
     match err.is::<RefusedError>() {
@@ -156,10 +156,10 @@
     }
 }
 
-/// The exit code of a wrong use.
+/// Exit code for wrong usage of the command line.
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// Prints the help that was asked for, or what is wrong with the command line.
+/// Prints the requested help, or the error in the command line, and returns the exit code.
 pub fn report_usage(failure: ParseFailure) -> ExitCode {
     const MAX_COLUMNS: usize = 100;
     failure.print_message(MAX_COLUMNS);
@@ -169,16 +169,16 @@
     }
 }
 
-/// Sends logs to standard error: for each event one line of key=value pairs and nothing else.
+/// Sends log lines to standard error, each with nothing but the key=value pairs of its event.
 fn start_log(level: LevelFilter) {
     let started = TermLogger::init(level, logs::config(), TerminalMode::Stderr, ColorChoice::Never);
     if let Err(err) = started {
-        // Another log is in use already, and goes on.
-        eprintln!("event=log-started-twice error={err:?}");
+        // A logger is already installed and stays in use.
+        eprintln!("event=logger-already-installed error={err:?}");
     }
 }
 
-/// A runtime with several threads.
+/// Creates a multi-threaded runtime.
 fn runtime() -> Result<tokio::runtime::Runtime> {
     Ok(tokio::runtime::Builder::new_multi_thread().enable_all().build()?)
 }
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -1,4 +1,4 @@
-//! `node`: runs an entry on the platform.
+//! `node`: runs an entry on the platform, with the platform's settings file.
 
 use crate::cell::mechanism::DisabledMechanisms;
 use crate::cell::owner::map::CELL_WORKERS;
@@ -15,25 +15,25 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// What `node` takes.
+/// Arguments of `node`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct NodeArgs {
-    /// Settings file of the platform; by default the one that its variable names
+    /// Settings file of the platform; by default the one that SPRUCERUDDER_SETTINGS names
     #[bpaf(argument("FILE"))]
     settings: Option<PathBuf>,
-    /// Port of the metrics; by default the second of the ports between entries
+    /// Port of the metrics; by default the second of the ports for other entries
     #[bpaf(argument("PORT"))]
     metrics: Option<u16>,
     /// Address at which other entries reach this one, if it is not the one it listens on
     #[bpaf(argument("ADDR"))]
     advertise: Option<String>,
-    /// Least workers of a cell in a fleet of twice as many or more; counts when the fleet starts first
+    /// Minimum number of workers of a cell, if the fleet has at least twice as many; used when the fleet first starts
     #[bpaf(argument("COUNT"), fallback(CELL_WORKERS), display_fallback)]
     cell_workers: NonZeroUsize,
-    /// Mechanisms to switch off, to measure what they are worth
+    /// Mechanisms to disable, to measure their effect
     #[bpaf(argument("NAME,..."), fallback(DisabledMechanisms::default()), hide)]
     without: DisabledMechanisms,
-    /// Least level of log lines: error, warn, info, debug
+    /// Minimum level of log lines: error, warn, info, debug
     #[bpaf(argument("LEVEL"), fallback(LevelFilter::Info), display_fallback)]
     log: LevelFilter,
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// One thread for one processor: switching between several costs what it cannot gain.
+/// Creates a runtime. On a single core it has one thread, as further ones would only add context switches.
 fn runtime(cores: usize) -> Result<Runtime> {
     let mut builder = match cores {
         1 => Builder::new_current_thread(),
@@ -72,7 +72,7 @@
     Ok(builder.enable_all().build()?)
 }
 
-/// Serves until a planned stop is done: SIGTERM or SIGINT begins one.
+/// Serves until a planned shutdown is complete, which SIGTERM or SIGINT starts.
 async fn serve(settings: Settings, path: PathBuf) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -92,7 +92,8 @@
     Ok(result?)
 }
 
-/// Checks changed settings. Addresses and bounds hold for the life of a process.
+/// Validates the settings file on SIGHUP and logs the result. Nothing is applied, as addresses and limits stay
+/// the same while the process runs.
 fn check_changed_settings(path: &std::path::Path) {
     let text = std::fs::read_to_string(path).map_err(|err| err.to_string());
     let result = text.and_then(|text| Settings::parse(&text).map_err(|err| err.to_string()));
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -1,11 +1,11 @@
-//! `settings`: prints an explained settings file.
+//! `settings`: prints a settings file with explanations.
 
 use crate::cmd::Run;
 use crate::settings::Settings;
 use anyhow::Result;
 use bpaf::Bpaf;
 
-/// What `settings` takes: nothing.
+/// `settings` has no arguments.
 #[derive(Debug, Clone, Bpaf)]
 pub struct SettingsArgs {}
 
--- a/src/cmd/standin.rs
+++ b/src/cmd/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: runs a stand-in.
+//! `standin`: runs a stand-in for an external system: the platform, a worker or a runner.
 
 use crate::clock::Millis;
 use crate::cmd::{Run, runtime, start_log};
@@ -13,23 +13,23 @@
 use std::path::PathBuf;
 use tokio::net::TcpListener;
 
-/// Which stand-in.
+/// The stand-in to run.
 #[derive(Debug, Clone, Bpaf)]
 pub enum StandinArgs {
-    /// The platform: log and VM list
+    /// The platform, with its log and VM list
     #[bpaf(command)]
     Platform {
         /// Address to listen on
         #[bpaf(argument("IP:PORT"))]
         listen: SocketAddr,
-        /// File with the first VM list, JSON
+        /// File with the initial VM list, JSON
         #[bpaf(argument("FILE"))]
         list: Option<PathBuf>,
         /// How long records are kept, in milliseconds
         #[bpaf(argument("MS"), fallback(600_000), display_fallback)]
         retention: u64,
     },
-    /// A worker without guards
+    /// A worker that accepts every start, whoever sends it and whatever is free
     #[bpaf(command)]
     Worker {
         /// Address to listen on
@@ -38,7 +38,7 @@
         /// Its name
         #[bpaf(argument("NAME"))]
         name: String,
-        /// Processors, in thousandths of a core
+        /// CPU, in thousandths of a core
         #[bpaf(argument("N"))]
         cpu: u32,
         /// Memory, in MB
@@ -48,7 +48,7 @@
         #[bpaf(argument("N"), fallback(0), display_fallback)]
         acc: u32,
     },
-    /// A runner
+    /// A runner, which answers requests
     #[bpaf(command)]
     Runner {
         /// Address to listen on
@@ -57,7 +57,7 @@
         /// Its name
         #[bpaf(argument("NAME"))]
         name: String,
-        /// Requests at once
+        /// Maximum number of concurrent requests
         #[bpaf(argument("N"), fallback(8), display_fallback)]
         slots: u32,
     },
@@ -80,7 +80,8 @@
             if let Some(path) = list {
                 let text = std::fs::read_to_string(&path);
                 let text = text.with_context(|| format!("cannot read {}", path.display()))?;
-                let list: VmList = serde_json::from_str(&text).context("not a VM list")?;
+                let list: VmList =
+                    serde_json::from_str(&text).context("the file is not a VM list")?;
                 platform.set_list(list);
             }
             serve(TcpListener::bind(listen).await?, platform.app(), stop).await?;
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows one entry's view of the cell.
+//! `status`: shows the cell as one entry sees it.
 
 use crate::cmd::client::{Client, Target, format_line, print_value, target};
 use crate::cmd::{Run, runtime};
@@ -6,7 +6,7 @@
 use bpaf::Bpaf;
 use serde_json::Value;
 
-/// What `status` takes.
+/// Arguments of `status`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct StatusArgs {
     #[bpaf(external)]
--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
-/// What to do with a table.
+/// Subcommands of `table`.
 #[derive(Debug, Clone, Bpaf)]
 pub enum TableArgs {
     /// Checks a file; needs no entry
@@ -21,7 +21,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Prints the table in force as CSV
+    /// Prints the active table as CSV
     #[bpaf(command)]
     Show {
         #[bpaf(external)]
@@ -38,15 +38,15 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Publishes a file; of racing operators one wins
+    /// Publishes a file; if several operators publish at the same time, one succeeds
     #[bpaf(command)]
     Publish {
         #[bpaf(external)]
         target: Target,
-        /// The revision that the file was edited from; without it, the one in force now
+        /// Revision that the file was edited from; by default the active one
         #[bpaf(argument("REV"))]
         base: Option<u64>,
-        /// Names this publish, so that it can be sent again without a second effect
+        /// Idempotency key: publishing again with the same key has no further effect
         #[bpaf(argument("KEY"))]
         key: Option<String>,
         /// Print the answer as JSON
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: the events of several processes in one order.
+//! `timeline`: merges the events of several processes into one order.
 
 use crate::check;
 use crate::clock::Millis;
@@ -14,10 +14,10 @@
 use hyper::{Method, Request};
 use std::net::SocketAddr;
 
-/// How long a process may take to answer.
+/// Timeout for the response of one process.
 const CALL_TIMEOUT: Millis = Millis(15_000);
 
-/// What `timeline` takes.
+/// Arguments of `timeline`.
 #[derive(Debug, Clone, Bpaf)]
 pub struct TimelineArgs {
     /// Bearer token; SPRUCERUDDER_TOKEN is read too
@@ -25,9 +25,9 @@
     token: String,
     /// Print events as JSON
     json: bool,
-    /// Check what must always hold, and say which event broke it
+    /// Check the invariants, and show each event that violates one
     check: bool,
-    /// Only events whose line has this text
+    /// Only events whose line contains this text
     #[bpaf(argument("TEXT"))]
     only: Option<String>,
     /// Addresses of entries and stand-ins
@@ -45,7 +45,7 @@
     let mut events = Vec::new();
     for addr in &args.addrs {
         let timeline = fetch_timeline(&HttpClient::default(), *addr, &args.token).await;
-        events.extend(timeline.with_context(|| format!("no time line from {addr}"))?);
+        events.extend(timeline.with_context(|| format!("cannot get the timeline of {addr}"))?);
     }
     events.sort_by(|a, b| (a.at, &a.process).cmp(&(b.at, &b.process)));
     let is_selected =
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// The whole time line of one process.
+/// Fetches the whole timeline of one process.
 pub async fn fetch_timeline(
     http: &HttpClient,
     addr: SocketAddr,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! A cluster scheduler for unlike workloads, driven by one table.
+//! A cluster scheduler for mixed workloads, configured by one table.
 
 pub mod cell;
 pub mod check;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Entry point of the `sprucerudder` command.
 
 use sprucerudder::cmd::{self, Run};
 use std::process::ExitCode;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, checks without an entry, keys, the demo.
+//! The command line: exit codes, help, checks that need no entry, keys, the demo and `explain`.
 
 use std::process::{Command, Output};
 
@@ -7,7 +7,7 @@
     command.env_remove("SPRUCERUDDER_TOKEN").args(args).output().expect("run")
 }
 
-fn file(name: &str, text: &str) -> String {
+fn temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("spruce-cli-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("write");
     path.to_str().expect("path").to_string()
@@ -43,31 +43,31 @@
     assert_eq!(checked.stdout, b"ok rows=7 leaving=0\n");
     let text =
         std::fs::read_to_string(good).expect("table").replace("preview,nilewire", "preview,x y");
-    let bad = file("bad.csv", &text);
+    let bad = temp_file("bad.csv", &text);
     let checked = sprucerudder(&["table", "check", &bad]);
     assert_eq!(checked.status.code(), Some(3));
-    let said = String::from_utf8_lossy(&checked.stderr).into_owned();
-    assert!(said.contains("line 2") && said.contains("team"), "{said}");
+    let stderr = String::from_utf8_lossy(&checked.stderr).into_owned();
+    assert!(stderr.contains("line 2") && stderr.contains("team"), "{stderr}");
     std::fs::remove_file(bad).expect("remove");
 }
 
 #[test]
-fn wrong_settings_are_refused_with_every_fault() {
-    let path = file("bad.jsonc", "// nothing right\n{\n\"name\": 5,\n\"beat\": 1\n}\n");
+fn invalid_settings_are_refused_with_all_faults() {
+    let path = temp_file("bad.jsonc", "// nothing right\n{\n\"name\": 5,\n\"beat\": 1\n}\n");
     let run = sprucerudder(&["entry", "--settings", &path]);
     assert_eq!(run.status.code(), Some(3));
-    let said = String::from_utf8_lossy(&run.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&run.stderr).into_owned();
     for part in ["line 3: name", "line 4: beat", "domain", "platform"] {
-        assert!(said.contains(part), "{part} in {said}");
+        assert!(stderr.contains(part), "{part} in {stderr}");
     }
     std::fs::remove_file(path).expect("remove");
 }
 
 #[test]
-fn keys_for_new_entries_come_from_the_same_authority() {
+fn keys_for_new_entries_are_issued_by_the_same_authority() {
     let first = sprucerudder(&["keys", "--cell", "delta", "e1"]);
     let all: serde_json::Value = serde_json::from_slice(&first.stdout).expect("json");
-    let path = file("keys.json", &all.to_string());
+    let path = temp_file("keys.json", &all.to_string());
     let second = sprucerudder(&["keys", "--authority", &path, "e2"]);
     let more: serde_json::Value = serde_json::from_slice(&second.stdout).expect("json");
     assert_eq!(all["entries"]["e1"]["authority"], more["entries"]["e2"]["authority"]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_demo_ends_well() {
+fn the_demo_succeeds() {
     let demo = sprucerudder(&["demo", "--seconds", "2"]);
     let text = String::from_utf8_lossy(&demo.stdout).into_owned();
     assert!(demo.status.success(), "{text}{}", String::from_utf8_lossy(&demo.stderr));
