--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a time line for what must always hold, and says which event broke it.
+//! Checks the merged timeline of a cell's processes for violations of the scheduler's invariants.
 
 use crate::id::{JobId, Name, TaskId};
 use crate::job::TaskOutcome;
@@ -7,31 +7,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A promise that an event broke.
+/// An event that violated an invariant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
-    /// Which promise.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// The event.
+    /// The event that violated it.
     pub event: Event,
 }
 
-/// What must always hold.
+/// Invariants of the scheduler. `Display` of [`Violation`] prints their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// No worker is given more than it has.
+    /// The tasks of a worker never need more resources than it has.
     Capacity,
-    /// No task runs in two places at once.
+    /// No task runs on two workers at the same time.
     OnePlace,
-    /// What must not be repeated is started once at most.
+    /// Tasks and requests that must not be repeated are started at most once.
     AtMostOnce,
-    /// What was reported as not run was not run.
+    /// A task or request that was reported as not run never ran.
     NotRun,
-    /// A request has one final answer.
+    /// A request gets exactly one final response.
     OneAnswer,
-    /// A table in force is never replaced by an older one.
+    /// A process never replaces its active table by an older revision.
     NoOlderTable,
-    /// A shard has one owner in an epoch.
+    /// A shard has one owner at a time in each epoch.
     OneOwner,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// What is known so far.
+/// State of the cell after the events checked so far.
 #[derive(Debug, Default)]
 struct State {
     tasks_by_worker: BTreeMap<Name, BTreeMap<TaskId, Size>>,
@@ -55,7 +55,7 @@
     shard_owners: BTreeMap<(Name, u64), Name>,
 }
 
-/// Checks events, which have to be in order, and returns all that broke a promise.
+/// Checks events, which must be in order of their stamps, and returns all violations.
 pub fn find_violations(events: &[Event]) -> Vec<Violation> {
     let mut state = State::default();
     let mut violations = Vec::new();
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,27 +1,27 @@
-//! Jobs and tasks as callers, entries and the log see them.
+//! Jobs and tasks as they appear in the API, between entries and in the platform's log.
 
 use crate::clock::Millis;
 use crate::id::{EntryId, JobId, Name, TaskId};
 use crate::size::Size;
 use serde::{Deserialize, Serialize};
 
-/// The most tasks of one job.
+/// Maximum number of tasks of one job.
 pub const MAX_TASKS: u32 = 10_000;
 
-/// What a caller asks for.
+/// A job as its caller submits it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The kind of work: a row of the table.
+    /// Kind of work: a row of the table.
     pub kind: Name,
-    /// The team that submits it.
+    /// Team that submits the job.
     pub team: Name,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Whether all tasks must run at once.
+    /// Whether the tasks are a gang, which must run all at the same time.
     pub gang: bool,
-    /// What each task needs.
+    /// Resources of each task.
     pub size: Size,
-    /// The declared run time of a task, in milliseconds; 0 for a service.
+    /// Declared run time of a task, in milliseconds; 0 for a service.
     #[serde(rename = "run")]
     pub run_time: Millis,
     /// Whether a task may be started again once it has been started.
@@ -29,42 +29,42 @@
     pub repeatable: bool,
 }
 
-/// How a task ended.
+/// Final state of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskOutcome {
-    /// It finished.
+    /// It completed successfully.
     Done,
     /// It ran and failed.
     Failed,
     /// It was cancelled before it was started.
     Cancelled,
-    /// It was stopped while it ran, or ran out of its lease.
+    /// It was stopped while it ran, or its lease expired.
     Stopped,
-    /// It may or may not have run: it must not be repeated and its worker is gone.
+    /// Unknown whether it ran: its worker is gone, and the task must not be repeated.
     Unknown,
 }
 
-/// Where an accepted job is kept.
+/// Where an accepted job is stored durably.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStorage {
     /// In the platform's log: the record was read back.
     Log,
-    /// At every replica of its shard; the log was not reachable.
+    /// At every replica of its shard, because the log was unreachable.
     Peer,
 }
 
-/// One change of a shard's replicated state.
+/// A change of a shard's replicated state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum StateChange {
-    /// Nothing: its arrival at all replicas proves that its sender still owns the shard.
+    /// Changes nothing. Its arrival at all replicas proves that its sender still owns the shard.
     Barrier,
-    /// After a rebuild every worker has said what it runs.
+    /// After a rebuild of the state, all workers have reported what they run.
     Rebuilt,
     /// A job was accepted.
     Submit { job: JobId, spec: JobSpec, at: Millis },
-    /// A task is about to be started on a worker: nothing may start it anywhere else.
+    /// A task is about to be started on a worker, and must not be started on any other one.
     Bind {
         task: TaskId,
         worker: Name,
@@ -72,43 +72,43 @@
         incarnation: u64,
         owner: EntryId,
     },
-    /// A task ended, for good.
+    /// A task reached its final state.
     Finish { task: TaskId, outcome: TaskOutcome },
-    /// A task's attempt is surely over; it waits again under the next attempt.
+    /// An attempt at a task is known to be over, and the task is queued for the next attempt.
     Requeue { task: TaskId },
-    /// The caller withdrew the job.
+    /// The caller cancelled the job.
     Cancel { job: JobId },
-    /// An idempotency key was taken.
+    /// An idempotency key was taken by `holder`.
     Key { key: Name, holder: Name, at: Millis },
-    /// An idempotency key is free again: surely nothing was run under it.
+    /// An idempotency key was released, because it is known that nothing ran under it.
     FreeKey { key: Name, holder: Name },
-    /// A finished job is no longer kept.
+    /// A finished job was deleted.
     Forget { job: JobId },
-    /// The version of the VM list that the owner goes by.
+    /// Revision of the VM list that the owner uses.
     List { rev: u64 },
-    /// Keys taken before this time are no longer kept.
+    /// Idempotency keys taken before this time were deleted.
     ForgetKeys { before: Millis },
 }
 
-/// Counts of a job's tasks by state, and what the caller asked for.
+/// A job's definition and the number of its tasks in each state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
     pub job: JobId,
-    /// What was asked for.
+    /// Definition of the job.
     pub spec: JobSpec,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     #[serde(rename = "at")]
     pub accepted_at: Millis,
-    /// Whether it was withdrawn.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Tasks waiting.
+    /// Number of queued tasks.
     pub queued: u32,
-    /// Tasks bound to a worker and not known to have ended.
+    /// Number of tasks that are bound to a worker and not known to have ended.
     pub running: u32,
-    /// Ended tasks by outcome.
+    /// Number of ended tasks by outcome.
     pub ended: Vec<(TaskOutcome, u32)>,
-    /// Why it waits, if it does.
+    /// Why the job's queued tasks wait; empty if none does.
     #[serde(rename = "why")]
     pub wait_reason: String,
 }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,7 +1,7 @@
-//! Log lines: one line of key=value pairs for each event, on standard output, never blocking.
+//! Log output: one line of key=value pairs for each event, on standard output. Logging never blocks.
 //!
-//! Lines wait in a bounded queue for a thread of their own. Each ends with its number, so that a reader sees where lines
-//! are missing; those that found no room in the queue are counted, too.
+//! A writer thread takes the lines from a bounded queue. Each line ends with its number, so that a reader
+//! notices missing lines. Lines that don't fit into the queue are dropped and counted.
 
 use simplelog::{Config, ConfigBuilder, LevelFilter, WriteLogger};
 use std::io::{self, Write};
@@ -9,26 +9,27 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::Duration;
 
-/// Lines that may wait; about two seconds of the busiest owner.
+/// Capacity of the queue, in lines; enough for about two seconds of a very busy owner.
 const QUEUE_LINES: usize = 8_192;
-/// Lines are written this often: one wake-up for some 40 lines of a busy owner in place of one each.
+/// Interval between writes. A busy owner logs some 40 lines in it, for which the writer wakes up once
+/// instead of 40 times.
 const WRITE_INTERVAL: Duration = Duration::from_millis(25);
-/// The most bytes of one write: POSIX's PIPE_BUF on Linux. A longer write to a pipe may be split, and a reader that takes
-/// a write as a unit loses the rest of it.
+/// Maximum size of one write, in bytes: PIPE_BUF of POSIX on Linux. A longer write to a pipe may be split,
+/// and a reader that treats a write as a unit would lose the rest of it.
 pub const MAX_WRITE_BYTES: usize = 4_096;
-/// The most bytes of one line, with its number.
+/// Maximum length of a line including its number, in bytes.
 const MAX_LINE_BYTES: usize = 2_048;
-/// Bytes kept for a line's number.
+/// Bytes reserved in a line for the truncation mark and the line number.
 const LINE_NUMBER_BYTES: usize = 48;
 
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines found no room.
+/// Number of lines dropped because the queue was full or its writer had stopped.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Makes numbered lines of what a logger writes.
+/// Assembles the pieces that a logger writes into numbered lines.
 #[derive(Debug, Default)]
 pub struct LineNumberer {
     line: Vec<u8>,
@@ -36,7 +37,7 @@
 }
 
 impl LineNumberer {
-    /// Takes in bytes; a line with its number once it is whole.
+    /// Adds bytes. Returns the line with its number once it is complete; a line that is too long is truncated.
     pub fn add(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
         self.line.extend_from_slice(bytes);
         if !self.line.ends_with(b"\n") {
@@ -55,10 +56,10 @@
     }
 }
 
-/// Writes whole lines, as many at once as fit into [`MAX_WRITE_BYTES`] bytes.
+/// Writes complete lines, each write with as many as fit into [`MAX_WRITE_BYTES`].
 ///
 /// # Errors
-/// They cannot be written.
+/// The output cannot be written to.
 pub fn write_lines(out: &mut impl Write, lines: impl Iterator<Item = Vec<u8>>) -> io::Result<()> {
     let mut chunk = Vec::with_capacity(MAX_WRITE_BYTES);
     for line in lines {
@@ -91,25 +92,25 @@
     }
 }
 
-/// Writes what waits, together.
+/// Writes queued lines to standard output in batches, until the output fails.
 fn write_queued(queue: &Receiver<Vec<u8>>) {
     let mut out = io::stdout().lock();
     while let Ok(first) = queue.recv() {
         std::thread::sleep(WRITE_INTERVAL);
         if let Err(err) = write_lines(&mut out, std::iter::once(first).chain(queue.try_iter())) {
-            // Nobody reads the log any more: later lines count as dropped.
+            // Standard output has no reader any more. Later lines count as dropped.
             eprintln!("event=log-unwritable error={err:?}");
             return;
         }
     }
 }
 
-/// Gives the last lines the time to be written before the process ends.
+/// Waits long enough for the last lines to be written before the process exits.
 pub fn wait_for_writes() {
     std::thread::sleep(WRITE_INTERVAL * 2);
 }
 
-/// Nothing but the event's own key=value pairs.
+/// Logger configuration: prints nothing but the key=value pairs of the event.
 pub fn config() -> Config {
     ConfigBuilder::new()
         .add_filter_allow_str("sprucerudder")
@@ -120,12 +121,12 @@
         .build()
 }
 
-/// Sends log lines to standard output from now on.
+/// Installs the logger that sends log lines to standard output.
 pub fn start(level: LevelFilter) {
     let (queue, lines) = sync_channel(QUEUE_LINES);
     std::thread::spawn(move || write_queued(&lines));
     let writer = QueueWriter { lines: LineNumberer::default(), queue };
     if let Err(err) = WriteLogger::init(level, config(), writer) {
-        eprintln!("event=log-started-twice error={err:?}");
+        eprintln!("event=logger-already-installed error={err:?}");
     }
 }
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's log. Each append holds one batch.
+//! Records of the platform's log. Each append writes one batch of records.
 
 use crate::clock::Millis;
 use crate::controller::replica::State;
@@ -8,49 +8,50 @@
 use crate::trace::Stamp;
 use serde::{Deserialize, Serialize};
 
-/// The format of batches; a reader skips batches with a higher one.
+/// Format version of batches. Readers skip batches with a higher version.
 pub const BATCH_FORMAT: u32 = 1;
 
-/// One append. Every record is idempotent, so an append that was repeated has one effect.
+/// The content of one append. All records are idempotent, so a repeated append has no further effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The format.
+    /// Format version.
     pub version: u32,
-    /// Who appends.
+    /// Entry that appends the batch.
     pub writer: EntryId,
-    /// The writer's count of batches, from 1: the writer looks for it to learn of its success.
+    /// Sequence number among the writer's batches, from 1. The writer looks for it in the log to see that
+    /// its append succeeded.
     pub seq: u64,
-    /// The writer's clock.
+    /// Timestamp of the writer's clock.
     pub stamp: Stamp,
-    /// What is appended.
+    /// Records of the batch.
     pub records: Vec<Record>,
 }
 
-/// An order by an operator to use a table.
+/// An operator's request to activate a table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TablePublish {
-    /// Names this publish, so that its operator finds the answer to it.
+    /// Id of the request, by which the operator gets its result.
     pub id: Name,
-    /// The revision that the table was edited from.
+    /// Revision that the table was edited from.
     pub base: u64,
-    /// Who publishes.
+    /// Operator who publishes the table.
     pub by: Name,
-    /// The table as CSV.
+    /// Table as CSV.
     pub csv: Name,
 }
 
-/// A claim on a shard: the first one of an epoch wins, all others of it are void.
+/// A claim on the ownership of a shard. The first claim of an epoch in the log wins; the others are void.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The shard.
     pub shard: Name,
-    /// The failure domain of the shard and of its owners.
+    /// Failure domain of the shard and its owners.
     pub domain: Name,
-    /// One more than the epoch that the claimant saw.
+    /// Claimed epoch: one more than the last epoch that the claimant saw.
     pub epoch: u64,
-    /// The claimant.
+    /// Entry that claims the shard.
     pub owner: EntryId,
-    /// The entries that hold a replica in this epoch; empty: the log holds it.
+    /// Entries that hold a replica in this epoch. If empty, the state is replicated in the log.
     pub replicas: Vec<EntryId>,
 }
 
@@ -58,67 +59,67 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Record {
-    /// An operator publishes a table.
+    /// An operator published a table.
     Publish(TablePublish),
-    /// An entry claims a shard.
+    /// An entry claimed a shard.
     Claim(Claim),
-    /// An owner's state is at its replicas, and all former owners are fenced: claims before this
-    /// epoch are not needed any more.
+    /// The owner's replicas have its state and all former owners are fenced. Claims of earlier epochs
+    /// are no longer needed.
     Active {
         /// The shard.
         shard: Name,
         /// The owner's epoch.
         epoch: u64,
     },
-    /// The table and the claims, repeated so that retention does not drop them.
+    /// A copy of the table and the claims, appended regularly so that the log's retention doesn't delete them.
     Snapshot {
-        /// The first offset that is not in it.
+        /// Offset after the last record that the snapshot covers.
         #[serde(rename = "upto")]
         end_offset: u64,
-        /// The table that the log has.
+        /// Current table of the log.
         table: Option<Revision>,
-        /// The claims on each shard in order.
+        /// Claims on each shard, in order.
         claims: Vec<Vec<Claim>>,
     },
     /// A job was accepted.
     Job {
         /// The job.
         job: JobId,
-        /// What was asked for.
+        /// Definition of the job.
         spec: JobSpec,
-        /// When it was accepted.
+        /// Time at which the job was accepted.
         at: Millis,
     },
     /// A task ended.
     Ended {
-        /// Its job.
+        /// Job of the task.
         job: JobId,
-        /// Its place in the job.
+        /// Index of the task in the job.
         index: u32,
-        /// How it ended.
+        /// Final state of the task.
         outcome: TaskOutcome,
     },
-    /// A job is over: it ended or was withdrawn.
+    /// A job ended or was cancelled.
     Closed {
         /// The job.
         job: JobId,
     },
-    /// A shard's whole state at the start of an epoch that has no replicas.
+    /// Complete state of a shard at the start of an epoch that has no replicas.
     Base {
         /// The shard.
         shard: Name,
-        /// The state with its epoch.
+        /// State of the shard, with its epoch.
         state: State,
     },
-    /// Changes of a shard in an epoch that has no replicas.
+    /// State changes of a shard in an epoch that has no replicas.
     Notes {
         /// The shard.
         shard: Name,
         /// The epoch.
         epoch: u64,
-        /// The number of the first change.
+        /// Number of the first change.
         first: u64,
-        /// The changes.
+        /// Changes in order.
         notes: Vec<StateChange>,
     },
 }
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -1,4 +1,4 @@
-//! Metrics in the format of Prometheus: made, registered and told as text.
+//! Registration of Prometheus metrics and their output in the text format.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry, Result,
@@ -10,40 +10,40 @@
 pub struct Metrics(Registry);
 
 impl Metrics {
-    /// A counter.
+    /// Registers a counter.
     ///
     /// # Errors
-    /// Its name is taken.
+    /// The name is already registered.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter> {
         let counter = IntCounter::new(name, help)?;
         self.0.register(Box::new(counter.clone()))?;
         Ok(counter)
     }
 
-    /// Counters by labels.
+    /// Registers a counter with labels.
     ///
     /// # Errors
-    /// Their name is taken.
+    /// The name is already registered.
     pub fn counter_vec(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
         let counters = IntCounterVec::new(Opts::new(name, help), labels)?;
         self.0.register(Box::new(counters.clone()))?;
         Ok(counters)
     }
 
-    /// A figure that goes up and down.
+    /// Registers a gauge.
     ///
     /// # Errors
-    /// Its name is taken.
+    /// The name is already registered.
     pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge> {
         let gauge = IntGauge::new(name, help)?;
         self.0.register(Box::new(gauge.clone()))?;
         Ok(gauge)
     }
 
-    /// Times in seconds, with the upper bounds of their buckets.
+    /// Registers a histogram of times in seconds; `buckets` are the upper bounds of its buckets.
     ///
     /// # Errors
-    /// Their name is taken.
+    /// The name is already registered.
     pub fn histogram(&self, name: &str, help: &str, buckets: &[f64]) -> Result<Histogram> {
         let opts = HistogramOpts::new(name, help).buckets(buckets.to_vec());
         let histogram = Histogram::with_opts(opts)?;
@@ -51,10 +51,10 @@
         Ok(histogram)
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the text format.
     ///
     /// # Errors
-    /// They cannot be written.
+    /// A metric cannot be encoded.
     pub fn text(&self) -> Result<Vec<u8>> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.0.gather(), &mut text)?;
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,4 +1,4 @@
-//! What every HTTP server of the project shares: how it is run, and how it gives out its time line.
+//! Parts shared by all HTTP servers of the project: the serve loop and the timeline API.
 
 use crate::trace::Stamp;
 use poem::listener::TcpAcceptor;
@@ -8,22 +8,22 @@
 use std::io;
 use tokio::net::TcpListener;
 
-/// The path where every process gives out its time line.
+/// Path at which each process serves the events of its trace.
 pub const TIMELINE_PATH: &str = "/timeline";
 
-/// Asks for events of a time line.
+/// Request for events of a process's trace.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TimelineRequest {
-    /// Events after this stamp.
+    /// Return only events after this stamp.
     pub since: Stamp,
-    /// The most events.
+    /// Maximum number of events to return.
     pub max: usize,
 }
 
-/// Serves until `stop` is ready, then lets open exchanges end.
+/// Serves until `stop` completes, then waits for open requests to finish.
 ///
 /// # Errors
-/// If the listener cannot be used.
+/// The listener cannot be used.
 pub async fn serve<E>(
     listener: TcpListener,
     app: E,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,5 @@
-//! An entry's settings: JSON with comments, every value checked, every fault reported at once.
+//! Settings of an entry, read from JSON with comments. All values are validated, and all faults reported at
+//! once.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -11,7 +12,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What a value has to be.
+/// Type and valid range of a setting's value.
 #[derive(Debug, Clone, Copy)]
 enum ValueKind {
     Name,
@@ -26,12 +27,12 @@
     List(&'static [SettingField]),
 }
 
-/// One setting.
+/// Description of a setting.
 #[derive(Debug, Clone, Copy)]
 struct SettingField {
     name: &'static str,
     kind: ValueKind,
-    /// JSON text; `None`: the setting is required.
+    /// Default value as JSON; `None` if the setting is required.
     default: Option<&'static str>,
     help: &'static str,
 }
@@ -45,7 +46,7 @@
     SettingField { name, kind, default, help }
 }
 
-/// The longest time that a setting may have, in milliseconds.
+/// Maximum length of time in a setting, in milliseconds: one hour.
 const MAX_INTERVAL_MS: u64 = 3_600_000;
 
 const PLATFORM_FIELDS: [SettingField; 2] = [
@@ -139,37 +140,37 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The log.
+    /// Address of the log.
     pub log: Name,
-    /// The VM list.
+    /// Address of the VM list.
     pub list: Name,
 }
 
-/// Another entry.
+/// Name and address of another entry.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerAddr {
-    /// Its name.
+    /// Name of the entry.
     pub name: Name,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub domain: Name,
-    /// Its address.
+    /// Address for other entries.
     pub addr: SocketAddr,
 }
 
-/// A bearer token.
+/// A bearer token and the rights that it grants.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
-    /// Who uses it.
+    /// Name of the user.
     pub name: Name,
     /// The token.
     pub token: Name,
-    /// `operator` or `team:NAME`.
+    /// Right of the user: `operator` or `team:NAME`.
     pub right: Name,
 }
 
-/// Keys between entries, as PEM text.
+/// Certificates and private key for connections between entries, as PEM text.
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
@@ -187,13 +188,13 @@
     }
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// This entry's name.
     pub name: Name,
-    /// Its failure domain.
+    /// This entry's failure domain.
     pub domain: Name,
     /// Address for callers and operators.
     pub http: SocketAddr,
@@ -201,49 +202,49 @@
     pub peer: SocketAddr,
     /// The platform's services.
     pub platform: Platform,
-    /// Keys between entries.
+    /// Certificates and private key for connections between entries.
     pub keys: Keys,
     /// Other entries.
     pub peers: Vec<PeerAddr>,
-    /// Who may call.
+    /// Bearer tokens of callers and operators.
     pub tokens: Vec<Token>,
-    /// What is logged.
+    /// Minimum level of log lines.
     pub log_level: Name,
-    /// Largest body taken, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(rename = "body_max")]
     pub max_body: usize,
-    /// Time between heartbeats.
+    /// Interval of heartbeats to other entries.
     #[serde(rename = "beat_every")]
     pub heartbeat_interval: Millis,
-    /// Time between reads of the VM list.
+    /// Interval of reads of the VM list.
     #[serde(rename = "list_every")]
     pub list_interval: Millis,
-    /// Time between contacts with each worker.
+    /// Interval of calls to each worker.
     #[serde(rename = "sync_every")]
     pub sync_interval: Millis,
-    /// Time between repeats of what retention would drop.
+    /// Interval after which live records are appended again, so that the log's retention doesn't delete them.
     #[serde(rename = "log_refresh")]
     pub refresh_interval: Millis,
-    /// How long a stopping entry still takes callers.
+    /// How long an entry that is shutting down still accepts requests.
     pub stop_grace: Millis,
-    /// The newest version of messages that this entry speaks with others.
+    /// Newest message version that this entry uses with other entries.
     pub wire_version: u8,
 }
 
-/// One fault of a settings file.
+/// A fault in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The line, from 1.
+    /// Line of the file, from 1.
     pub line: usize,
-    /// The setting, with dots between levels.
+    /// Path of the setting, with dots between levels.
     pub path: String,
-    /// What would be right.
+    /// Description of a valid value.
     pub expected: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}: want {}", self.line, self.path, self.expected)
+        write!(f, "line {}: {}: expected {}", self.line, self.path, self.expected)
     }
 }
 
@@ -349,10 +350,10 @@
 }
 
 impl Settings {
-    /// Reads settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Every fault of the text, each with its line.
+    /// All faults of the text, each with its line.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let file_fault = |expected: String| vec![Fault { line: 1, path: "file".into(), expected }];
         let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
@@ -374,7 +375,7 @@
         if faults.is_empty() { Ok(settings) } else { Err(faults) }
     }
 
-    /// Combinations that cannot work.
+    /// Finds values that are valid alone but conflict with each other.
     fn find_conflicts(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut add = |path: &str, expected: &str| {
@@ -398,7 +399,7 @@
         faults
     }
 
-    /// A settings file with every setting, its default and what it means.
+    /// Returns a settings file with all settings, their defaults and their meanings.
     pub fn template() -> String {
         let mut text = String::from("// Settings of an entry. Required ones have no default.\n{\n");
         write_fields(&mut text, &SETTINGS_FIELDS, "  ");
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,6 +1,6 @@
-//! The table that operators edit: one row for each kind of work, columns with weights and limits.
+//! The table that operators edit: a row for each kind of work, with columns for weights and limits.
 //!
-//! A table is a CSV file as a spreadsheet saves it. [`Table::parse`] reports every fault at once.
+//! A table is a CSV file as spreadsheets save it. [`Table::parse`] reports all faults of a file at once.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -8,24 +8,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Prefix of a row that marks a VM instead of a kind of work.
+/// Prefix of a row's name if the row is for a VM instead of a kind of work.
 const VM_PREFIX: &str = "vm:";
-/// Prefix of a column that holds the weight of a failure domain.
+/// Prefix of the heading of a column that holds the weights of a failure domain.
 const DOMAIN_PREFIX: &str = "site:";
-/// The largest table accepted, in bytes.
+/// Maximum size of a table, in bytes.
 pub const MAX_TABLE_BYTES: usize = 256 * 1024;
-/// The largest weight of any column.
+/// Maximum weight in any column.
 const MAX_WEIGHT: u32 = 1000;
-/// The longest deadline, in milliseconds: one day.
+/// Maximum deadline, in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// The most attempts a row may ask for.
+/// Maximum number of retries that a row may set.
 const MAX_RETRIES: u32 = 10;
 
 /// How a kind of work is scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkClass {
-    /// Answered by a runner within one HTTP exchange.
+    /// Processed by a runner within one HTTP request.
     Request,
     /// Runs on a worker until it finishes.
     Batch,
@@ -33,63 +33,63 @@
     Service,
 }
 
-/// One row: the policy for a kind of work.
+/// A row of the table: the policy for a kind of work.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The kind of work.
+    /// Kind of work.
     pub kind: Name,
-    /// The team that the row belongs to.
+    /// Team that the row belongs to.
     pub team: Name,
-    /// How the kind is scheduled.
+    /// How this kind of work is scheduled.
     pub class: WorkClass,
-    /// Urgency: a waiting task gains this many points for each second.
+    /// Urgency: the priority points that a waiting task gains for each second.
     pub weight: u32,
-    /// The most running at once: requests for each entry, tasks in the whole cell.
+    /// Maximum number running at the same time: requests for each entry, tasks in the whole cell.
     pub limit: u32,
-    /// The most waiting at once: requests for each entry, tasks for each shard.
+    /// Maximum number waiting at the same time: requests for each entry, tasks for each shard.
     pub queue: u32,
-    /// How long a request may take, or a task may wait, in milliseconds.
+    /// Maximum time that a request may take, or a task may wait.
     pub deadline: Millis,
-    /// Whether the work may be run again.
+    /// Whether the work may be run more than once.
     pub repeat: bool,
-    /// How often a failed task is tried again.
+    /// How often a failed task is retried.
     pub retries: u32,
-    /// Weight of filling workers up.
+    /// Placement weight for packing tasks onto few workers.
     pub pack: u32,
-    /// Weight of spreading over workers.
+    /// Placement weight for spreading tasks over many workers.
     pub spread: u32,
-    /// Processors that the row's team may hold in the whole cell, in thousandths of a core, for tasks
-    /// of this row to start; 0: no limit.
+    /// CPU quota of the row's team in the whole cell, in thousandths of a core: above it, tasks of this
+    /// row don't start. 0 for no quota.
     pub quota: u32,
-    /// Weight of each failure domain; one not named has weight 0.
+    /// Placement weight of each failure domain; domains that aren't listed have weight 0.
     #[serde(rename = "sites")]
     pub domain_weights: BTreeMap<Name, u32>,
 }
 
-/// A table whose every cell was checked.
+/// A table that has been parsed and validated.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// The rows by kind.
+    /// Rows by kind of work.
     pub rows: BTreeMap<Name, Row>,
-    /// VMs that the table takes out of use.
+    /// VMs that the table takes out of service.
     #[serde(rename = "leaving")]
     pub excluded_vms: BTreeSet<Name>,
-    /// The largest quota of each team that has one.
+    /// Largest CPU quota in the rows of each team that has a quota.
     quotas: BTreeMap<Name, u64>,
 }
 
-/// One fault of a table.
+/// A fault in a table file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// The line of the file, from 1; 0 for the whole file.
+    /// Line of the file, from 1; 0 for the whole file.
     pub line: u64,
-    /// The row's kind, if it could be read.
+    /// Kind of work of the row; empty if it could not be read.
     pub row: String,
-    /// The column's heading.
+    /// Heading of the column.
     pub column: String,
-    /// The value found.
+    /// Invalid value.
     pub value: String,
-    /// What would be right.
+    /// Description of a valid value.
     #[serde(rename = "want")]
     pub expected: String,
 }
@@ -98,13 +98,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "line {}: row {:?}, column {:?}: {:?} is wrong: want {}",
+            "line {}: row {:?}, column {:?}: {:?} is invalid: expected {}",
             self.line, self.row, self.column, self.value, self.expected
         )
     }
 }
 
-/// The columns that each table has, with what a cell of each holds.
+/// Required columns, each with a description of its valid values.
 const COLUMNS: [(&str, &str); 12] = [
     ("kind", "a name of letters, digits, '-' and '_', once in the table"),
     ("team", "a name of letters, digits, '-' and '_'"),
@@ -120,16 +120,16 @@
     ("quota", "thousandths of a core, from 0 to 4000000000, 0 for no quota"),
 ];
 
-/// What the cell of a site column holds.
+/// Description of the valid values in the column of a failure domain.
 const DOMAIN_WEIGHT_HELP: &str = "a whole number from 0 to 1000";
 
-/// Whether `s` can name a kind, a team, a VM, a shard or a failure domain.
+/// Whether `s` is a valid name of a kind of work, team, VM, shard or failure domain.
 pub fn is_name(s: &str) -> bool {
     let ok = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     !s.is_empty() && s.len() <= 64 && s.chars().all(ok)
 }
 
-/// One line under its headings, with the faults found so far.
+/// A line of the file with its headings and the faults found in it so far.
 struct TableLine<'a> {
     number: u64,
     headings: &'a [String],
@@ -277,10 +277,10 @@
 }
 
 impl Table {
-    /// Reads a table from CSV text.
+    /// Parses and validates a table in CSV format.
     ///
     /// # Errors
-    /// Every fault of the file, in the order of its lines.
+    /// All faults of the file, in the order of its lines.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let mut table = Self::parse_rows(text)?;
         for row in table.rows.values().filter(|row| row.quota > 0) {
@@ -290,7 +290,7 @@
         Ok(table)
     }
 
-    /// Processors that a team may hold in the whole cell, in thousandths of a core; 0: no limit.
+    /// CPU quota of a team in the whole cell, in thousandths of a core; 0 for no quota.
     pub fn quota(&self, team: &str) -> u64 {
         self.quotas.get(team).copied().unwrap_or(0)
     }
@@ -351,7 +351,7 @@
         line.faults
     }
 
-    /// The differences from `self` to `other`, one line of text each, for people.
+    /// Describes the differences from `self` to `other`, one line of text for each.
     pub fn diff(&self, other: &Self) -> Vec<String> {
         let mut lines = Vec::new();
         for (kind, row) in &self.rows {
@@ -396,7 +396,7 @@
         changed.map(|(old, new)| format!("{} {} -> {}", old.0, old.1, new.1)).collect()
     }
 
-    /// The weight of `domain` for this kind of work.
+    /// Placement weight of `domain` for this kind of work.
     pub fn domain_weight(&self, domain: &str) -> u32 {
         self.domain_weights.get(domain).copied().unwrap_or(0)
     }
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,4 +1,5 @@
-//! The time line: typed events of every process, ordered over all of them by a hybrid clock.
+//! Event trace of a process. A hybrid logical clock stamps the events, so that the traces of several processes
+//! can be merged into one timeline.
 
 use crate::clock::Millis;
 use crate::id::{EntryId, JobId, Name, TaskId};
@@ -9,96 +10,97 @@
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
 
-/// How many events a process keeps.
+/// Maximum number of events that a process keeps.
 const MAX_EVENTS: usize = 200_000;
-/// Bits of a stamp below the milliseconds.
+/// Number of low bits of a stamp that hold the counter; the bits above hold milliseconds.
 const COUNTER_BITS: u32 = 16;
 
-/// A time stamp of a hybrid logical clock: milliseconds above a counter. Stamps received from
-/// other processes move the clock on, so an effect is stamped later than its cause.
+/// A timestamp of a hybrid logical clock: milliseconds in the high bits, a counter in the low bits.
+/// Stamps received from other processes advance the clock, so an effect has a later stamp than its cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// The milliseconds of the stamp.
+    /// The wall-clock part of the stamp.
     pub fn millis(self) -> Millis {
         Millis(self.0 >> COUNTER_BITS)
     }
 }
 
-/// What happened.
+/// Kinds of events with their data.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum EventKind {
-    /// A process began to serve.
+    /// A process started to serve.
     #[serde(rename = "up")]
     ProcessStarted { role: Name },
-    /// A process stops by plan.
+    /// A process began its planned shutdown.
     Stopping,
-    /// A table is in force here.
+    /// The process activated a table.
     TableInForce { rev: u64, by: Name },
-    /// A claim on a shard was read back and won.
+    /// The process read its claim on a shard back from the log as the first of the epoch, and so won the
+    /// election.
     Elected { shard: Name, epoch: u64 },
-    /// An owner has the shard's whole state and begins to decide.
+    /// An owner has the complete state of the shard and starts to schedule.
     #[serde(rename = "took-office")]
     OwnershipTaken { shard: Name, epoch: u64, from: Name },
-    /// An owner gave a shard up for the rest of its epoch, in favour of a replica.
+    /// An owner handed a shard over to a replica for the rest of the epoch.
     HandedOver { shard: Name, epoch: u64, to: Name },
-    /// A replica goes on as the owner for the rest of an epoch that `from` handed over.
+    /// A replica continues as the owner for the rest of an epoch that `from` handed over.
     #[serde(rename = "succeeded")]
     OwnershipContinued { shard: Name, epoch: u64, from: Name },
-    /// An owner learned of a later epoch.
+    /// An owner learned of a later epoch and lost its ownership.
     #[serde(rename = "deposed")]
     OwnershipLost { shard: Name, epoch: u64 },
-    /// A replica refuses earlier epochs from now on.
+    /// A replica refuses messages of earlier epochs from now on.
     #[serde(rename = "sealed")]
     EpochSealed { shard: Name, epoch: u64 },
     /// A job was accepted.
     Submitted { job: JobId, kind: Name, tasks: u32, repeat: bool },
     /// A job was refused.
     Refused { job: JobId, reason: Name },
-    /// A job was withdrawn.
+    /// A job was cancelled by its caller.
     Cancelled { job: JobId },
     /// A task was bound to a worker.
     Bound { task: TaskId, worker: Name, epoch: u64, waited: Millis },
-    /// A start was sent.
+    /// A start order was sent to a worker.
     StartSent { task: TaskId, worker: Name, owner: EntryId },
-    /// A task ended, as its owner sees it.
+    /// The owner recorded the end of a task.
     Ended { task: TaskId, outcome: TaskOutcome },
-    /// A task waits again under its next attempt.
+    /// A task was queued again with its next attempt.
     Requeued { task: TaskId },
-    /// A worker began to run a task.
+    /// A worker started a task.
     WorkerStarted { task: TaskId, size: Size, total: Size, repeat: bool },
     /// A worker stopped running a task.
     WorkerEnded { task: TaskId, outcome: TaskOutcome },
-    /// A worker lost all it ran.
+    /// A worker process started, and tasks of an earlier process are gone.
     #[serde(rename = "worker-up")]
     WorkerRestarted { total: Size },
-    /// A request was taken in.
+    /// A request was received.
     RequestIn { request: Name, kind: Name, repeat: bool },
     /// A request was sent to a runner.
     RequestSent { request: Name, runner: Name },
-    /// A request got its final answer: its status and whether it may have run.
+    /// A request got its final response, with its status and whether the request may have run.
     RequestOut { request: Name, status: u16, run: Name, waited: Millis },
     /// A runner ran a request.
     RunnerRan { request: Name },
-    /// A connection to another entry is open: the version of messages agreed on.
+    /// A connection to another entry was opened, with the negotiated message version.
     PeerConnected { peer: Name, version: u8 },
-    /// A VM is leaving, as this process sees it.
+    /// The process learned that a VM is leaving.
     Leaving { vm: Name },
-    /// A worker is set aside because it fails its tasks.
+    /// A worker gets no new tasks because its tasks keep failing.
     #[serde(rename = "set-aside")]
     WorkerSetAside { worker: Name },
-    /// The platform's log or list cannot be reached, or can be again.
+    /// The platform's log or VM list became unreachable, or reachable again.
     Platform { part: Name, up: bool },
-    /// An event of a newer version.
+    /// An event kind of a newer version, unknown to this one.
     #[serde(other)]
     Other,
 }
 
 impl EventKind {
-    /// How loudly it is logged: what happens for each task or request is for debugging.
+    /// Log level of the event. Events that occur for each task or request have the debug level.
     fn log_level(&self) -> log::Level {
         match self {
             Self::OwnershipLost { .. }
@@ -120,15 +122,15 @@
     }
 }
 
-/// One event of the time line.
+/// An event of a process's trace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When.
+    /// Timestamp of the event.
     pub at: Stamp,
-    /// The process.
+    /// Process that recorded the event.
     #[serde(rename = "who")]
     pub process: Name,
-    /// What.
+    /// Kind and data of the event.
     #[serde(flatten)]
     pub kind: EventKind,
 }
@@ -167,7 +169,7 @@
     events: VecDeque<Event>,
 }
 
-/// The time line of one process.
+/// Event trace of one process.
 #[derive(Debug)]
 pub struct Trace {
     process: Name,
@@ -175,12 +177,12 @@
 }
 
 impl Trace {
-    /// An empty time line of the process `who`.
+    /// Creates an empty trace for a process.
     pub fn new(process: Name) -> Self {
         Self { process, inner: Mutex::default() }
     }
 
-    /// Adds an event and logs it.
+    /// Records an event and writes it to the log.
     pub fn record(&self, kind: EventKind) {
         let at = self.stamp();
         let event = Event { at, process: self.process.clone(), kind };
@@ -192,7 +194,7 @@
         }
     }
 
-    /// A new stamp, later than all that were given or seen.
+    /// Returns a new stamp, later than all stamps returned or observed before.
     pub fn stamp(&self) -> Stamp {
         let now = Stamp(Millis::now().0 << COUNTER_BITS);
         let mut inner = self.lock();
@@ -200,13 +202,13 @@
         inner.last_stamp
     }
 
-    /// Takes in a stamp from another process.
+    /// Advances the clock past a stamp from another process.
     pub fn observe(&self, stamp: Stamp) {
         let mut inner = self.lock();
         inner.last_stamp = inner.last_stamp.max(stamp);
     }
 
-    /// The events after `since`, at most `max`.
+    /// Returns the events after `since`, at most `max` of them.
     pub fn events_after(&self, since: Stamp, max: usize) -> Vec<Event> {
         let inner = self.lock();
         let start = inner.events.partition_point(|event| event.at <= since);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that ages and leases are measured on.
+//! The monotonic clock that measures ages and leases.
 
 use sprucerudder::clock::{Clock, Millis};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,26 +10,29 @@
 }
 
 #[test]
-fn a_process_that_did_not_run_for_seconds_notices_it_at_its_first_look() {
+fn a_pause_of_the_process_is_counted_at_the_next_reading() {
     let clock = Clock::new(source);
     assert_eq!(clock.now(), Millis(1));
     for _ in 0..100 {
         TIME.fetch_add(270, Ordering::Relaxed);
         clock.now();
     }
-    assert_eq!(clock.pause_count(), 0, "it looked every 270 ms");
+    assert_eq!(clock.pause_count(), 0, "the clock was read every 270 ms");
     TIME.fetch_add(20_000, Ordering::Relaxed);
     assert_eq!(clock.now(), Millis(47_001));
     assert_eq!(clock.pause_count(), 1);
     clock.now();
-    assert_eq!(clock.pause_count(), 1, "a pause is noticed once");
+    assert_eq!(clock.pause_count(), 1, "a pause is counted once");
 }
 
 #[test]
-fn the_usual_clock_goes_on_as_the_steady_one_does() {
+fn the_default_clock_advances_like_the_monotonic_clock() {
     let clock = Clock::default();
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     std::thread::sleep(std::time::Duration::from_millis(60));
-    let (passed, steady) = (clock.now().0, begun.elapsed().as_millis() as u64);
-    assert!(passed >= 60 && passed <= steady + 5, "{passed} ms where {steady} passed");
+    let (elapsed_ms, monotonic_ms) = (clock.now().0, start.elapsed().as_millis() as u64);
+    assert!(
+        elapsed_ms >= 60 && elapsed_ms <= monotonic_ms + 5,
+        "{elapsed_ms} ms, but {monotonic_ms} ms by the monotonic clock"
+    );
 }
