--- /dev/null
+++ b/src/cell/advice/request.rs
@@ -0,0 +1,262 @@
+//! Requests to the advice service for steps that need workers, and the handling of its answers.
+
+use crate::cell::advice::queue::AdviceRequest;
+use crate::cell::jobs::job::{Job, Ticket};
+use crate::cell::jobs::lifecycle::queue_rank;
+use crate::cell::mechanism::Mechanism;
+use crate::cell::placing::candidate::Candidate;
+use crate::cell::{Action, Cell};
+use crate::clock::Millis;
+use crate::id::Name;
+use crate::order::ClearedWorkers;
+use crate::workload::{AdviceConfig, Step, StepKey};
+use std::collections::BTreeSet;
+
+/// The remaining validity that a ticket needs to be used. An order takes a few milliseconds, and
+/// some tens of milliseconds if the owner is busy.
+pub(in crate::cell) const MIN_TICKET_VALIDITY: Millis = Millis(250);
+/// The largest number of workers in one request, by the platform's contract.
+const MAX_REQUEST_WORKERS: usize = 100;
+/// The number of workers to ask about for each one needed, as one in two is assumed to be cleared.
+const WORKERS_PER_CLEARANCE: usize = 2;
+/// The shortest time between two requests for a step, so that steps that wait for room do not use
+/// up the capacity of the advice service.
+const REQUEST_INTERVAL: Millis = Millis(250);
+/// The smallest number of cleared workers to request new tickets for, because some of them fill up
+/// before the answer arrives.
+const MIN_RENEWED_WORKERS: usize = 4;
+
+impl Cell {
+    /// Queues a request for a step whose tasks found no cleared worker with room.
+    pub(in crate::cell) fn request_advice(
+        &mut self,
+        now: Millis,
+        key: StepKey,
+        spec: &Step,
+        advice: AdviceConfig,
+        remaining: usize,
+    ) {
+        let Some(job) = self.jobs.get(&key.job) else { return };
+        let Some(step) = job.step(key) else { return };
+        let advised = &step.clearances;
+        if advised.is_asking || now < advised.retry_at {
+            return;
+        }
+        let workers = self.select_workers(now, key, job, spec, remaining);
+        if workers.is_empty() {
+            return;
+        }
+        let cost =
+            Millis(advice.base_latency.0 + advice.worker_micros * workers.len() as u64 / 1_000);
+        let request = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
+        self.advice_queue.push(request);
+        if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
+            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
+        }
+    }
+
+    /// Selects the workers for the next request of a step. These are cleared workers that have room
+    /// but no valid ticket. If there are none, they are workers that were never asked about, those
+    /// with room first. If none of these has room, they are cleared workers on which room can be
+    /// made by stopping tasks. The first request includes busy workers, and later ones prefer
+    /// cleared workers, which leaves more of the service's time to other steps.
+    fn select_workers(
+        &self,
+        now: Millis,
+        key: StepKey,
+        job: &Job,
+        spec: &Step,
+        remaining: usize,
+    ) -> Vec<Name> {
+        let (Some(step), Some(advice)) = (job.step(key), job.queue.advice) else {
+            return Vec::new();
+        };
+        let charge = spec.charged_resources();
+        let advised = &step.clearances;
+        let includes_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
+        let open = self.open_candidates(now, key, job, spec).into_iter();
+        let is_answered = |candidate: &Candidate| {
+            advised.denied.contains(&candidate.name)
+                || advised.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
+        };
+        let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
+            .filter(|candidate| {
+                !is_answered(candidate) && (includes_busy || candidate.has_room(spec, &charge))
+            })
+            .partition(|candidate| advised.cleared.contains_key(&candidate.name));
+        if spec.is_gang
+            && let Some(selected) = self.select_gang_workers(now, key, spec, remaining)
+        {
+            return selected;
+        }
+        let has_room = |candidate: &Candidate| candidate.has_room(spec, &charge);
+        let fits_after_preemption =
+            |candidate: &Candidate| self.fits_after_preemption(candidate, job.priority(), spec);
+        let known: Vec<Candidate> = known.into_iter().filter(fits_after_preemption).collect();
+        let renewed = remaining.max(MIN_RENEWED_WORKERS);
+        let asked = (remaining * WORKERS_PER_CLEARANCE).max(balanced_size(advice));
+        let suffices = |known: &[Candidate]| !spec.is_gang && known.iter().any(has_room);
+        let (mut selected, limit) = match () {
+            () if suffices(&known) => (known, renewed),
+            () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, asked),
+            // New tickets would not help, as these workers do not have room for the whole gang.
+            () if spec.is_gang && known.iter().all(has_room) => (Vec::new(), 0),
+            // Room can be made on some of them.
+            () => (known, renewed),
+        };
+        selected.sort_by_cached_key(|candidate| {
+            let is_remote = job.home_domain.as_ref().is_some_and(|home| candidate.domain != *home);
+            (!candidate.has_room(spec, &charge), is_remote, std::cmp::Reverse(candidate.free.cpu))
+        });
+        selected
+            .into_iter()
+            .take(limit.min(MAX_REQUEST_WORKERS))
+            .map(|candidate| candidate.name)
+            .collect()
+    }
+
+    /// Selects cleared workers for a gang if they have room for all of it. All tasks of a gang
+    /// start together, so their tickets must be valid at the same time. If only expired tickets
+    /// were renewed, others would expire in the meantime.
+    fn select_gang_workers(
+        &self,
+        now: Millis,
+        key: StepKey,
+        spec: &Step,
+        remaining: usize,
+    ) -> Option<Vec<Name>> {
+        let charge = spec.charged_resources();
+        let mut candidates = self.cleared_candidates(now, key, spec);
+        candidates.retain(|candidate| candidate.has_room(spec, &charge));
+        candidates.sort_by_cached_key(|candidate| {
+            std::cmp::Reverse(candidate.count_fitting(spec, &charge))
+        });
+        let mut selected = Vec::new();
+        let mut room = 0;
+        for candidate in candidates.into_iter().take(MAX_REQUEST_WORKERS) {
+            // The margin is for workers that fill up before the answer arrives.
+            if room >= remaining + MIN_RENEWED_WORKERS {
+                break;
+            }
+            room += candidate.count_fitting(spec, &charge);
+            selected.push(candidate.name);
+        }
+        (room >= remaining).then_some(selected)
+    }
+
+    /// Assigns queued requests to idle entries.
+    pub(in crate::cell) fn assign_requests(&mut self, now: Millis) {
+        while let Some((entry, request)) = self.advice_queue.assign_next(now) {
+            let job = self.jobs.get(&request.step.job);
+            let since =
+                job.and_then(|job| job.step(request.step)).map(|step| step.clearances.asked_at);
+            log::info!(
+                "event=advice-requested step={} entry={entry} workers={} cost_ms={} queued_ms={}",
+                request.step,
+                request.workers.len(),
+                request.cost,
+                now.since(since.unwrap_or(now))
+            );
+            self.actions.push(Action::RequestAdvice { entry, request });
+        }
+    }
+
+    /// Handles the answer that an entry got from the advice service; `None` if there was none.
+    pub fn handle_advice(
+        &mut self,
+        now: Millis,
+        entry: &Name,
+        key: StepKey,
+        named: &[Name],
+        answer: Option<ClearedWorkers>,
+    ) {
+        self.advice_queue.complete(entry, key);
+        match answer {
+            Some(cleared) => self.apply_advice(now, key, named, cleared),
+            None => self.return_request(key, entry, "no-answer"),
+        }
+        self.needs_placement = true;
+    }
+
+    /// Stores the tickets and denials of an answer in the step.
+    fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: ClearedWorkers) {
+        let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
+        let default = job.queue.advice.map(|advice| advice.ticket_validity).unwrap_or_default();
+        let until = now + cleared.valid_for.unwrap_or(default);
+        let Some(step) = job.step_mut(key) else { return };
+        // Workers that restarted since the request was queued are left out, because the answer may
+        // be about their previous process.
+        let workers = &self.workers;
+        let since = step.clearances.asked_at;
+        let is_same =
+            |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted_at <= since);
+        log::info!(
+            "event=advice-received step={key} named={} cleared={}",
+            named.len(),
+            cleared.tickets.len()
+        );
+        let advised = &mut step.clearances;
+        advised.is_asking = false;
+        advised.retry_at = now + REQUEST_INTERVAL;
+        let allowed: BTreeSet<Name> =
+            cleared.tickets.iter().map(|(name, _)| name.clone()).collect();
+        let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
+        advised.denied.extend(denied.cloned());
+        for (name, text) in cleared.tickets.into_iter().filter(|(name, _)| is_same(name)) {
+            advised.cleared.insert(name, Ticket { text, until });
+        }
+        if allowed.is_empty() {
+            // All workers were denied, so the next request may follow at once.
+            advised.retry_at = now;
+        }
+    }
+
+    /// Handles a request for which an entry got no answer, so that it can be repeated.
+    pub(in crate::cell) fn return_request(&mut self, key: StepKey, entry: &Name, reason: &str) {
+        log::info!("event=advice-request-returned step={key} entry={entry} why={reason}");
+        self.clear_request(key);
+    }
+
+    /// Records that a step has no request in progress.
+    pub(in crate::cell) fn clear_request(&mut self, key: StepKey) {
+        let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
+        if let Some(step) = step {
+            step.clearances.is_asking = false;
+            self.needs_placement = true;
+        }
+    }
+
+    /// Invalidates a ticket that a worker rejected.
+    pub(in crate::cell) fn invalidate_ticket(&mut self, key: StepKey, name: &Name) {
+        let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
+        if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
+            ticket.until = Millis(0);
+        }
+    }
+
+    /// Returns overdue requests, and has waiting steps checked again, as tickets and request
+    /// intervals may have expired.
+    pub(in crate::cell) fn expire_requests(&mut self, now: Millis) {
+        // Without this, a step whose answer was lost would wait forever.
+        for step in self.advice_queue.take_overdue(now) {
+            let job = self.jobs.get(&step.job);
+            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
+            log::info!(
+                "event=wait-expired step={step} queue={} for=lost-answer ms={}",
+                job.map(|job| &*job.queue.name).unwrap_or_default(),
+                now.since(since.unwrap_or(now))
+            );
+            self.expired_waits += 1;
+            self.clear_request(step);
+        }
+        self.needs_placement = self.needs_placement || !self.ready_steps.is_empty();
+    }
+}
+
+/// The number of workers for which the per-worker time of a request is half of its base time.
+fn balanced_size(advice: AdviceConfig) -> usize {
+    match advice.worker_micros {
+        0 => MAX_REQUEST_WORKERS,
+        each => (advice.base_latency.0 * 1_000 / each / 2) as usize,
+    }
+}
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -1,6 +1,6 @@
-//! What became of orders to workers: starts and stops that were followed, refused, or not answered.
+//! Outcomes of orders to workers: starts and stops that were executed, refused, or not answered.
 
-use crate::cell::workers::roster::Over;
+use crate::cell::workers::roster::RemovalReason;
 use crate::cell::workers::worker::Phase;
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
@@ -9,8 +9,8 @@
 use crate::workload::{JobKey, TaskKey};
 
 impl Cell {
-    /// What became of an order to start a run.
-    pub fn started(
+    /// Handles the outcome of an order to start a run.
+    pub fn on_start_outcome(
         &mut self,
         now: Millis,
         name: &Name,
@@ -27,57 +27,58 @@
             OrderOutcome::Done(_) => self.confirm_start(now, name, task, run),
             OrderOutcome::Unknown => {
                 self.stop_run(name, task, run);
-                self.doubt(now, name);
+                self.suspect_worker(now, name);
             }
             OrderOutcome::Withheld => self.abandon_run(name, task, run),
             OrderOutcome::Unsent => {
                 self.abandon_run(name, task, run);
-                self.mark_silent(now, name);
+                self.mark_unreachable(now, name);
             }
             OrderOutcome::Refused(Refusal::StaleFence) => self.actions.push(Action::Deposed),
             OrderOutcome::Refused(Refusal::OtherIncarnation) => {
-                // This run surely never was at the life that is over.
+                // The incarnation that ended never received this run, so it is not counted as a crash for its task.
                 self.abandon_run(name, task, run);
-                self.remove_worker(now, name, Over::Replaced);
+                self.remove_worker(now, name, RemovalReason::Replaced);
             }
             OrderOutcome::Refused(Refusal::LeaseExpired) => {
                 self.abandon_run(name, task, run);
-                self.mark_silent(now, name);
+                self.mark_unreachable(now, name);
             }
             OrderOutcome::Refused(Refusal::InvalidTicket) => {
-                self.drop_ticket(task.step, name);
+                self.invalidate_ticket(task.step, name);
                 self.abandon_run(name, task, run);
             }
             OrderOutcome::Refused(
                 Refusal::Unhealthy | Refusal::NoCapacity | Refusal::Malformed | Refusal::StaleRun,
             ) => {
                 if let Some(worker) = self.workers.get_mut(name) {
-                    worker.set_aside(now);
+                    worker.exclude(now);
                 }
                 self.abandon_run(name, task, run);
             }
         }
     }
 
+    /// The worker confirmed that it started a run.
     fn confirm_start(&mut self, now: Millis, name: &Name, task: TaskKey, run: u64) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if let Some(known) = worker.runs.get_mut(&(task, run))
             && known.phase == Phase::Starting
         {
-            known.begin(now);
-            self.note_run(task.step.job);
+            known.mark_started(now);
+            self.mark_job_started(task.step.job);
         }
     }
 
-    /// A worker surely began a task of a job.
-    pub(in crate::cell) fn note_run(&mut self, key: JobKey) {
+    /// Notes that a worker has started a task of a job.
+    pub(in crate::cell) fn mark_job_started(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get_mut(&key) {
             job.has_run = true;
         }
     }
 
-    /// What became of an order to stop a run.
-    pub fn stopped(
+    /// Handles the outcome of an order to stop a run.
+    pub fn on_stop_outcome(
         &mut self,
         now: Millis,
         name: &Name,
@@ -90,19 +91,19 @@
                 return self.actions.push(Action::Deposed);
             }
             OrderOutcome::Refused(Refusal::OtherIncarnation) => {
-                return self.remove_worker(now, name, Over::Replaced);
+                return self.remove_worker(now, name, RemovalReason::Replaced);
             }
             _ => {}
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(known) = worker.runs.get_mut(&(task, run)) else { return };
-        known.told = false;
+        known.stop_pending = false;
         match outcome {
             OrderOutcome::Done(_) | OrderOutcome::Refused(Refusal::StaleRun) => {
                 known.phase = Phase::Stopping(Some(now));
-                if !known.seen {
-                    // It may never have begun: then no end will be listed, and only the next
-                    // report shows that the room is free.
+                if !known.has_started {
+                    // The run may never have started. Then the worker reports no end of it, and only the next report shows
+                    // that its resources are free.
                     self.actions.push(Action::PollNow(name.clone()));
                 }
             }
@@ -112,16 +113,16 @@
         }
     }
 
-    /// Sends stops again that were not answered.
-    pub(in crate::cell) fn stop_again(&mut self) {
+    /// Sends the stops again that were not answered.
+    pub(in crate::cell) fn resend_stops(&mut self) {
         for (name, worker) in &mut self.workers {
-            let untold = worker
+            let unanswered = worker
                 .runs
                 .iter_mut()
-                .filter(|(_, run)| matches!(run.phase, Phase::Stopping(None)) && !run.told);
-            for ((task, no), run) in untold {
-                run.told = true;
-                self.actions.push(Action::Stop { worker: name.clone(), task: *task, run: *no });
+                .filter(|(_, run)| matches!(run.phase, Phase::Stopping(None)) && !run.stop_pending);
+            for ((task, number), run) in unanswered {
+                run.stop_pending = true;
+                self.actions.push(Action::Stop { worker: name.clone(), task: *task, run: *number });
             }
         }
     }
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -1,8 +1,8 @@
-//! Workers that start again under the id that they had.
+//! Workers whose process was restarted with the same id.
 //!
-//! What dies with a process is dropped here: what ran, the numbers of ends, the clock and with it the
-//! leases, and tickets. Which of two lives is the later one is known from reports alone: a worker is asked for
-//! one after the other, and an entry in the list may be of either life.
+//! State that ends with a process is dropped here: its runs, the numbers of its ends, its clock and with it the leases, and
+//! tickets. Which of two incarnations is the later one is known from reports alone: report calls to a worker follow one
+//! another, while an entry in the list of workers may belong to either incarnation.
 
 use crate::cell::jobs::crash::CrashResolution;
 use crate::cell::workers::worker::{Phase, Run};
@@ -13,84 +13,90 @@
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
-/// What became of a run whose worker started again.
+/// What becomes of a run when its worker has restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Left {
-    /// The new life has it.
+enum RunAfterRestart {
+    /// The new incarnation has it.
     Kept,
-    /// It ended with the life before, or was never sent.
+    /// It ended with the previous incarnation, or was never sent.
     Lost,
-    /// Its start was not answered: it may arrive still, and the new life has to be told to refuse it.
-    Loose,
+    /// Its start was not answered and may still arrive, so the new incarnation has to be told to refuse it.
+    InFlight,
 }
 
 impl Cell {
-    /// A report, asked for at `sent`, comes from another life of a worker than the one known here.
-    pub(in crate::cell) fn restart(
+    /// Handles a report from another incarnation of a worker than the one known here; the report call was sent at `sent`.
+    pub(in crate::cell) fn on_worker_restart(
         &mut self,
         now: Millis,
         sent: Millis,
         name: &Name,
         report: &WorkerReport,
     ) {
-        let named = named_runs(report);
-        let left =
-            |(key, run): (&(TaskKey, u64), &Run)| (*key, left_of(run, sent, named.contains(key)));
+        let reported = reported_runs(report);
+        let left = |(key, run): (&(TaskKey, u64), &Run)| {
+            (*key, run_after_restart(run, sent, reported.contains(key)))
+        };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let over = worker.life();
-        let all: Vec<((TaskKey, u64), Left)> = worker.runs.iter().map(left).collect();
+        let ended = worker.life();
+        let all: Vec<((TaskKey, u64), RunAfterRestart)> = worker.runs.iter().map(left).collect();
         let mut kept = Vec::new();
         for ((task, run), left) in &all {
-            if *left == Left::Kept {
-                kept.extend(worker.remove(*task, *run).map(|known| (*task, known)));
+            if *left == RunAfterRestart::Kept {
+                kept.extend(worker.remove_run(*task, *run).map(|known| (*task, known)));
             }
         }
-        // What is left there crashed with the worker.
+        // The remaining runs ended with the previous incarnation, which counts as a crash for their tasks.
         self.record_worker_crash(now, name, true);
-        self.resolve_crash(&over, CrashResolution::Ended);
+        self.resolve_crash(&ended, CrashResolution::Ended);
         let lease_end = now + Millis(self.config.max_lease.0 * 1_050 / 1_000);
         let batch = self.open_batch;
         let Some(worker) = self.workers.get_mut(name) else { return };
         let mut before = worker.restart(now, report.started_at, batch, lease_end);
         log::info!(
-            "event=worker-restarted worker={name} life={} was={over} runs={} kept={}",
+            "event=worker-restarted worker={name} life={} was={ended} runs={} kept={}",
             worker.life(),
             all.len(),
             kept.len()
         );
         for (task, run) in kept {
-            worker.add(task, run);
+            worker.add_run(task, run);
         }
         self.crash_counts.restarted += 1;
-        self.ended_lives.insert(over, now);
+        self.ended_lives.insert(ended, now);
         (self.workers_dirty, self.needs_placement) = (true, true);
         for ((task, run), left) in all {
             match left {
-                Left::Kept => {}
-                Left::Lost => {
+                RunAfterRestart::Kept => {}
+                RunAfterRestart::Lost => {
                     log::info!("event=run-lost task={task} run={run} worker={name} why=restarted");
                     self.requeue_task(task, run);
                 }
-                Left::Loose => {
-                    if let Some(known) = before.remove(task, run) {
-                        self.bar(name, task, known);
+                RunAfterRestart::InFlight => {
+                    if let Some(known) = before.remove_run(task, run) {
+                        self.reject_stale_run(name, task, known);
                     }
                 }
             }
         }
-        self.forget_clearance(name);
+        self.forget_clearances(name);
     }
 
-    /// The new life is told to refuse a run; until it says so the task waits, and its room is taken.
-    fn bar(&mut self, name: &Name, task: TaskKey, run: Run) {
+    /// Tells the new incarnation to refuse a run of the previous one. Until it confirms that, the task is not started again
+    /// and the resources of the run stay charged.
+    fn reject_stale_run(&mut self, name: &Name, task: TaskKey, run: Run) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let no = run.run;
-        worker.add(task, Run { phase: Phase::Stopping(None), told: true, is_barred: true, ..run });
+        worker.add_run(
+            task,
+            Run { phase: Phase::Stopping(None), stop_pending: true, is_stale: true, ..run },
+        );
         self.actions.push(Action::Stop { worker: name.clone(), task, run: no });
     }
 
-    /// Tickets hold for one life, and the next one may be of a kind that was denied.
-    fn forget_clearance(&mut self, name: &Name) {
+    /// Forgets tickets and denials for a worker. Tickets are valid for one incarnation, and the next one may be of another
+    /// kind.
+    fn forget_clearances(&mut self, name: &Name) {
         for job in self.jobs.values_mut().filter(|job| job.is_open() && job.queue.advice.is_some())
         {
             for step in &mut job.steps {
@@ -100,33 +106,35 @@
         }
     }
 
-    /// The list tells of another life of a worker than the one that last reported: a later one, as those
-    /// that are over are known. It is asked at once, and gets nothing new until it has reported.
-    pub(in crate::cell) fn expect_life(&mut self, now: Millis, listed: &WorkerInfo) {
+    /// Handles a list entry with another incarnation of a worker than the one that last reported. It is a later one, because
+    /// incarnations that ended are known. The worker is asked for a report at once, and gets no new tasks until it reports.
+    pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &WorkerInfo) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
-        let is_news =
-            worker.is_other(listed.started_at) && worker.listed.started_at != listed.started_at;
-        if is_news {
-            worker.doubt(now);
+        let is_new = worker.is_other_incarnation(listed.started_at)
+            && worker.listed.started_at != listed.started_at;
+        if is_new {
+            worker.mark_unanswered(now);
             self.actions.push(Action::PollNow(listed.id.clone()));
         }
     }
 }
 
-fn named_runs(report: &WorkerReport) -> BTreeSet<(TaskKey, u64)> {
+/// The runs that a report names as running or ended.
+fn reported_runs(report: &WorkerReport) -> BTreeSet<(TaskKey, u64)> {
     let running = report.running.iter().map(|row| (row.task, row.run));
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
 
-fn left_of(run: &Run, sent: Millis, is_named: bool) -> Left {
+/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation reported the run.
+fn run_after_restart(run: &Run, sent: Millis, is_reported: bool) -> RunAfterRestart {
     match run.phase {
-        _ if is_named => Left::Kept,
-        _ if !run.is_sent => Left::Lost,
-        // Answered after the new life was asked, so by the new life.
-        Phase::Running(at) if at >= sent => Left::Kept,
-        _ if run.seen => Left::Lost,
-        // Bound by an earlier owner, which may have sent it.
-        Phase::Running(_) => Left::Lost,
-        Phase::Starting | Phase::Stopping(_) => Left::Loose,
+        _ if is_reported => RunAfterRestart::Kept,
+        _ if !run.is_sent => RunAfterRestart::Lost,
+        // It was confirmed after the report call was sent, so by the new incarnation.
+        Phase::Running(at) if at >= sent => RunAfterRestart::Kept,
+        _ if run.has_started => RunAfterRestart::Lost,
+        // It was assigned by an earlier owner, which may have sent it.
+        Phase::Running(_) => RunAfterRestart::Lost,
+        Phase::Starting | Phase::Stopping(_) => RunAfterRestart::InFlight,
     }
 }
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -1,7 +1,7 @@
 //! `node`: runs an entry on the platform, with the platform's settings file.
 
 use crate::cell::mechanism::DisabledMechanisms;
-use crate::cell::owner::map::CELL_WORKERS;
+use crate::cell::owner::cell_map::MIN_CELL_WORKERS;
 use crate::cmd::{RefusedError, Run};
 use crate::logs;
 use crate::node::Node;
@@ -28,7 +28,7 @@
     #[bpaf(argument("ADDR"))]
     advertise: Option<String>,
     /// Minimum number of workers of a cell, if the fleet has at least twice as many; used when the fleet first starts
-    #[bpaf(argument("COUNT"), fallback(CELL_WORKERS), display_fallback)]
+    #[bpaf(argument("COUNT"), fallback(MIN_CELL_WORKERS), display_fallback)]
     cell_workers: NonZeroUsize,
     /// Mechanisms to disable, to measure their effect
     #[bpaf(argument("NAME,..."), fallback(DisabledMechanisms::default()), hide)]
--- a/tests/cellworld/lasting.rs
+++ b/tests/cellworld/lasting.rs
@@ -212,7 +212,7 @@
         let tickets = cleared.map(|name| (name.clone(), "ticket".into())).collect();
         let answer = Some(ClearedWorkers { tickets, valid_for: None });
         let cell = &mut self.owners[owner].cell;
-        cell.advised(Millis(self.now), entry, question.step, &question.workers, answer);
+        cell.handle_advice(Millis(self.now), entry, question.step, &question.workers, answer);
         self.advance_owner(owner);
     }
 
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -19,7 +19,7 @@
 pub use search::*;
 
 use fastrand::Rng;
-use sprucerudder::cell::advising::advice::AdviceRequest;
+use sprucerudder::cell::advice::queue::AdviceRequest;
 use sprucerudder::cell::jobs::wait_reason::WaitReason;
 use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::{Batch, Snapshot};
@@ -640,8 +640,8 @@
                 let is_other = life.is_some_and(|life| cell.has_restarted(&life));
                 let outcome = if is_other { OrderOutcome::Unknown } else { outcome };
                 match start {
-                    true => cell.started(now, &worker, task, run, outcome),
-                    false => cell.stopped(now, &worker, task, run, outcome),
+                    true => cell.on_start_outcome(now, &worker, task, run, outcome),
+                    false => cell.on_stop_outcome(now, &worker, task, run, outcome),
                 }
                 self.advance_owner(owner);
             }
@@ -654,10 +654,10 @@
                 let cell = &mut self.owners[owner].cell;
                 let pause = match &result {
                     Ok(report) => {
-                        cell.held(now, Millis(sent), &worker, report);
+                        cell.on_report(now, Millis(sent), &worker, report);
                         false
                     }
-                    Err(err) => cell.unheld(now, &worker, err),
+                    Err(err) => cell.on_missing_report(now, &worker, err),
                 };
                 self.advance_owner(owner);
                 let wait = if pause { 250 } else { 0 };
@@ -839,7 +839,7 @@
             false => self.owners[owner].cell.give_up_starts("no-authority"),
         }
         if self.relies_on_peers(owner) {
-            self.owners[owner].cell.send_unkept(Millis(self.now));
+            self.owners[owner].cell.send_unstored(Millis(self.now));
         }
         for action in self.owners[owner].cell.take_actions() {
             self.count_preemption(owner, &action);
@@ -869,9 +869,7 @@
                     }
                 }
                 Action::Deposed => self.depose(owner),
-                Action::RequestAdvice { entry, request: question } => {
-                    self.ask_advice(owner, entry, question)
-                }
+                Action::RequestAdvice { entry, request } => self.ask_advice(owner, entry, request),
                 Action::Pace { .. } | Action::PollNow(_) | Action::Unwatch(_) => {}
             }
         }
--- a/tests/crashworld/mod.rs
+++ b/tests/crashworld/mod.rs
@@ -372,10 +372,10 @@
     fn poll_reports(&mut self) {
         let now = Millis(self.now);
         for name in self.polled.clone() {
-            let Some(hold) = self.cell.hold(now, &name, true) else { continue };
+            let Some(hold) = self.cell.report_call(now, &name, true) else { continue };
             let result = self.call_worker(&name);
             match result {
-                Err(err) => drop(self.cell.unheld(now, &name, &err)),
+                Err(err) => drop(self.cell.on_missing_report(now, &name, &err)),
                 Ok(index) => {
                     self.renew_lease(index, hold.lease_end);
                     let host = &mut self.hosts[index];
@@ -390,7 +390,7 @@
                         ended: host.ended.clone(),
                         ..WorkerReport::default()
                     };
-                    self.cell.held(now, now, &name, &report);
+                    self.cell.on_report(now, now, &name, &report);
                 }
             }
         }
@@ -407,7 +407,7 @@
             return;
         }
         if self.store_down > self.now {
-            self.cell.send_unkept(Millis(self.now));
+            self.cell.send_unstored(Millis(self.now));
             return;
         }
         while let Some(batch) = self.cell.take_batch(Millis(self.now)) {
@@ -436,7 +436,7 @@
                         Err(ReportError::Refused(refusal)) => OrderOutcome::Refused(refusal),
                         Err(ReportError::NoReply(_)) => OrderOutcome::Unknown,
                     };
-                    self.cell.started(now, &worker, start.task, start.run, outcome);
+                    self.cell.on_start_outcome(now, &worker, start.task, start.run, outcome);
                 }
                 Action::Stop { worker, task, run } => {
                     let outcome = match self.call_worker(&worker) {
@@ -448,7 +448,7 @@
                         Err(ReportError::Refused(refusal)) => OrderOutcome::Refused(refusal),
                         Err(ReportError::NoReply(_)) => OrderOutcome::Unknown,
                     };
-                    self.cell.stopped(now, &worker, task, run, outcome);
+                    self.cell.on_stop_outcome(now, &worker, task, run, outcome);
                 }
                 Action::Watch(listed) => drop(self.polled.insert(listed.id)),
                 Action::Unwatch(worker) => drop(self.polled.remove(&worker)),
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,8 +1,8 @@
 //! When an entry claims the cell.
 
 use sprucerudder::cell::owner::authority::Authority;
-use sprucerudder::cell::owner::election::{Election, Record, SILENCE};
-use sprucerudder::cell::owner::lag::Lag;
+use sprucerudder::cell::owner::election::{Election, ElectionRecord, OWNER_TIMEOUT};
+use sprucerudder::cell::owner::lag::TickLag;
 use sprucerudder::clock::Millis;
 use sprucerudder::id::EntryId;
 
@@ -17,9 +17,10 @@
 fn follower(name: &str, cpu: u32) -> Election {
     let mut election = Election::new(entry(name), cpu, Millis(0));
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
-    election.add(Millis(1), 0, Record::Claim { owner: owner.clone(), addr });
-    let beat = Record::Beat { epoch: 1, owner, addr: "1.2.3.4:5".into(), most: LARGE };
-    election.add(Millis(2), 1, beat);
+    election.apply(Millis(1), 0, ElectionRecord::Claim { owner: owner.clone(), addr });
+    let beat =
+        ElectionRecord::Heartbeat { epoch: 1, owner, addr: "1.2.3.4:5".into(), largest_cpu: LARGE };
+    election.apply(Millis(2), 1, beat);
     election.caught_up(Millis(2));
     election
 }
@@ -29,7 +30,7 @@
     let times = (0..1_000).map(|index| 10 + index * 10);
     let mut claims = times.filter(|at| {
         election.caught_up(Millis(*at));
-        election.claim(Millis(*at)).is_some()
+        election.try_claim(Millis(*at)).is_some()
     });
     claims.next().unwrap_or(u64::MAX)
 }
@@ -38,7 +39,7 @@
 fn a_large_entry_claims_at_once_and_a_small_one_later() {
     let large = first_claim(&mut follower("large", LARGE));
     let small = first_claim(&mut follower("small", SMALL));
-    assert!(large <= 2 + SILENCE.0 + 10, "{large}");
+    assert!(large <= 2 + OWNER_TIMEOUT.0 + 10, "{large}");
     assert!(small >= large + 200, "{small} after {large}");
     assert!(small <= large + 400, "{small} after {large}");
 }
@@ -47,8 +48,12 @@
 fn entries_of_one_size_do_not_wait_for_each_other() {
     let mut election = follower("one", SMALL);
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
-    election.add(Millis(3), 2, Record::Beat { epoch: 1, owner, addr, most: SMALL });
-    assert!(first_claim(&mut election) <= 3 + SILENCE.0 + 10);
+    election.apply(
+        Millis(3),
+        2,
+        ElectionRecord::Heartbeat { epoch: 1, owner, addr, largest_cpu: SMALL },
+    );
+    assert!(first_claim(&mut election) <= 3 + OWNER_TIMEOUT.0 + 10);
 }
 
 #[test]
@@ -61,24 +66,24 @@
 #[test]
 fn a_new_owner_ends_the_wait_of_a_small_entry() {
     let mut election = follower("small", SMALL);
-    let late = 2 + SILENCE.0 + 100;
+    let late = 2 + OWNER_TIMEOUT.0 + 100;
     election.caught_up(Millis(late));
-    assert_eq!(election.claim(Millis(late)), None);
-    let record = Record::Claim { owner: entry("large"), addr: "1.2.3.4:6".into() };
-    election.add(Millis(late + 1), 2, record);
-    assert!(first_claim(&mut election) >= late + SILENCE.0);
+    assert_eq!(election.try_claim(Millis(late)), None);
+    let record = ElectionRecord::Claim { owner: entry("large"), addr: "1.2.3.4:6".into() };
+    election.apply(Millis(late + 1), 2, record);
+    assert!(first_claim(&mut election) >= late + OWNER_TIMEOUT.0);
 }
 
 #[test]
 fn only_an_entry_heard_for_a_while_that_reads_the_log_counts_as_larger() {
     let (mut authority, name) = (Authority::new(Millis(0)), "large".into());
-    authority.join(Millis(100), &name, LARGE);
-    assert_eq!(authority.largest(Millis(200)), 0, "it has just connected");
-    authority.hear(Millis(1_900), &name, true);
-    assert_eq!(authority.largest(Millis(2_000)), LARGE);
-    assert_eq!(authority.largest(Millis(2_900)), 0, "it has not been heard lately");
-    authority.hear(Millis(3_000), &name, false);
-    assert_eq!(authority.largest(Millis(3_010)), 0, "it cannot read the log");
+    authority.add_peer(Millis(100), &name, LARGE);
+    assert_eq!(authority.largest_peer_cpu(Millis(200)), 0, "it has just connected");
+    authority.update_peer(Millis(1_900), &name, true);
+    assert_eq!(authority.largest_peer_cpu(Millis(2_000)), LARGE);
+    assert_eq!(authority.largest_peer_cpu(Millis(2_900)), 0, "it has not been heard lately");
+    authority.update_peer(Millis(3_000), &name, false);
+    assert_eq!(authority.largest_peer_cpu(Millis(3_010)), 0, "it cannot read the log");
 }
 
 #[test]
@@ -86,9 +91,10 @@
     let restarted = EntryId { name: "owner".into(), incarnation: 2 };
     let mut election = Election::new(restarted, LARGE, Millis(0));
     let (owner, addr) = (entry("owner"), "1.2.3.4:5".into());
-    election.add(Millis(1), 0, Record::Claim { owner: owner.clone(), addr });
-    let beat = Record::Beat { epoch: 1, owner, addr: "1.2.3.4:5".into(), most: LARGE };
-    election.add(Millis(2), 1, beat);
+    election.apply(Millis(1), 0, ElectionRecord::Claim { owner: owner.clone(), addr });
+    let beat =
+        ElectionRecord::Heartbeat { epoch: 1, owner, addr: "1.2.3.4:5".into(), largest_cpu: LARGE };
+    election.apply(Millis(2), 1, beat);
     assert_eq!(first_claim(&mut election), 10);
 }
 
@@ -99,7 +105,7 @@
     let times = (0..300).map(|index| back + index * 10);
     let mut claims = times.filter(|at| {
         election.caught_up(Millis(*at));
-        election.claim(Millis(*at)).is_some()
+        election.try_claim(Millis(*at)).is_some()
     });
     let claimed = claims.next().unwrap_or(u64::MAX) - back;
     assert!((800..900).contains(&claimed), "{claimed} ms after the log became readable");
@@ -109,32 +115,32 @@
 
 /// Runs ticks that come `late` milliseconds after they are due, for two seconds from `from` on;
 /// returns the time then.
-fn tick_late(lag: &mut Lag, from: u64, late: u64) -> u64 {
+fn tick_late(lag: &mut TickLag, from: u64, late: u64) -> u64 {
     let mut now = from;
     while now < from + 2_000 {
         now += TICK_INTERVAL.0 + late;
-        lag.tick(Millis(now), TICK_INTERVAL);
+        lag.record_tick(Millis(now), TICK_INTERVAL);
     }
     now
 }
 
 #[test]
 fn an_overloaded_owner_hands_the_cell_over_but_not_at_once() {
-    let mut lag = Lag::new(Millis(0));
+    let mut lag = TickLag::new(Millis(0));
     let early = tick_late(&mut lag, 0, 400);
-    assert!(!lag.is_heavy(Millis(early)), "it has just taken the cell over");
+    assert!(!lag.should_hand_over(Millis(early)), "it has just taken the cell over");
     let steady = tick_late(&mut lag, 10_000, 1);
-    assert!(!lag.is_heavy(Millis(steady)), "it keeps up");
-    lag.tick(Millis(steady + 20_000), TICK_INTERVAL);
-    assert!(!lag.is_heavy(Millis(steady + 20_000)), "a single pause is over");
+    assert!(!lag.should_hand_over(Millis(steady)), "it keeps up");
+    lag.record_tick(Millis(steady + 20_000), TICK_INTERVAL);
+    assert!(!lag.should_hand_over(Millis(steady + 20_000)), "a single pause is over");
     let slow = tick_late(&mut lag, steady + 20_000, 400);
-    assert!(lag.is_heavy(Millis(slow)));
+    assert!(lag.should_hand_over(Millis(slow)));
 }
 
 #[test]
 fn an_entry_that_backs_off_leaves_a_vacant_cell_to_others() {
     let mut election = follower("slow", LARGE);
-    election.add(Millis(10), 2, Record::Release { epoch: 1 });
+    election.apply(Millis(10), 2, ElectionRecord::Release { epoch: 1 });
     election.back_off(Millis(3_000));
     let claimed = first_claim(&mut election);
     assert!((3_000..3_100).contains(&claimed), "{claimed}");
@@ -143,14 +149,14 @@
 #[test]
 fn an_overloaded_owner_rejects_new_jobs_until_it_has_recovered() {
     const TICK_INTERVAL: Millis = Millis(100);
-    let mut lag = Lag::new(Millis(0));
+    let mut lag = TickLag::new(Millis(0));
     let mut now = 0;
-    let mut run = |lag: &mut Lag, ticks: u64, late: u64| {
+    let mut run = |lag: &mut TickLag, ticks: u64, late: u64| {
         (0..ticks).find(|_| {
-            let before = lag.sheds();
+            let before = lag.is_shedding();
             now += TICK_INTERVAL.0 + late;
-            lag.tick(Millis(now), TICK_INTERVAL);
-            lag.sheds() != before
+            lag.record_tick(Millis(now), TICK_INTERVAL);
+            lag.is_shedding() != before
         })
     };
     // The owner keeps up, also with a pause of a second.
@@ -169,10 +175,10 @@
 fn an_owner_that_got_a_cell_for_overload_does_not_hand_it_over_again() {
     let mut election = follower("one", SMALL);
     assert!(election.may_hand_over(Millis(10)));
-    election.add(Millis(100), 2, Record::Overloaded { epoch: 1 });
+    election.apply(Millis(100), 2, ElectionRecord::Overloaded { epoch: 1 });
     assert!(election.is_vacant(), "it is vacant at once");
     let (owner, addr) = (entry("one"), "1.2.3.5:5".into());
-    election.add(Millis(200), 3, Record::Claim { owner, addr });
+    election.apply(Millis(200), 3, ElectionRecord::Claim { owner, addr });
     assert!(!election.is_vacant());
     assert!(!election.may_hand_over(Millis(20_000)), "the load is too high for any owner");
     assert!(election.may_hand_over(Millis(40_000)));
@@ -183,15 +189,17 @@
 /// reports.
 #[test]
 fn an_overloaded_owner_waits_longer_for_workers_until_it_has_recovered() {
-    let mut lag = Lag::new(Millis(0));
+    let mut lag = TickLag::new(Millis(0));
     let usual = lag.timeouts();
     let steady = tick_late(&mut lag, 0, 1);
     assert_eq!(lag.timeouts(), usual, "it keeps up");
-    lag.tick(Millis(steady + 1_000), TICK_INTERVAL);
+    lag.record_tick(Millis(steady + 1_000), TICK_INTERVAL);
     assert_eq!(lag.timeouts(), usual, "a single pause");
     let slow = tick_late(&mut lag, steady + 1_000, 400);
     let late = lag.timeouts();
-    assert!(late.report > usual.report && late.order > usual.order && late.pause > usual.pause);
+    assert!(
+        late.report > usual.report && late.order > usual.order && late.interval > usual.interval
+    );
     tick_late(&mut lag, slow, 1);
     assert_eq!(lag.timeouts(), usual, "it keeps up again");
 }
--- a/tests/lifeworld/mod.rs
+++ b/tests/lifeworld/mod.rs
@@ -438,13 +438,13 @@
     fn poll_reports(&mut self) {
         let now = Millis(self.now);
         for id in self.polled.clone() {
-            let Some(hold) = self.cell.hold(now, &id, true) else { continue };
+            let Some(hold) = self.cell.report_call(now, &id, true) else { continue };
             let index = self.host_index(&id);
             let host = &mut self.hosts[index];
             if host.unreachable_until > self.now || host.lost_reports > 0 {
                 host.lost_reports = host.lost_reports.saturating_sub(1);
                 let silent = ReportError::NoReply("report lost".to_string());
-                self.cell.unheld(now, &id, &silent);
+                self.cell.on_missing_report(now, &id, &silent);
                 continue;
             }
             let incarnation = &mut host.incarnation;
@@ -466,7 +466,7 @@
                 running: running.collect(),
                 ended: incarnation.ended.clone(),
             };
-            self.cell.held(now, now, &id, &report);
+            self.cell.on_report(now, now, &id, &report);
         }
     }
 
@@ -491,20 +491,20 @@
             match action {
                 Action::Watch(listed) => drop(self.polled.insert(listed.id)),
                 Action::Unwatch(id) => drop(self.polled.remove(&id)),
-                Action::RequestAdvice { entry, request: question } => {
-                    self.questions.push(question.workers.clone());
+                Action::RequestAdvice { entry, request } => {
+                    self.questions.push(request.workers.clone());
                     if self.lost_answers > 0 {
                         self.lost_answers -= 1;
                         continue;
                     }
-                    let named = question.workers.iter();
+                    let named = request.workers.iter();
                     let cleared = named.filter(|id| {
                         self.cleared_workers.is_empty() || self.cleared_workers.contains(*id)
                     });
                     let tickets = cleared.map(|id| (id.clone(), "ticket".into())).collect();
                     let answer = sprucerudder::order::ClearedWorkers { tickets, valid_for: None };
-                    let (step, named) = (question.step, &question.workers);
-                    self.cell.advised(now, &entry, step, named, Some(answer));
+                    let (step, named) = (request.step, &request.workers);
+                    self.cell.handle_advice(now, &entry, step, named, Some(answer));
                 }
                 Action::Start { ref worker, .. } | Action::Stop { ref worker, .. } => {
                     let index = self.host_index(worker);
@@ -535,10 +535,10 @@
         let now = Millis(self.now);
         match action {
             Action::Start { worker, start, .. } => {
-                self.cell.started(now, worker, start.task, start.run, outcome);
+                self.cell.on_start_outcome(now, worker, start.task, start.run, outcome);
             }
             Action::Stop { worker, task, run } => {
-                self.cell.stopped(now, worker, *task, *run, outcome);
+                self.cell.on_stop_outcome(now, worker, *task, *run, outcome);
             }
             _ => {}
         }
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -109,8 +109,8 @@
             let report =
                 WorkerReport { clock: self.now, running, ended, ..WorkerReport::default() };
             let name = worker.listed.id.clone();
-            self.cell.hold(now, &name, true);
-            self.cell.held(now, now, &name, &report);
+            self.cell.report_call(now, &name, true);
+            self.cell.on_report(now, now, &name, &report);
         }
         self.cell.tick(now, now);
         self.cell.schedule(now);
@@ -133,7 +133,7 @@
         worker.runs.insert((start.task, start.run), (end, EndReason::Done));
         self.first.entry(start.task.step.job).or_insert(self.now);
         let done = OrderOutcome::Done(None);
-        self.cell.started(Millis(self.now), name, start.task, start.run, done);
+        self.cell.on_start_outcome(Millis(self.now), name, start.task, start.run, done);
     }
 
     fn stop(&mut self, name: &Name, task: TaskKey, run: u64) {
@@ -142,7 +142,7 @@
         if let Some(row) = worker.runs.get_mut(&(task, run)) {
             *row = (self.now + STOP, EndReason::Stopped);
         }
-        self.cell.stopped(Millis(self.now), name, task, run, OrderOutcome::Done(None));
+        self.cell.on_stop_outcome(Millis(self.now), name, task, run, OrderOutcome::Done(None));
     }
 }
 
