--- a/tests/accepting.rs
+++ b/tests/accepting.rs
@@ -1,7 +1,9 @@
-//! Jobs whose record is being written: they find workers meanwhile, and nothing of them starts before they are kept.
+//! Jobs whose record is still being written: the scheduler already assigns workers to their tasks,
+//! but starts none of them before the record is stored.
 //!
-//! A store 28 times slower than usual takes 112 ms a write. A short job waited for one to be accepted, for its turn to
-//! be asked about, for one that bound it, and for one that closed it: 0.7 s of the 0.75 s that it had to spare.
+//! This matters when the store is slow. At 28 times its usual latency, a write takes 112 ms. A
+//! short job that waited for its acceptance to be stored, then for its admission check, then for
+//! two more writes (its binding and its completion) spent 0.7 s of its 0.75 s of slack.
 
 mod lifeworld;
 
@@ -12,95 +14,102 @@
 use sprucerudder::workload::{JobKey, Room, Step, Work};
 use std::sync::Arc;
 
-fn submit(site: &mut Cluster, key: JobKey, step: Step) {
+fn submit_unstored(cluster: &mut Cluster, key: JobKey, step: Step) {
     let (first, every) = (Millis(0), Millis(0));
     let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
-    assert!(site.cell.submit(Millis(site.now), key, "q", Arc::new(work)).is_some());
+    assert!(cluster.cell.submit(Millis(cluster.now), key, "q", Arc::new(work)).is_some());
 }
 
-/// The starts that the cell orders now.
-fn starts(site: &mut Cluster) -> usize {
-    site.cell.schedule(Millis(site.now));
-    let actions = site.cell.take_actions();
+/// Runs the scheduler once and counts the start orders that it sends.
+fn schedule_starts(cluster: &mut Cluster) -> usize {
+    cluster.cell.schedule(Millis(cluster.now));
+    let actions = cluster.cell.take_actions();
     actions.iter().filter(|action| matches!(action, Action::Start { .. })).count()
 }
 
 #[test]
-fn a_job_starts_with_the_write_that_accepts_it() {
-    let mut site = Cluster::new(2);
-    submit(&mut site, job(1), step());
-    assert_eq!(starts(&mut site), 0, "it is not accepted yet");
-    let now = Millis(site.now);
-    let batch = site.cell.take_batch(now).expect("its record");
-    assert!(site.cell.take_batch(now).is_none(), "its binding is in the same batch");
-    site.cell.mark_stored(now, batch.number);
-    assert_eq!(starts(&mut site), 1);
+fn a_job_starts_once_the_write_that_accepts_it_is_stored() {
+    let mut cluster = Cluster::new(2);
+    submit_unstored(&mut cluster, job(1), step());
+    assert_eq!(schedule_starts(&mut cluster), 0, "the job is not accepted yet");
+    let now = Millis(cluster.now);
+    let batch = cluster.cell.take_batch(now).expect("the job's record");
+    assert!(
+        cluster.cell.take_batch(now).is_none(),
+        "the binding is in the same batch as the job's record"
+    );
+    cluster.cell.mark_stored(now, batch.number);
+    assert_eq!(schedule_starts(&mut cluster), 1);
 }
 
 #[test]
-fn a_job_that_is_given_back_never_starts_and_leaves_its_room() {
-    let mut site = Cluster::new(1);
-    let whole = Step { room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
-    submit(&mut site, job(1), whole.clone());
-    assert_eq!(starts(&mut site), 0);
-    let now = Millis(site.now);
-    let batch = site.cell.take_batch(now).expect("its record");
-    assert_eq!(site.cell.withdraw_batch(batch.number), [job(1)]);
-    site.cell.mark_stored(now, batch.number);
-    assert_eq!(starts(&mut site), 0);
-    site.submit_step(job(2), whole);
-    site.run_for(100);
-    assert_eq!((site.start_count(job(1)), site.start_count(job(2))), (0, 1));
+fn a_withdrawn_job_never_starts_and_frees_its_resources() {
+    let mut cluster = Cluster::new(1);
+    let whole_worker = Step { room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
+    submit_unstored(&mut cluster, job(1), whole_worker.clone());
+    assert_eq!(schedule_starts(&mut cluster), 0);
+    let now = Millis(cluster.now);
+    let batch = cluster.cell.take_batch(now).expect("the job's record");
+    assert_eq!(cluster.cell.withdraw_batch(batch.number), [job(1)]);
+    cluster.cell.mark_stored(now, batch.number);
+    assert_eq!(schedule_starts(&mut cluster), 0);
+    cluster.submit_step(job(2), whole_worker);
+    cluster.run_for(100);
+    assert_eq!((cluster.start_count(job(1)), cluster.start_count(job(2))), (0, 1));
 }
 
 #[test]
-fn all_records_of_a_job_that_is_given_back_are_left_out() {
-    // The owner leaves out what is of jobs that it gave back. Since jobs find workers while their record is written, that
-    // is a binding and a workspace too, under keys of their own.
-    let mut site = Cluster::new(1);
-    site.submit_for(job(1), step(), "workspace");
-    assert_eq!(starts(&mut site), 0);
-    let batch = site.cell.take_batch(Millis(site.now)).expect("its records");
-    let of = |key: &str| journal::parse_key(key).map(|(job, _)| job);
-    let records = batch.records.iter().filter(|(key, _)| of(key) == Some(job(1)));
+fn every_record_of_a_withdrawn_job_is_recognized() {
+    // The owner omits the records of withdrawn jobs from a batch. Since workers are assigned while
+    // a job's record is being written, these include its binding and its workspace, which are
+    // stored under keys of their own.
+    let mut cluster = Cluster::new(1);
+    cluster.submit_for(job(1), step(), "workspace");
+    assert_eq!(schedule_starts(&mut cluster), 0);
+    let batch = cluster.cell.take_batch(Millis(cluster.now)).expect("the job's records");
+    let job_of = |key: &str| journal::parse_key(key).map(|(job, _)| job);
+    let records = batch.records.iter().filter(|(key, _)| job_of(key) == Some(job(1)));
     assert_eq!(records.count(), 3, "{:?}", batch.records);
-    assert_eq!(of("roster.born"), None);
+    assert_eq!(job_of("roster.born"), None);
 }
 
 #[test]
-fn nothing_unaccepted_starts_while_the_store_is_away() {
-    // The owner sends starts whose bindings are not kept while the store is away for everybody. A job whose own record
-    // is not kept may be given back to its caller, who was then told that it had not run.
-    let mut site = Cluster::new(1);
-    submit(&mut site, job(1), step());
-    assert_eq!(starts(&mut site), 0);
-    site.cell.send_unstored(Millis(site.now));
-    assert_eq!(starts(&mut site), 0);
+fn no_unaccepted_job_starts_during_a_store_outage() {
+    // During a store outage that affects everybody, the owner sends starts whose bindings are not
+    // stored. A job whose own record is not stored may still be withdrawn; its caller is then told
+    // that it has not run.
+    let mut cluster = Cluster::new(1);
+    submit_unstored(&mut cluster, job(1), step());
+    assert_eq!(schedule_starts(&mut cluster), 0);
+    cluster.cell.send_unstored(Millis(cluster.now));
+    assert_eq!(schedule_starts(&mut cluster), 0);
 }
 
 #[test]
-fn a_start_that_is_held_back_while_the_store_is_away_goes_out_once_it_is_back() {
-    // An owner sent what it could while the store was away, and forgot the starts of jobs that were not accepted yet. The
-    // store was back and had them, and they waited for good: nothing else ends the wait of a start that was never sent.
-    let mut site = Cluster::new(1);
-    submit(&mut site, job(1), step());
-    assert_eq!(starts(&mut site), 0);
-    let now = Millis(site.now);
-    site.cell.send_unstored(now);
-    let batch = site.cell.take_batch(now).expect("its record");
-    site.cell.mark_stored(now, batch.number);
-    assert_eq!(starts(&mut site), 1);
+fn a_start_held_back_during_a_store_outage_is_sent_afterwards() {
+    // Fault: during a store outage the owner sent the starts that it could and forgot those of jobs
+    // that were not accepted yet. After the outage their bindings were stored, but the jobs waited
+    // forever, since nothing else ends the wait of a start that was never sent.
+    let mut cluster = Cluster::new(1);
+    submit_unstored(&mut cluster, job(1), step());
+    assert_eq!(schedule_starts(&mut cluster), 0);
+    let now = Millis(cluster.now);
+    cluster.cell.send_unstored(now);
+    let batch = cluster.cell.take_batch(now).expect("the job's record");
+    cluster.cell.mark_stored(now, batch.number);
+    assert_eq!(schedule_starts(&mut cluster), 1);
 }
 
 #[test]
-fn a_job_that_is_not_accepted_stops_nothing() {
-    let mut site = Cluster::new(1);
-    let saves = Step { saves: true, room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
-    site.submit_step(job(1), Step { estimate: Millis(60_000), ..saves.clone() });
-    site.run_for(40);
-    submit(&mut site, job(2), saves);
-    site.now += 1_000;
-    site.cell.schedule(Millis(site.now));
-    let stops = site.cell.take_actions().into_iter().filter(|a| matches!(a, Action::Stop { .. }));
+fn an_unaccepted_job_preempts_nothing() {
+    let mut cluster = Cluster::new(1);
+    let saving_step = Step { saves: true, room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
+    cluster.submit_step(job(1), Step { estimate: Millis(60_000), ..saving_step.clone() });
+    cluster.run_for(40);
+    submit_unstored(&mut cluster, job(2), saving_step);
+    cluster.now += 1_000;
+    cluster.cell.schedule(Millis(cluster.now));
+    let stops =
+        cluster.cell.take_actions().into_iter().filter(|a| matches!(a, Action::Stop { .. }));
     assert_eq!(stops.count(), 0);
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,7 +1,8 @@
-//! Records as 0.5.0 wrote them are read by this version, and written the same: entries of both versions
-//! own cells in turn while a fleet is replaced entry by entry.
+//! Records written by version 0.5.0 are read by this version and written back unchanged: during a
+//! rolling upgrade, entries of both versions own cells in turn.
 //!
-//! `UPDATE_GOLDEN=1 cargo test --test golden` writes the files; those of a version stay as that wrote them.
+//! `UPDATE_GOLDEN=1 cargo test --test golden` writes the file. The file of a released version must
+//! stay as that version wrote it.
 
 use sprucerudder::cell::jobs::restart_policy::Evidence;
 use sprucerudder::cell::owner::election::ElectionRecord;
@@ -15,8 +16,8 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-const FILE: &str = "tests/golden/records-0.5.0.txt";
-const JOB: JobKey = JobKey(0x68aa_a70a_b6d3_eae3);
+const GOLDEN_PATH: &str = "tests/golden/records-0.5.0.txt";
+const JOB_KEY: JobKey = JobKey(0x68aa_a70a_b6d3_eae3);
 
 fn queue() -> Queue {
     Queue {
@@ -30,7 +31,7 @@
     }
 }
 
-fn open() -> JobRecord {
+fn open_job() -> JobRecord {
     let room = Room { cpu: 500, mem: 256, gpu: 1 };
     let first =
         Step { count: 4, room, estimate: Millis(900), near: "r1-3".into(), ..Step::default() };
@@ -41,7 +42,7 @@
     JobRecord::Open { queue: queue(), work: Arc::new(work) }
 }
 
-fn known() -> Progress {
+fn progress() -> Progress {
     let assignment = Some((1_030, "i-1".into()));
     let task =
         TaskProgress { index: 2, failed: vec![1_025], checkpoint: "0bb8".into(), assignment };
@@ -50,11 +51,11 @@
     }
 }
 
-fn members() -> Vec<WorkerRecord> {
+fn worker_records() -> Vec<WorkerRecord> {
     vec![WorkerRecord { id: "i-1".into(), service: "s".into(), addr: "10.1.64.25:8623".into() }]
 }
 
-fn claims() -> Vec<ElectionRecord> {
+fn election_records() -> Vec<ElectionRecord> {
     let owner = EntryId { name: "entry-1".into(), inc: 7 };
     let addr: sprucerudder::id::Name = "10.1.0.13:7720".into();
     vec![
@@ -65,18 +66,18 @@
     ]
 }
 
-/// Every record, a line each: its key and its bytes.
-fn lines() -> String {
+/// All records, one per line: the key and the value in hexadecimal.
+fn golden_lines() -> String {
     let closed = JobRecord::Closed { queue: "q".into(), outcome: JobOutcome::Failed };
     let mut records = vec![
-        put_job(JOB, &open()),
+        put_job(JOB_KEY, &open_job()),
         put_job(JobKey(2), &closed),
         put_job(JobKey(3), &JobRecord::Forwarded { cell: 5 }),
-        put_progress(JOB, &known()),
-        put_workers(&members()),
+        put_progress(JOB_KEY, &progress()),
+        put_workers(&worker_records()),
     ];
-    for (no, claim) in claims().iter().enumerate() {
-        records.push((format!("claim-{no}"), postcard::to_stdvec(claim).unwrap()));
+    for (no, record) in election_records().iter().enumerate() {
+        records.push((format!("claim-{no}"), postcard::to_stdvec(record).unwrap()));
     }
     let mut text = String::new();
     for (key, value) in records {
@@ -92,36 +93,39 @@
 }
 
 #[test]
-fn records_of_the_last_version_are_read_and_written_the_same() {
+fn records_of_version_0_5_0_are_read_and_written_unchanged() {
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        std::fs::write(FILE, lines()).unwrap();
+        std::fs::write(GOLDEN_PATH, golden_lines()).unwrap();
     }
-    let text = std::fs::read_to_string(FILE).unwrap();
-    assert_eq!(lines(), text);
+    let text = std::fs::read_to_string(GOLDEN_PATH).unwrap();
+    assert_eq!(golden_lines(), text);
     let mut snapshot = Snapshot::default();
-    let mut claimed = Vec::new();
+    let mut decoded_records = Vec::new();
     for line in text.lines() {
         let (key, hex) = line.split_once(' ').unwrap();
         match key.starts_with("claim-") {
-            true => claimed.push(postcard::from_bytes::<ElectionRecord>(&bytes(hex)).unwrap()),
+            true => {
+                decoded_records.push(postcard::from_bytes::<ElectionRecord>(&bytes(hex)).unwrap())
+            }
             false => snapshot.apply(key, &bytes(hex)).unwrap(),
         }
     }
-    assert_eq!(claimed, claims());
-    assert_eq!(snapshot.jobs[&JOB], open());
-    assert_eq!(snapshot.progress[&JOB], known());
-    assert_eq!(snapshot.workers, members());
+    assert_eq!(decoded_records, election_records());
+    assert_eq!(snapshot.jobs[&JOB_KEY], open_job());
+    assert_eq!(snapshot.progress[&JOB_KEY], progress());
+    assert_eq!(snapshot.workers, worker_records());
     assert_eq!(snapshot.jobs.len(), 3);
 }
 
-/// The crashes under a task as 0.8.0 wrote them, with a flag for whether the task ran alone.
-const CRASHES: &str = "01 00 01 02 02 05 692d314037 02 6131 00 01 03 692d32 02 6131 01 00";
+/// Crashes of a task as version 0.8.0 wrote them, with a flag for whether the task ran alone.
+const CRASH_RECORD_0_8_0: &str =
+    "01 00 01 02 02 05 692d314037 02 6131 00 01 03 692d32 02 6131 01 00";
 
 #[test]
-fn crashes_with_a_flag_are_read_as_seen() {
+fn crashes_written_with_an_alone_flag_are_read_as_evidence() {
     let mut snapshot = Snapshot::default();
-    snapshot.apply(&format!("{JOB}.c"), &bytes(&CRASHES.replace(' ', ""))).unwrap();
-    let crashes = &snapshot.crashes[&JOB][0].crashes;
+    snapshot.apply(&format!("{JOB_KEY}.c"), &bytes(&CRASH_RECORD_0_8_0.replace(' ', ""))).unwrap();
+    let crashes = &snapshot.crashes[&JOB_KEY][0].crashes;
     let read: Vec<_> = crashes.iter().map(|one| (one.evidence, one.is_confirmed)).collect();
     assert_eq!(read, [(Evidence::Shared, true), (Evidence::Alone, false)]);
     assert_eq!(crashes[0].worker.born, Some(Millis(7)));
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -1,4 +1,5 @@
-//! Large urgent tasks beside small ones of a less urgent queue that keep all workers partly taken.
+//! Preemption: large urgent tasks compete with small tasks of a less urgent queue that keep all
+//! workers partly occupied.
 
 use sprucerudder::cell::mechanism::DisabledMechanisms;
 use sprucerudder::cell::records::journal::Snapshot;
@@ -11,11 +12,12 @@
 use std::sync::Arc;
 
 const WORKERS: usize = 4;
-/// How long a small and a large task run, in milliseconds.
-const SMALL: u64 = 4_000;
-const LARGE: u64 = 3_000;
-/// How long a stop takes.
-const STOP: u64 = 400;
+/// Run time of a small task, in milliseconds.
+const SMALL_RUN_MS: u64 = 4_000;
+/// Run time of a large task, in milliseconds.
+const LARGE_RUN_MS: u64 = 3_000;
+/// Time that a worker takes to stop a run, in milliseconds.
+const STOP_MS: u64 = 400;
 
 fn queue(name: &str, priority: u32) -> (Name, Arc<Queue>) {
     let (name, service): (Name, Name) = (name.into(), "s".into());
@@ -32,38 +34,39 @@
     (name, Arc::new(row))
 }
 
-/// A worker with eight accelerators, and when each run there ends and how.
+/// A worker with eight accelerators; `runs` holds when and how each of its runs ends.
 struct Worker {
     listed: Listed,
     runs: BTreeMap<(TaskKey, u64), (u64, End)>,
-    count: u64,
+    end_count: u64,
 }
 
-/// An owner, its workers and a virtual clock.
-struct World {
+/// An owner with its workers on a virtual clock.
+struct Cluster {
     cell: Cell,
     workers: Vec<Worker>,
     now: u64,
-    /// When each job first started, and each stop.
-    first: BTreeMap<JobKey, u64>,
-    stops: Vec<(TaskKey, u64)>,
+    /// First start of each job.
+    first_starts: BTreeMap<JobKey, u64>,
+    stop_orders: Vec<(TaskKey, u64)>,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
-        let bounds = CellConfig {
+        let config = CellConfig {
             lease: Millis(6_000),
             max_lease: Millis(10_000),
             job_retention: Millis(100_000),
             disabled: DisabledMechanisms::default(),
         };
         let queues = HashMap::from([queue("large", 1), queue("small", 2)]);
-        let mut cell = Cell::new(1, bounds, queues, Snapshot::default(), false, Millis(0));
+        let mut cell = Cell::new(1, config, queues, Snapshot::default(), false, Millis(0));
         let workers: Vec<Worker> = (0..WORKERS).map(worker).collect();
         cell.set_workers(Millis(0), workers.iter().map(|worker| worker.listed.clone()).collect());
-        let mut world = Self { cell, workers, now: 1, first: BTreeMap::new(), stops: Vec::new() };
-        world.step();
-        world
+        let mut cluster =
+            Self { cell, workers, now: 1, first_starts: BTreeMap::new(), stop_orders: Vec::new() };
+        cluster.step();
+        cluster
     }
 
     fn submit(&mut self, key: u64, queue: &str, step: Step) {
@@ -77,27 +80,29 @@
         assert!(self.cell.submit(Millis(self.now), JobKey(key), queue, Arc::new(work)).is_some());
     }
 
-    /// 20 ms go by.
+    /// Advances the clock by 20 ms: workers report, the owner schedules, its orders are carried
+    /// out.
     fn step(&mut self) {
         self.now += 20;
         let now = Millis(self.now);
         for worker in &mut self.workers {
-            let due = |(_, (end, _)): &(&(TaskKey, u64), &(u64, End))| *end <= self.now;
-            let over: Vec<_> = worker.runs.iter().filter(due).map(|(k, v)| (*k, v.1)).collect();
+            let is_due = |(_, (end, _)): &(&(TaskKey, u64), &(u64, End))| *end <= self.now;
+            let ended_runs: Vec<_> =
+                worker.runs.iter().filter(is_due).map(|(k, v)| (*k, v.1)).collect();
             let mut ended = Vec::new();
-            for ((task, run), end) in over {
+            for ((task, run), end) in ended_runs {
                 worker.runs.remove(&(task, run));
-                worker.count += 1;
-                ended.push(EndedRow { no: worker.count, task, run, end, saved: "s".into() });
+                worker.end_count += 1;
+                ended.push(EndedRow { no: worker.end_count, task, run, end, saved: "s".into() });
             }
-            let goes_on = |(task, run): &(TaskKey, u64)| RunningRow {
+            let running_row = |(task, run): &(TaskKey, u64)| RunningRow {
                 task: *task,
                 run: *run,
                 saved: format!("{}", self.now / 500).into(),
                 percent: 100,
                 gauge: None,
             };
-            let running = worker.runs.keys().map(goes_on).collect();
+            let running = worker.runs.keys().map(running_row).collect();
             let report = Report { clock: self.now, running, ended, ..Report::default() };
             let name = worker.listed.id.clone();
             self.cell.report_call(now, &name, true);
@@ -119,19 +124,19 @@
 
     fn start(&mut self, name: &Name, start: &Start) {
         let large = start.task.step.job.0 >= 1_000;
-        let end = self.now + if large { LARGE } else { SMALL };
+        let end = self.now + if large { LARGE_RUN_MS } else { SMALL_RUN_MS };
         let worker = self.workers.iter_mut().find(|worker| worker.listed.id == *name).unwrap();
         worker.runs.insert((start.task, start.run), (end, End::Done));
-        self.first.entry(start.task.step.job).or_insert(self.now);
+        self.first_starts.entry(start.task.step.job).or_insert(self.now);
         let done = Outcome::Done(None);
         self.cell.on_start_outcome(Millis(self.now), name, start.task, start.run, done);
     }
 
     fn stop(&mut self, name: &Name, task: TaskKey, run: u64) {
-        self.stops.push((task, self.now));
+        self.stop_orders.push((task, self.now));
         let worker = self.workers.iter_mut().find(|worker| worker.listed.id == *name).unwrap();
         if let Some(row) = worker.runs.get_mut(&(task, run)) {
-            *row = (self.now + STOP, End::Stopped);
+            *row = (self.now + STOP_MS, End::Stopped);
         }
         self.cell.on_stop_outcome(Millis(self.now), name, task, run, Outcome::Done(None));
     }
@@ -149,7 +154,7 @@
         labels: Vec::new(),
         leaving: None,
     };
-    Worker { listed, runs: BTreeMap::new(), count: 0 }
+    Worker { listed, runs: BTreeMap::new(), end_count: 0 }
 }
 
 fn tasks(count: u32, gpu: u64) -> Step {
@@ -157,107 +162,110 @@
     Step { count, room, saves: true, estimate: Millis(3_000), ..Step::default() }
 }
 
-/// The longest wait of large jobs of one whole worker each, one every 1.5 s, while small jobs of one
-/// accelerator come faster than they can be served.
-fn longest_wait(small: Step) -> (u64, World) {
-    let mut world = World::new();
-    let mut sent = BTreeMap::new();
+/// Longest wait in milliseconds of large jobs that each fill a worker. One is submitted every 1.5
+/// s, while small jobs of one accelerator arrive faster than they can be served.
+fn longest_wait(small: Step) -> (u64, Cluster) {
+    let mut cluster = Cluster::new();
+    let mut submitted_at = BTreeMap::new();
     for no in 0..900 {
         if no % 5 == 0 {
-            world.submit(no + 1, "small", small.clone());
+            cluster.submit(no + 1, "small", small.clone());
         }
         if no > 100 && no % 75 == 0 {
-            world.submit(1_000 + no, "large", tasks(1, 8));
-            sent.insert(JobKey(1_000 + no), world.now);
+            cluster.submit(1_000 + no, "large", tasks(1, 8));
+            submitted_at.insert(JobKey(1_000 + no), cluster.now);
         }
-        world.step();
+        cluster.step();
     }
-    let waits = sent.iter().filter(|(_, at)| **at < world.now - 4_000);
-    let wait = |(job, at): (&JobKey, &u64)| world.first.get(job).map_or(u64::MAX, |time| time - at);
-    (waits.map(wait).max().unwrap(), world)
+    let waits = submitted_at.iter().filter(|(_, at)| **at < cluster.now - 4_000);
+    let wait = |(job, at): (&JobKey, &u64)| {
+        cluster.first_starts.get(job).map_or(u64::MAX, |time| time - at)
+    };
+    (waits.map(wait).max().unwrap(), cluster)
 }
 
 #[test]
-fn large_urgent_tasks_start_soon_among_small_ones_that_come_all_the_time() {
-    let (wait, world) = longest_wait(tasks(1, 1));
+fn large_urgent_tasks_start_soon_despite_a_stream_of_small_ones() {
+    let (wait, cluster) = longest_wait(tasks(1, 1));
     assert!(wait < 2_500, "{wait} ms");
-    assert!(!world.stops.is_empty());
+    assert!(!cluster.stop_orders.is_empty());
 }
 
 #[test]
-fn a_task_that_needs_a_whole_worker_is_not_passed_by_all_that_need_half_of_one() {
-    let mut world = World::new();
-    // Two of the same queue fit each worker; one comes every 240 ms, and four workers serve eight in 3 s.
+fn a_task_that_fills_a_worker_is_not_starved_by_tasks_that_fill_half() {
+    let mut cluster = Cluster::new();
+    // Two of these tasks fit a worker; one arrives every 240 ms, while four workers complete eight
+    // of them in 3 s.
     let mut large = None;
     for no in 0..800 {
         if no % 12 == 0 {
-            world.submit(2_000 + no, "large", tasks(1, 4));
+            cluster.submit(2_000 + no, "large", tasks(1, 4));
         }
         if no == 200 {
-            large = Some(world.now);
-            world.submit(1_000, "large", tasks(1, 8));
+            large = Some(cluster.now);
+            cluster.submit(1_000, "large", tasks(1, 8));
         }
-        world.step();
+        cluster.step();
     }
-    let wait = world.first.get(&JobKey(1_000)).map(|at| at - large.unwrap());
-    assert!(wait.is_some_and(|wait| wait < 2 * LARGE), "{wait:?}");
+    let wait = cluster.first_starts.get(&JobKey(1_000)).map(|at| at - large.unwrap());
+    assert!(wait.is_some_and(|wait| wait < 2 * LARGE_RUN_MS), "{wait:?}");
 }
 
 #[test]
 fn tasks_that_do_not_save_their_progress_are_not_stopped() {
-    let (_, world) = longest_wait(Step { saves: false, ..tasks(1, 1) });
-    assert_eq!(world.stops, Vec::new());
+    let (_, cluster) = longest_wait(Step { saves: false, ..tasks(1, 1) });
+    assert_eq!(cluster.stop_orders, Vec::new());
 }
 
 #[test]
-fn nothing_is_stopped_for_less_urgent_tasks() {
-    let mut world = World::new();
+fn less_urgent_tasks_preempt_nothing() {
+    let mut cluster = Cluster::new();
     for no in 0..WORKERS as u64 {
-        world.submit(1_000 + no, "large", tasks(1, 8));
+        cluster.submit(1_000 + no, "large", tasks(1, 8));
     }
     for _ in 0..20 {
-        world.step();
+        cluster.step();
     }
-    world.submit(1, "small", tasks(1, 1));
+    cluster.submit(1, "small", tasks(1, 1));
     for _ in 0..60 {
-        world.step();
+        cluster.step();
     }
-    assert_eq!(world.stops, Vec::new());
+    assert_eq!(cluster.stop_orders, Vec::new());
 }
 
 #[test]
-fn room_that_was_made_is_kept_for_the_step_that_it_was_made_for() {
-    let mut world = World::new();
-    world.submit(1, "small", tasks(32, 1));
+fn resources_freed_by_preemption_are_reserved_for_their_step() {
+    let mut cluster = Cluster::new();
+    cluster.submit(1, "small", tasks(32, 1));
     for _ in 0..10 {
-        world.step();
+        cluster.step();
     }
-    world.submit(1_000, "large", tasks(1, 8));
+    cluster.submit(1_000, "large", tasks(1, 8));
     for no in 0..80 {
-        world.submit(100 + no, "small", tasks(1, 1));
-        world.step();
+        cluster.submit(100 + no, "small", tasks(1, 1));
+        cluster.step();
     }
-    let large = world.first.get(&JobKey(1_000)).copied();
-    let first = world.stops.first().map(|(_, at)| *at).unwrap();
-    assert!(large.is_some_and(|at| at <= first + STOP + 100), "{large:?} after {first}");
-    assert_eq!(world.stops.len(), 8, "each small task of one worker, once");
+    let large = cluster.first_starts.get(&JobKey(1_000)).copied();
+    let first = cluster.stop_orders.first().map(|(_, at)| *at).unwrap();
+    assert!(large.is_some_and(|at| at <= first + STOP_MS + 100), "{large:?} after {first}");
+    assert_eq!(cluster.stop_orders.len(), 8, "each small task of one worker is stopped once");
 }
 
 #[test]
-fn a_gang_is_not_passed_for_ever_by_tasks_that_find_room_one_by_one() {
-    let mut world = World::new();
-    // Eight of the same queue fit the workers, and run for 3 s; one comes every 400 ms.
+fn a_gang_is_not_starved_by_tasks_that_start_one_by_one() {
+    let mut cluster = Cluster::new();
+    // Eight of these tasks fit the workers and run for 3 s; one arrives every 400 ms.
     let mut gang = None;
     for no in 0..1_000 {
         if no % 20 == 0 {
-            world.submit(2_000 + no, "large", tasks(1, 4));
+            cluster.submit(2_000 + no, "large", tasks(1, 4));
         }
         if no == 200 {
-            gang = Some(world.now);
-            world.submit(1_000, "large", Step { gang: true, ..tasks(6, 4) });
+            gang = Some(cluster.now);
+            cluster.submit(1_000, "large", Step { gang: true, ..tasks(6, 4) });
         }
-        world.step();
+        cluster.step();
     }
-    let wait = world.first.get(&JobKey(1_000)).map(|at| at - gang.unwrap());
-    assert!(wait.is_some_and(|wait| wait < 3 * LARGE), "{wait:?}");
+    let wait = cluster.first_starts.get(&JobKey(1_000)).map(|at| at - gang.unwrap());
+    assert!(wait.is_some_and(|wait| wait < 3 * LARGE_RUN_MS), "{wait:?}");
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,5 +1,5 @@
-//! Records of the store that come from other writers: one that cannot be read names nothing, and the
-//! others hold.
+//! Decoding of records that other programs write to the store: an invalid record is rejected, and
+//! the valid ones beside it are still read.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 use sprucerudder::platform::worker::parse_worker_entry;
 use std::collections::BTreeMap;
 
-fn entry() -> Value {
+fn worker_entry() -> Value {
     json!({
         "service": "desk", "address": "10.0.0.9:8080", "zone": "a", "version": "v1", "slots": 8,
         "state": "ready", "cold_remaining_ms": 0, "seq": 4, "clock_ms": 482_113,
@@ -24,22 +24,23 @@
     })
 }
 
-fn reads(entry: &Value) -> bool {
+fn is_valid(entry: &Value) -> bool {
     parse_worker_entry("i-1".into(), entry.to_string().as_bytes()).is_ok()
 }
 
 #[test]
-fn a_whole_entry_names_its_worker() {
-    assert!(reads(&entry()));
-    let mut draining = entry();
+fn a_complete_entry_is_parsed() {
+    assert!(is_valid(&worker_entry()));
+    let mut draining = worker_entry();
     draining["state"] = json!("draining");
     draining["remaining_ms"] = json!(2_500.5);
-    let listed = parse_worker_entry("i-1".into(), draining.to_string().as_bytes()).unwrap();
-    assert!(listed.leaving.is_some());
+    let draining_worker =
+        parse_worker_entry("i-1".into(), draining.to_string().as_bytes()).unwrap();
+    assert!(draining_worker.leaving.is_some());
 }
 
 #[test]
-fn an_entry_without_one_of_its_fields_names_no_worker() {
+fn an_entry_with_a_missing_field_is_rejected() {
     let fields = [
         "service",
         "address",
@@ -53,65 +54,67 @@
         "labels",
     ];
     for field in fields {
-        let mut broken = entry();
-        broken.as_object_mut().unwrap().remove(field);
-        assert!(!reads(&broken), "without {field}");
+        let mut invalid = worker_entry();
+        invalid.as_object_mut().unwrap().remove(field);
+        assert!(!is_valid(&invalid), "without {field}");
     }
     for field in ["cpu", "mem_mb", "gpu"] {
-        let mut broken = entry();
-        broken["capacity"].as_object_mut().unwrap().remove(field);
-        assert!(!reads(&broken), "without {field}");
+        let mut invalid = worker_entry();
+        invalid["capacity"].as_object_mut().unwrap().remove(field);
+        assert!(!is_valid(&invalid), "without {field}");
     }
 }
 
 #[test]
-fn an_entry_with_a_field_of_another_type_names_no_worker() {
-    let others = [json!(null), json!(7), json!("x"), json!([1]), json!({"x": 1}), json!(true)];
-    for (field, usual) in entry().as_object().unwrap() {
+fn an_entry_with_a_field_of_the_wrong_type_is_rejected() {
+    let other_values =
+        [json!(null), json!(7), json!("x"), json!([1]), json!({"x": 1}), json!(true)];
+    for (field, valid) in worker_entry().as_object().unwrap() {
         if field == "clock_ms" {
             continue;
         }
-        let same = |other: &&Value| std::mem::discriminant(*other) == std::mem::discriminant(usual);
-        for other in others.iter().filter(|other| !same(other)) {
-            let mut broken = entry();
-            broken[field] = other.clone();
-            assert!(!reads(&broken), "{field} = {other}");
+        let has_same_type =
+            |other: &&Value| std::mem::discriminant(*other) == std::mem::discriminant(valid);
+        for other in other_values.iter().filter(|other| !has_same_type(other)) {
+            let mut invalid = worker_entry();
+            invalid[field] = other.clone();
+            assert!(!is_valid(&invalid), "{field} = {other}");
         }
     }
-    let mut broken = entry();
-    broken["labels"] = json!(["a", 7]);
-    assert!(!reads(&broken));
-    broken = entry();
-    broken["capacity"]["cpu"] = json!(-1);
-    assert!(!reads(&broken));
+    let mut invalid = worker_entry();
+    invalid["labels"] = json!(["a", 7]);
+    assert!(!is_valid(&invalid));
+    invalid = worker_entry();
+    invalid["capacity"]["cpu"] = json!(-1);
+    assert!(!is_valid(&invalid));
 }
 
 #[test]
-fn an_entry_with_an_unknown_state_or_an_address_that_is_none_names_no_worker() {
+fn an_entry_with_an_unknown_state_or_invalid_address_is_rejected() {
     for state in ["", "READY", "warming", "gone"] {
-        let mut broken = entry();
-        broken["state"] = json!(state);
-        assert!(!reads(&broken), "{state:?}");
+        let mut invalid = worker_entry();
+        invalid["state"] = json!(state);
+        assert!(!is_valid(&invalid), "{state:?}");
     }
     for addr in ["", "10.0.0.9", "10.0.0.9:", "nowhere:80", "10.0.0.9:99999", "http://10.0.0.9:80"]
     {
-        let mut broken = entry();
-        broken["address"] = json!(addr);
-        assert!(!reads(&broken), "{addr:?}");
+        let mut invalid = worker_entry();
+        invalid["address"] = json!(addr);
+        assert!(!is_valid(&invalid), "{addr:?}");
     }
 }
 
 #[test]
-fn bytes_that_are_no_text_name_no_worker() {
+fn malformed_entry_bytes_are_rejected() {
     for bytes in [&b""[..], b"{", b"null", b"[]", b"7", b"\xff\xfe{}", b"{\"service\":\"\xff\"}"] {
         assert!(parse_worker_entry("i-1".into(), bytes).is_err(), "{bytes:?}");
     }
 }
 
 #[test]
-fn an_unreadable_item_of_a_page_does_not_hide_the_others() {
+fn an_invalid_item_of_a_page_does_not_hide_the_others() {
     let good = |key: &str| json!({"key": key, "value": "aGk=", "offset": 1});
-    let odd = [
+    let invalid_items = [
         json!({"key": "b", "value": "%%%"}),
         json!({"key": "b", "value": 7}),
         json!({"key": 7, "value": "aGk="}),
@@ -119,17 +122,17 @@
         json!("b"),
         json!(null),
     ];
-    for odd in odd {
-        let body = json!({"items": [good("a"), odd, good("c")], "has_more": false, "end": 3});
+    for invalid in invalid_items {
+        let body = json!({"items": [good("a"), invalid, good("c")], "has_more": false, "end": 3});
         let page = parse_page(body.to_string().as_bytes()).unwrap();
         let keys: Vec<&str> = page.items.iter().map(|item| &*item.key).collect();
-        assert_eq!(keys, ["a", "c"], "{odd}");
+        assert_eq!(keys, ["a", "c"], "{invalid}");
         assert!(page.items.iter().all(|item| item.value == b"hi"));
     }
 }
 
 #[test]
-fn a_record_that_is_no_keyed_one_is_passed_over() {
+fn a_record_without_a_valid_key_is_skipped() {
     let mut good = BytesMut::new();
     good.put_u8(1);
     good.put_slice(b"kv");
@@ -140,9 +143,9 @@
 }
 
 proptest! {
-    /// Whatever lies in the store: no decoder panics.
+    /// No decoder panics, whatever bytes the store returns.
     #[test]
-    fn no_bytes_end_a_process(
+    fn decoders_do_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
         text in "[\\[\\]{}\":,a-z0-9. ]{0,120}",
     ) {
@@ -163,46 +166,47 @@
 }
 
 #[test]
-fn an_entry_tells_when_its_worker_started_or_nothing() {
-    let listed = |born: Value| {
-        let mut entry = entry();
+fn the_start_time_of_an_entry_is_optional() {
+    let parse_with_born = |born: Value| {
+        let mut entry = worker_entry();
         entry["born"] = born;
         parse_worker_entry("i-1".into(), entry.to_string().as_bytes())
     };
-    let born = listed(json!(1_777_874_052_012_u64)).unwrap().born;
+    let born = parse_with_born(json!(1_777_874_052_012_u64)).unwrap().born;
     assert_eq!(born, Some(Millis(1_777_874_052_012)));
     assert_eq!(
-        parse_worker_entry("i-1".into(), entry().to_string().as_bytes()).unwrap().born,
+        parse_worker_entry("i-1".into(), worker_entry().to_string().as_bytes()).unwrap().born,
         None
     );
     for other in [json!("7"), json!(7.5), json!(-7), json!([7]), json!(true)] {
-        assert!(listed(other.clone()).is_err(), "{other}");
+        assert!(parse_with_born(other.clone()).is_err(), "{other}");
     }
 }
 
 #[test]
-fn a_life_is_written_as_a_name_and_read_again() {
-    let kept = Life { id: "i-1".into(), born: Some(Millis(1_777_874_052_012)) };
-    let bare = Life { id: "i-1".into(), born: None };
-    for life in [&kept, &bare] {
+fn a_worker_life_is_encoded_as_a_name_and_decoded_again() {
+    let with_start = Life { id: "i-1".into(), born: Some(Millis(1_777_874_052_012)) };
+    let without_start = Life { id: "i-1".into(), born: None };
+    for life in [&with_start, &without_start] {
         let bytes = postcard::to_stdvec(life).unwrap();
         assert_eq!(postcard::from_bytes::<Life>(&bytes).unwrap(), *life);
     }
-    // 0.6.0 wrote the id alone, and reads what is written now as an id that it does not know.
+    // Version 0.6.0 writes only the id. It reads an id written by this version as one that it does
+    // not know.
     let name: Name = "i-1".into();
     let old = postcard::to_stdvec(&name).unwrap();
-    assert_eq!(postcard::from_bytes::<Life>(&old).unwrap(), bare);
-    assert!(!bare.differs(&kept) && !kept.differs(&bare));
-    assert!(kept.differs(&Life { born: Some(Millis(7)), ..bare.clone() }));
+    assert_eq!(postcard::from_bytes::<Life>(&old).unwrap(), without_start);
+    assert!(!without_start.differs(&with_start) && !with_start.differs(&without_start));
+    assert!(with_start.differs(&Life { born: Some(Millis(7)), ..without_start.clone() }));
 }
 
 #[test]
-fn records_of_lives_stand_apart_from_those_that_older_versions_read() {
-    let births = BTreeMap::from([("i-1".into(), Millis(7))]);
-    let (key, value) = journal::put_worker_starts(&births);
+fn worker_start_times_are_stored_apart_from_records_of_older_versions() {
+    let start_times = BTreeMap::from([("i-1".into(), Millis(7))]);
+    let (key, value) = journal::put_worker_starts(&start_times);
     let mut snapshot = Snapshot::default();
     snapshot.apply(&key, &value).unwrap();
-    assert_eq!(snapshot.worker_starts, births);
+    assert_eq!(snapshot.worker_starts, start_times);
     assert!(snapshot.workers.is_empty());
     snapshot.apply(&key, b"").unwrap();
     assert!(snapshot.worker_starts.is_empty());
