--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: they submit jobs, submit them again after silence, ask for states, and cancel some.
+//! Callers of the cell: they submit jobs, resubmit them when no answer comes, query job states, and
+//! cancel some jobs.
 
 use bytes::Bytes;
 use fastrand::Rng;
@@ -13,52 +14,53 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a caller has been told about one job.
+/// What a caller knows about one of its jobs from the answers that it received.
 #[derive(Debug, Clone, Default)]
 pub struct CallerView {
-    /// Every try to submit it was refused, and so surely did nothing.
+    /// Every submission was refused, so the job must never run.
     pub refused: bool,
-    /// It was accepted.
+    /// A submission was accepted.
     pub accepted: bool,
-    /// Its cancelling was asked for, whatever came of that.
+    /// A cancel was requested, whatever its outcome.
     pub cancel_tried: bool,
-    /// When its cancelling was acknowledged.
+    /// When a cancel was acknowledged.
     pub cancelled_at: Option<Instant>,
-    /// The last state that was shown.
+    /// The last job state that was received.
     pub last_state: String,
 }
 
-/// A job as its caller knows it.
+/// A job and what its caller knows about it.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub key: String,
-    /// What its tasks are started with: their run time in milliseconds.
+    /// The text that its tasks are started with: their run time in milliseconds.
     pub spec: String,
-    /// The number of tasks and processors of each step; each depends on the one before.
+    /// Task count and CPU per task (thousandths of a core) of each step; a step depends on the one
+    /// before it.
     pub steps: Vec<(u32, u64)>,
     pub view: CallerView,
 }
 
-/// All jobs of a run, shared with the checks.
+/// All jobs of a run, shared between callers and checks.
 pub type Jobs = Arc<Mutex<Vec<Job>>>;
 
-/// The workspaces of seeds that have some: each may have as much running as a worker and a half have room for.
+/// Workspaces of the seeds that use them. The limit of each is 1.5 times the CPU of a worker.
 pub const WORKSPACES: [Workspace; 2] = [
     Workspace { name: "one", key: "key-one", cpu: 12_000 },
     Workspace { name: "two", key: "key-two", cpu: 12_000 },
 ];
 
-/// The workspace of a job, by its key.
+/// The workspace that a job belongs to, by the job's key or path.
 pub fn workspace_of(key: &str) -> &'static Workspace {
     &WORKSPACES[usize::from(key.bytes().last().is_some_and(|byte| byte % 2 == 0))]
 }
 
-/// How callers reach a cell.
+/// An HTTP client for the entries of a cell.
 #[derive(Debug, Clone)]
 pub struct Client {
     pub addrs: Vec<String>,
     pub http: HttpClient,
-    /// Callers belong to workspaces.
+    /// Calls carry the API key of the job's workspace.
     pub sends_keys: bool,
 }
 
@@ -83,7 +85,8 @@
         self.http.send(addr, request, Millis(3_500)).await
     }
 
-    /// The state of a job at an entry: `None` without an answer, `gone` if it is not known there.
+    /// The state of a job as an entry reports it: `None` without a usable answer, `gone` if the
+    /// entry does not know the job.
     pub async fn state(&self, entry: usize, path: &str) -> Option<String> {
         let answer = self.call(entry, Method::GET, path, "").await.ok()?;
         match answer.status {
@@ -112,18 +115,19 @@
     json!({"spec": job.spec, "steps": steps.collect::<Vec<_>>()}).to_string()
 }
 
-/// A job that may run for longer than a takeover, and rarely for longer than a lease.
+/// A job whose tasks mostly run for less than 0.5 s; one job in ten has tasks that outlast a
+/// takeover, and a few of these outlast a lease.
 fn random_job(rng: &mut Rng) -> Job {
-    let length = match rng.u32(0..10) {
+    let run_ms = match rng.u32(0..10) {
         0 => rng.u64(2_000..5_000),
         _ => rng.u64(20..500),
     };
     let steps = (0..rng.u32(1..4)).map(|_| (rng.u32(1..5), rng.u64(300..1_800))).collect();
     let key = format!("{:016x}", rng.u64(1..));
-    Job { key, spec: length.to_string(), steps, view: CallerView::default() }
+    Job { key, spec: run_ms.to_string(), steps, view: CallerView::default() }
 }
 
-/// Submits jobs one after the other until `until`.
+/// Submits jobs one at a time until `until`.
 pub async fn run_caller(client: Client, jobs: Jobs, mut rng: Rng, until: Instant) {
     while Instant::now() < until {
         let job = random_job(&mut rng);
@@ -145,7 +149,7 @@
     }
 }
 
-/// Submits a few jobs with a task that crashes its workers.
+/// Submits jobs whose tasks crash their workers, one every few seconds, until `until`.
 pub async fn run_crash_caller(client: Client, jobs: Jobs, mut rng: Rng, until: Instant) {
     while Instant::now() < until {
         let steps = vec![(rng.u32(1..3), rng.u64(300..1_800))];
@@ -161,11 +165,12 @@
     }
 }
 
-/// Up to four tries; after silence or a broken connection the same key is sent to another entry.
+/// Submits a job up to four times under the same key, each time at a random entry, until it is
+/// accepted.
 async fn submit(client: &Client, jobs: &Jobs, index: usize, job: &Job, rng: &mut Rng) {
-    const TRIES: u32 = 4;
+    const MAX_TRIES: u32 = 4;
     let mut all_refused = true;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let answer =
             client.call(rng.usize(0..100), Method::POST, &job_path(&job.key), &job_body(job)).await;
         let status = answer.as_ref().map(|answer| answer.status);
@@ -184,9 +189,9 @@
 }
 
 async fn cancel(client: &Client, jobs: &Jobs, index: usize, job: &Job, rng: &mut Rng) {
-    const TRIES: u32 = 3;
+    const MAX_TRIES: u32 = 3;
     jobs.lock().unwrap()[index].view.cancel_tried = true;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let answer = client.call(rng.usize(0..100), Method::DELETE, &job_path(&job.key), "").await;
         if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
             jobs.lock().unwrap()[index].view.cancelled_at = Some(Instant::now());
--- a/tests/soak/cell.rs
+++ b/tests/soak/cell.rs
@@ -1,5 +1,5 @@
-//! Real entries as separate processes around the stand-in of the platform, each way in between
-//! through a relay of its own.
+//! Entries as separate processes around the simulated platform, with a proxy on each link between
+//! them.
 
 use crate::proxy::Proxy;
 use nix::sys::signal::{Signal, kill};
@@ -11,26 +11,26 @@
 use std::process::Stdio;
 use std::sync::Arc;
 
-/// The first port of a cell on its own loopback address; relays are this much above what they
-/// relay to.
+/// First port of a cell on its own loopback address.
 const BASE_PORT: u16 = 20_000;
-const RELAY_PORT_OFFSET: u16 = 5_000;
-/// The port for other entries, among those of an entry.
+/// Offset of a proxy's port from the port that it forwards to.
+const PROXY_PORT_OFFSET: u16 = 5_000;
+/// Offset of the port for other entries within the ports of an entry.
 const PEER_PORT_OFFSET: u16 = 2;
 
-/// One entry: its process, if there is one now, and the relays on its ways.
+/// An entry: its process, if it is running, and the proxies on its links.
 pub struct Entry {
     process: Option<Process>,
     pub store_proxy: Arc<Proxy>,
     pub advice_proxy: Arc<Proxy>,
-    /// From other entries.
+    /// For calls from other entries.
     pub peer_proxy: Arc<Proxy>,
 }
 
 pub struct Cell {
     pub site: Site,
     pub entries: Vec<Entry>,
-    /// To each worker, from all entries.
+    /// The proxy in front of each worker, used by all entries.
     pub worker_proxies: Vec<Arc<Proxy>>,
     dir: PathBuf,
     min_workers: Option<u16>,
@@ -41,9 +41,10 @@
 }
 
 impl Cell {
-    /// A cell on a loopback address that belongs to this seed and this run of the tests.
+    /// Starts a cell on a loopback address that is unique to `host_no` and this process.
     ///
-    /// `min_workers`: the fewest workers of a cell, if there may be several.
+    /// `min_workers`: the smallest number of workers per cell, if the workers may be split into
+    /// several cells.
     pub async fn start(host_no: u8, workers: u16, entries: u16, min_workers: Option<u16>) -> Self {
         let pid = std::process::id();
         let host = format!("127.{}.{}.{host_no}", (pid >> 8) as u8, pid as u8);
@@ -51,7 +52,7 @@
         let mut proxies = Vec::new();
         for _ in 0..workers {
             let target: SocketAddr = site.next_worker_addr().parse().unwrap();
-            let proxy = Proxy::start(addr(&host, target.port() + RELAY_PORT_OFFSET), target).await;
+            let proxy = Proxy::start(addr(&host, target.port() + PROXY_PORT_OFFSET), target).await;
             site.add_worker_at(proxy.addr.to_string()).await.unwrap();
             proxies.push(proxy);
         }
@@ -60,7 +61,7 @@
         let mut cell =
             Self { site, entries: Vec::new(), worker_proxies: proxies, dir, min_workers };
         for no in 0..entries {
-            let base = BASE_PORT + RELAY_PORT_OFFSET + ENTRY_PORT_OFFSET + no * 10;
+            let base = BASE_PORT + PROXY_PORT_OFFSET + ENTRY_PORT_OFFSET + no * 10;
             let peer = BASE_PORT + ENTRY_PORT_OFFSET + no * 10 + PEER_PORT_OFFSET;
             let entry = Entry {
                 process: None,
@@ -75,7 +76,7 @@
         cell
     }
 
-    /// Starts the process of an entry that has none.
+    /// Starts the process of an entry that is not running.
     pub fn start_entry(&mut self, index: u16) {
         let entry = &mut self.entries[usize::from(index)];
         let host = entry.store_proxy.addr.ip();
@@ -101,22 +102,23 @@
         entry.process = Some(process.unwrap());
     }
 
-    /// Sends a signal to an entry's process, if it has one.
+    /// Sends a signal to the process of an entry, if it is running.
     pub fn signal(&self, index: u16, signal: Signal) {
         if let Some(process) = &self.entries[usize::from(index)].process
             && let Err(err) = kill(Pid::from_raw(process.id() as i32), signal)
         {
-            // It may have ended by itself a moment ago: the check of its end tells.
+            // The process may just have ended by itself; `has_ended` reports that.
             eprintln!("event=signal-failed entry={index} signal={signal} error={err:?}");
         }
     }
 
-    /// Kills an entry's process and waits for its end.
+    /// Kills the process of an entry and waits for its end.
     pub fn kill_entry(&mut self, index: u16) {
         drop(self.entries[usize::from(index)].process.take());
     }
 
-    /// Whether an entry's process ended; one that did is forgotten.
+    /// Whether the process of an entry has ended since the last call; from then on the entry counts
+    /// as not running.
     pub fn has_ended(&mut self, index: u16) -> bool {
         let entry = &mut self.entries[usize::from(index)];
         let ended =
@@ -131,7 +133,7 @@
         self.entries[usize::from(index)].process.is_some()
     }
 
-    /// Where logs and settings are.
+    /// Directory of the entries' logs and settings.
     pub fn dir(&self) -> &PathBuf {
         &self.dir
     }
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,4 +1,5 @@
-//! What must hold, judged by what workers did and what callers were told.
+//! Checks of the scheduler's guarantees against the log of what workers ran and what callers were
+//! told.
 
 use crate::callers::{Job, workspace_of};
 use sprucerudder::standin::site::WORKER_CPU;
@@ -6,40 +7,41 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// How long after an acknowledged cancel a task may still start.
+/// Longest time after an acknowledged cancel at which a task may still start.
 const MAX_START_AFTER_CANCEL: Duration = Duration::from_secs(3);
-/// How often a task may fail before its job does; from the stand-in's policy.
+/// Failures of a task after which its job fails, from the policy of the simulated platform.
 const MAX_ATTEMPTS: u32 = 2;
-/// Workers that crashed under a task, and starts after that, by the platform's contract.
+/// By the platform's contract, a task under which this many workers crashed is started fewer than
+/// this many times more.
 const MAX_CRASHES: u32 = 3;
-/// A task under which so many crashed may be given up.
+/// A job may be given up once this many workers crashed under one of its tasks.
 const MIN_GIVE_UP_CRASHES: u32 = 2;
 
-/// What is known of a task's end `done`.
+/// A run of a task that ended as `done`.
 #[derive(Debug)]
 struct Done {
     run: u64,
     is_confirmed: bool,
-    /// It was started again before that end was confirmed.
+    /// The task was started again before that end was confirmed.
     restarted: bool,
 }
 
-/// The state of all workers, followed through the ledger.
+/// Follows the state of all workers through their run log and collects violated guarantees.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     position: usize,
-    /// Where a task runs, and as which run.
+    /// Worker and run number of each running task.
     running: HashMap<String, (String, u64)>,
     used_cpu: HashMap<String, u64>,
-    /// Jobs belong to workspaces with bounds.
+    /// Whether jobs belong to workspaces with limits.
     has_workspaces: bool,
-    /// What each workspace has running.
+    /// CPU of the running tasks of each workspace.
     workspace_cpu: HashMap<&'static str, u64>,
-    /// Processors of workers whose room changed.
+    /// CPU of workers whose capacity has changed.
     worker_cpu: HashMap<String, u64>,
-    /// Lives of workers that ended under a task.
+    /// Number of worker crashes under each task.
     crashes: HashMap<String, u32>,
-    /// Starts of tasks that crash their workers, after three did.
+    /// Starts of each crashing task after `MAX_CRASHES` crashes.
     extra_starts: HashMap<String, u32>,
     done: HashMap<String, Done>,
     failures: HashMap<String, u32>,
@@ -47,7 +49,7 @@
     pub violations: Vec<String>,
 }
 
-/// The job, the step and the place in it of a task.
+/// Splits a task's name into job key, step index and task index.
 fn parse_task(task: &str) -> Option<(&str, usize, u32)> {
     let mut parts = task.split('.');
     let (key, _) = (parts.next()?, parts.next()?);
@@ -55,12 +57,12 @@
 }
 
 impl InvariantChecker {
-    /// `has_workspaces`: jobs belong to workspaces with bounds.
+    /// `has_workspaces`: whether jobs belong to workspaces with limits.
     pub fn new(has_workspaces: bool) -> Self {
         Self { has_workspaces, ..Self::default() }
     }
 
-    /// Takes in what workers did since the last look.
+    /// Processes the entries that the run log gained since the last call.
     pub fn read_events(&mut self, run_log: &RunLog, jobs: &[Job]) {
         let records = run_log.since(self.position);
         self.position += records.len();
@@ -74,7 +76,10 @@
         }
         for job in jobs.iter().filter(|job| job.view.last_state == "completed") {
             if !self.is_done(job, job.steps.len()) {
-                self.add_violation(format!("job {} is shown as completed and is not", job.key));
+                self.add_violation(format!(
+                    "job {} is reported as completed, but its tasks are not done",
+                    job.key
+                ));
             }
         }
     }
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Whether all tasks of a job's first `steps` steps are done.
+    /// Whether all tasks of the first `steps` steps of a job are done.
     fn is_done(&self, job: &Job, steps: usize) -> bool {
         let mut tasks = job.steps.iter().take(steps).enumerate().flat_map(|(step, (count, _))| {
             (0..*count).map(move |index| format!("{}.0.{step}.{index}", job.key))
@@ -101,13 +106,13 @@
             (index < count).then_some((job, step, cpu))
         });
         let Some((job, step, cpu)) = job.filter(|(job, ..)| job.spec == spec) else {
-            return self.add_violation(format!("{task} on {worker}: nobody asked for it"));
+            return self.add_violation(format!("{task} on {worker}: no job has such a task"));
         };
         let used = self.used_cpu.entry(worker.clone()).or_default();
         *used += cpu;
         let workspace = workspace_of(&job.key);
         let running = self.workspace_cpu.entry(workspace.name).or_default();
-        // By the platform's contract: a tenth and one task more.
+        // The platform's contract allows a tenth and one task more than the limit.
         let over_limit = self.has_workspaces && *running > workspace.cpu * 11 / 10;
         *running += cpu;
         let over_capacity = *used > self.worker_cpu.get(worker).copied().unwrap_or(WORKER_CPU);
@@ -115,30 +120,32 @@
             spec.starts_with(CRASH_PREFIX) && self.crashes.get(task) >= Some(&MAX_CRASHES);
         let extra = self.extra_starts.entry(task.clone()).or_default();
         *extra += u32::from(crashed);
-        let excess = *extra >= MAX_CRASHES;
-        // By the time of the start, not of this look: looks may be seconds apart.
-        let after_cancel =
-            job.view.cancelled_at.is_some_and(|told| *at > told + MAX_START_AFTER_CANCEL);
+        let too_many_starts = *extra >= MAX_CRASHES;
+        // Compared by the time of the start: the log may be read seconds later.
+        let after_cancel = job
+            .view
+            .cancelled_at
+            .is_some_and(|cancelled_at| *at > cancelled_at + MAX_START_AFTER_CANCEL);
         let other_run = self.running.insert(task.clone(), (worker.clone(), *run));
-        let again = self.done.get_mut(task);
-        let is_confirmed = again.as_ref().is_some_and(|done| done.is_confirmed);
-        if let Some(done) = again {
+        let earlier_done = self.done.get_mut(task);
+        let is_confirmed = earlier_done.as_ref().is_some_and(|done| done.is_confirmed);
+        if let Some(done) = earlier_done {
             done.restarted = true;
         }
         let before_done = !self.is_done(job, step);
         self.started_jobs.insert(job.key.clone());
         let faults = [
-            (over_capacity, "is over what the worker has"),
-            (over_limit, "is beyond what its workspace may have running"),
-            (excess, "starts three times more after three workers crashed under it"),
-            (after_cancel, "starts long after its job was cancelled"),
+            (over_capacity, "exceeds the capacity of the worker"),
+            (over_limit, "exceeds the limit of its workspace"),
+            (too_many_starts, "is started three more times after three workers crashed under it"),
+            (after_cancel, "is started long after its job was cancelled"),
             (other_run.is_some(), "runs twice at once"),
-            (is_confirmed, "starts again after its end was confirmed"),
-            (before_done, "starts before what it depends on is done"),
+            (is_confirmed, "is started again after its end was confirmed"),
+            (before_done, "is started before the steps that it depends on are done"),
         ];
         for (_, what) in faults.into_iter().filter(|(wrong, _)| *wrong) {
             self.add_violation(format!(
-                "{task} run {run} on {worker} {what}; also at {other_run:?}"
+                "{task} run {run} on {worker} {what}; also running: {other_run:?}"
             ));
         }
     }
@@ -176,20 +183,20 @@
         else {
             return;
         };
-        let again = done.restarted && !done.is_confirmed;
+        let earlier_done = done.restarted && !done.is_confirmed;
         if lapsed {
             return;
         }
         done.is_confirmed = true;
-        if again {
+        if earlier_done {
             self.add_violation(format!(
-                "{} was started again, and its earlier end confirmed",
+                "{} was started again, then its earlier end was confirmed",
                 record.task
             ));
         }
     }
 
-    /// Whether a job's end, as shown when all is calm, has a cause.
+    /// Checks, once all faults have ended, that the end state of a job has a cause.
     pub fn check_end_state(&mut self, job: &Job, state: &str) {
         let of_job = |task: &str| parse_task(task).is_some_and(|(key, ..)| key == job.key);
         let failed =
@@ -198,21 +205,23 @@
             self.crashes.iter().any(|(task, count)| *count >= MIN_GIVE_UP_CRASHES && of_job(task));
         let cancelled = job.view.cancel_tried;
         let fault = match state {
-            "completed" if !self.is_done(job, job.steps.len()) => "is shown as completed",
-            "failed" if !failed && !crashed => "is shown as failed without a cause",
-            "cancelled" if !cancelled => "is shown as cancelled, and nobody asked for that",
-            "gone" => "was accepted and is not known",
+            "completed" if !self.is_done(job, job.steps.len()) => {
+                "is reported as completed, but its tasks are not done"
+            }
+            "failed" if !failed && !crashed => "is reported as failed without a cause",
+            "cancelled" if !cancelled => "is reported as cancelled, but no cancel was requested",
+            "gone" => "was accepted, but no entry knows it",
             _ => return,
         };
         self.add_violation(format!("job {} {fault}", job.key));
     }
 
-    /// What is wrong when everything has come to an end.
+    /// Checks, once all jobs have ended, that no refused job ran and that no task is left running.
     pub fn check_at_end(&mut self, jobs: &[Job]) {
         let refused: Vec<String> = jobs
             .iter()
             .filter(|job| job.view.refused && self.started_jobs.contains(&job.key))
-            .map(|job| format!("job {} ran though every try was refused", job.key))
+            .map(|job| format!("job {} ran although every submission was refused", job.key))
             .collect();
         let left: Vec<String> = self
             .running
--- a/tests/soak/checks_test.rs
+++ b/tests/soak/checks_test.rs
@@ -1,4 +1,5 @@
-//! The checks of the soak find each kind of broken promise in a ledger written by hand.
+//! Tests of the soak test's own checks: each kind of violation is found in a run log written by
+//! hand.
 
 use crate::callers::{CallerView, Job};
 use crate::checks::InvariantChecker;
@@ -22,10 +23,10 @@
     RunEvent::Start("50".to_string())
 }
 
-/// A worker, a task's place in its job, the number of its start, and what was done.
+/// A worker, the step and index of a task (`step.index`), its run number, and the event.
 type WorkerEvent = (&'static str, &'static str, u64, RunEvent);
 
-/// What the checks say after these events.
+/// The violations that the checks find in these events.
 fn violations(events: &[WorkerEvent], view: CallerView) -> String {
     let run_log = RunLog::default();
     for (worker, place, run, event) in events {
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_job_that_runs_as_it_should_breaks_nothing() {
+fn a_correct_run_has_no_violations() {
     let events = [
         ("w1", "0.0", 1, start()),
         ("w2", "0.1", 1, start()),
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn a_task_that_is_started_too_often_after_crashes_is_found() {
+fn too_many_starts_after_crashes_are_found() {
     let job = Job { spec: format!("{CRASH_PREFIX}1"), ..job(accepted_view("")) };
     let row = |worker: &str, run, event| record(worker, "0.0", run, event);
     let starts = |count: u64| {
@@ -73,46 +74,55 @@
         checker.violations.join("; ")
     };
     assert_eq!(starts(5), "");
-    assert!(starts(6).contains("three times more"), "{}", starts(6));
+    assert!(starts(6).contains("three more times"), "{}", starts(6));
 }
 
-/// Seed 7,044: a task started 62 ms after its job was submitted, which was cancelled 115 ms later. The ledger
-/// was looked at more than 3 s after that, and the start was taken for one long after the cancelling.
+/// Fault of the check, found with seed 7,044: a task started 62 ms after its job was submitted, and
+/// the job was cancelled 115 ms later. The log was read more than 3 s after that, and the start was
+/// reported as one long after the cancel.
 #[test]
-fn a_start_is_late_by_its_own_time() {
-    let look = |after: u64| {
+fn a_start_after_a_cancel_is_judged_by_the_time_of_the_start() {
+    let violations_of_start = |delay_ms: u64| {
         let run_log = RunLog::default();
         let cancel_time = Instant::now() - Duration::from_secs(60);
-        let (cancelled_at, at) = (Some(cancel_time), cancel_time + Duration::from_millis(after));
+        let (cancelled_at, at) = (Some(cancel_time), cancel_time + Duration::from_millis(delay_ms));
         run_log.add(RunRecord { at, ..record("w1", "0.0", 1, start()) });
         let mut checker = InvariantChecker::default();
         checker.read_events(&run_log, &[job(CallerView { cancelled_at, ..accepted_view("") })]);
         checker.violations.join("; ")
     };
-    assert_eq!(look(2_900), "");
-    assert!(look(3_100).contains("long after its job was cancelled"));
+    assert_eq!(violations_of_start(2_900), "");
+    assert!(violations_of_start(3_100).contains("long after its job was cancelled"));
 }
 
 #[test]
-fn a_start_over_a_room_that_has_shrunk_is_found() {
+fn a_start_over_a_reduced_capacity_is_found() {
     let events = [("w1", "0.0", 1, RunEvent::Resized(4_000)), ("w1", "0.0", 1, start())];
-    assert!(violations(&events, accepted_view("")).contains("over what"));
+    assert!(violations(&events, accepted_view("")).contains("exceeds the capacity"));
 }
 
 #[test]
-fn each_broken_promise_is_found() {
+fn each_kind_of_violation_is_found() {
     let done = RunEvent::End("done");
     let confirm = RunEvent::Confirm { lapsed: false };
     let cases: [(&[WorkerEvent], CallerView, &str); 8] = [
         (
             &[("w1", "0.0", 1, start()), ("w2", "0.0", 2, start())],
             accepted_view(""),
-            "twice at once",
+            "runs twice at once",
+        ),
+        (
+            &[("w1", "0.0", 1, start()), ("w1", "0.1", 1, start())],
+            accepted_view(""),
+            "exceeds the capacity",
+        ),
+        (&[("w1", "1.0", 1, start())], accepted_view(""), "before the steps that it depends on"),
+        (&[("w1", "0.7", 1, start())], accepted_view(""), "no job has such a task"),
+        (
+            &[("w1", "0.0", 1, RunEvent::Start("60".to_string()))],
+            accepted_view(""),
+            "no job has such a task",
         ),
-        (&[("w1", "0.0", 1, start()), ("w1", "0.1", 1, start())], accepted_view(""), "over what"),
-        (&[("w1", "1.0", 1, start())], accepted_view(""), "before what it depends on"),
-        (&[("w1", "0.7", 1, start())], accepted_view(""), "nobody asked"),
-        (&[("w1", "0.0", 1, RunEvent::Start("60".to_string()))], accepted_view(""), "nobody asked"),
         (
             &[
                 ("w1", "0.0", 1, start()),
@@ -122,30 +132,30 @@
                 ("w1", "0.0", 1, confirm),
             ],
             accepted_view(""),
-            "its earlier end confirmed",
+            "its earlier end was confirmed",
         ),
         (
             &[("w1", "0.0", 1, start()), ("w1", "0.0", 1, done)],
             accepted_view("completed"),
-            "shown as completed",
+            "is reported as completed",
         ),
         (
             &[("w1", "0.0", 1, start()), ("w1", "0.0", 1, RunEvent::End("done"))],
             CallerView { refused: true, ..CallerView::default() },
-            "every try was refused",
+            "every submission was refused",
         ),
     ];
-    for (events, view, wanted) in cases {
+    for (events, view, expected) in cases {
         let found = violations(events, view);
-        assert!(found.contains(wanted), "{wanted}: {found}");
+        assert!(found.contains(expected), "{expected}: {found}");
     }
 }
 
 #[test]
-fn a_start_beyond_what_a_workspace_may_have_running_is_found() {
-    // The bound is 12,000, and each task takes 5,000: the contract allows a tenth and one task more, so the fourth is
-    // one too many, and none where an end has made room.
-    let wide = Job { steps: vec![(4, 5_000)], ..job(accepted_view("")) };
+fn a_start_over_the_limit_of_a_workspace_is_found() {
+    // The limit is 12,000 and each task takes 5,000. The contract allows a tenth and one task more,
+    // so the fourth start exceeds the limit, but not if earlier tasks have ended.
+    let four_tasks = Job { steps: vec![(4, 5_000)], ..job(accepted_view("")) };
     let starts = |has_workspaces, ends: bool| {
         let run_log = RunLog::default();
         for no in 0..4_u64 {
@@ -160,10 +170,10 @@
             }
         }
         let mut checker = InvariantChecker::new(has_workspaces);
-        checker.read_events(&run_log, std::slice::from_ref(&wide));
+        checker.read_events(&run_log, std::slice::from_ref(&four_tasks));
         checker.violations.join("; ")
     };
-    assert!(starts(true, false).contains("beyond what its workspace"));
+    assert!(starts(true, false).contains("exceeds the limit of its workspace"));
     assert_eq!(starts(true, true), "");
     assert_eq!(starts(false, false), "");
 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,23 +1,23 @@
-//! Random series of faults, overlapping, each with the time of its begin and of its end.
+//! Random sequences of overlapping faults, each with the time at which it begins and ends.
 
 use fastrand::Rng;
 use nix::sys::signal::Signal;
 use sprucerudder::standin::site::{WORKER_CPU, store};
 use std::time::Duration;
 
-/// How entries or workers are cut off.
+/// A fault of a network link.
 #[derive(Debug, Clone, Copy)]
 pub enum LinkFault {
     Delay(Duration),
     Reset,
-    /// Nothing passes from the caller.
+    /// Bytes from the caller are held back.
     HoldRequests,
-    /// Nothing passes to the caller.
+    /// Bytes to the caller are held back.
     HoldReplies,
     HoldBoth,
 }
 
-/// Which relay.
+/// A link with a proxy, by the index of its entry or worker.
 #[derive(Debug, Clone, Copy)]
 pub enum Link {
     Store(u16),
@@ -26,35 +26,38 @@
     Worker(u16),
 }
 
-/// One thing that is done to the cell.
+/// The begin or the end of a fault.
 #[derive(Debug, Clone)]
 pub enum FaultAction {
     SignalEntry(u16, Signal),
     KillEntry(u16),
-    /// Starts an entry that has no process.
+    /// Starts an entry that is not running.
     StartEntry(u16),
     DisturbLink(Link, LinkFault),
     RestoreLink(Link),
-    /// Open connections go silent for good, without a reset; new ones work.
+    /// Open connections stall for good without a reset; new ones work.
     StallConnections(Link),
     SetStoreFaults(store::Faults),
-    /// The store's history is dropped.
+    /// The store drops its history.
     CompactStore,
-    /// Whether all that a worker starts fails.
+    /// Whether every task that a worker starts fails.
     FailTasks(u16, bool),
-    /// Orders to a worker are carried out so much later, in milliseconds, and not answered.
+    /// A worker executes its orders this many milliseconds later and does not answer them; 0 ends
+    /// the fault.
     DelayOrders(u16, u64),
-    /// A worker crashes by itself, and is back soon.
+    /// A worker crashes and starts again under a new id.
     CrashWorker(u16),
-    /// A worker crashes by itself, and starts again under its id; later crashes of it are such, too.
+    /// A worker crashes and starts again under its former id, also after later crashes.
     RestartWorker(u16),
-    /// All entries are killed and all workers crash, these to start again under their ids.
+    /// All entries are killed and all workers crash; the workers start again under their former
+    /// ids.
     LosePower,
-    /// A worker has so many processors from now on, in thousandths of one.
+    /// The capacity of a worker changes to this many thousandths of a core.
     ResizeWorker(u16, u64),
 }
 
-/// Acts in the order of their times, in milliseconds from the begin.
+/// Faults within `period_ms`, sorted by time: milliseconds from the start of the run and the
+/// action.
 pub fn random_faults(
     rng: &mut Rng,
     entries: u16,
@@ -102,7 +105,7 @@
             }
             7 => {
                 let link = Link::Worker(worker);
-                // Some cuts outlast a lease.
+                // Some of these faults outlast a lease.
                 let end = end + if rng.bool() { 5_000 } else { 0 };
                 actions.push((start, FaultAction::DisturbLink(link, random_link_fault(rng))));
                 actions.push((end, FaultAction::RestoreLink(link)));
@@ -126,7 +129,8 @@
     actions
 }
 
-/// Silent connections, drawn apart from the other acts: those of a kept seed stay as they were.
+/// Stalled connections. They have a random generator of their own, so that the other faults of a
+/// recorded seed stay the same.
 pub fn random_stalls(
     seed: u64,
     entries: u16,
@@ -145,7 +149,8 @@
     (0..3).map(&mut random_stall).collect()
 }
 
-/// Workers that crash, shrink and grow, drawn apart from the other acts: kept seeds stay as they were.
+/// Workers that crash, shrink and grow. They have a random generator of their own, so that the
+/// other faults of a recorded seed stay the same.
 pub fn random_worker_faults(seed: u64, workers: u16, period_ms: u64) -> Vec<(u64, FaultAction)> {
     let mut rng = Rng::with_seed(seed ^ 0x5eed);
     let mut actions = Vec::new();
@@ -165,8 +170,8 @@
     actions
 }
 
-/// Workers that start again under their ids, and power that is lost everywhere at once, drawn apart from the
-/// other acts.
+/// Workers that start again under their former ids, and a power loss of the whole cell. They have a
+/// random generator of their own.
 pub fn random_restarts(
     seed: u64,
     entries: u16,
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,5 +1,6 @@
-//! A randomized soak: real entries as separate processes, callers and workers, with faults injected
-//! from outside by relays and signals. What must hold is checked while it runs.
+//! A randomized soak test: entries as separate processes, simulated workers and callers, with
+//! faults injected from outside by proxies and signals. The scheduler's guarantees are checked
+//! while it runs.
 //!
 //! `SPRUCE_SOAK=50 SPRUCE_SOAK_SEED=1000 cargo test --release --test soak` runs fifty other seeds.
 
@@ -26,33 +27,36 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Seeds that failed once.
+/// Seeds that have failed, run without the faults that were added later.
 const REGRESSION_SEEDS: [u64; 3] = [
-    // The answer to a new owner's fence was lost, and its takeover waited for good.
-    SINGLE_CELL_SEED, // A cell without workers: jobs that went there were queued for good.
+    // Fault: the answer to a new owner's fencing append was lost, and its takeover waited forever.
+    SINGLE_CELL_SEED,
+    // Fault: jobs that were routed to a cell without workers stayed queued forever.
     9_111,
     9_115,
 ];
-/// A kept seed that is played as it was found: without silences, and in one cell.
+/// A regression seed that runs in a single cell and without stalled connections, as when it failed.
 const SINGLE_CELL_SEED: u64 = 13;
-/// Seeds that failed once, played as any other: a start without an answer counted as a crash of each life that
-/// it was given on to.
+/// Seeds that have failed, run with all faults. Fault: a start without an answer counted as a crash
+/// of every incarnation of the worker that the start was passed on to.
 const RESTART_SEEDS: [u64; 2] = [9_501, 9_512];
-/// The fewest workers of a cell in every second seed, so that it has two to four cells.
+/// Smallest number of workers per cell in every second seed, so that its workers form two to four
+/// cells.
 const MIN_CELL_WORKERS: u16 = 2;
-/// Seeds that CI plays, beside the kept ones.
+/// Number of seeds that CI runs besides the regression seeds.
 const DEFAULT_SEED_COUNT: u64 = 3;
-/// Seeds played side by side: each has up to five processes of entries.
+/// Number of seeds that run in parallel; each has up to five entry processes.
 const MAX_PARALLEL_SEEDS: usize = 6;
-/// How long faults begin, in milliseconds.
+/// Time during which faults begin, in milliseconds.
 const FAULT_PERIOD_MS: u64 = 7_000;
-/// How long callers submit jobs.
+/// Time during which callers submit jobs.
 const TRAFFIC_PERIOD: Duration = Duration::from_millis(9_000);
 const CALLER_COUNT: usize = 4;
-/// Longer than leases, takeovers and the longest chain of tasks take together on a busy machine.
+/// Time for jobs to end after the faults: longer than leases, takeovers and the longest chain of
+/// tasks take together on a busy machine.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// An entry that was stopped by plan is started again this much later.
+/// Delay before an entry that was stopped by SIGTERM is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 fn env_number(name: &str, default: u64) -> u64 {
@@ -76,12 +80,13 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_on_a_kept_seed_of_rooms_that_shrink() {
-    // A worker's room shrank from 8000 to 975 and to 3623, and runs of one owner were counted beyond it:
-    // f2ef91114a5acb4b.0.0.3 run 1025 on i-0 is over what the worker has; also at None
+    // The capacity of a worker shrank from 8000 to 975 and to 3623, and runs of one owner exceeded
+    // it; for example, run 1025 of task f2ef91114a5acb4b.0.0.3 on i-0.
     run_seeds([10_086].into_iter(), 244).await;
 }
 
-/// Plays seeds side by side; `place`: the first of their loopback addresses.
+/// Runs seeds in parallel, each on a loopback address of its own; `first_host` is the number of the
+/// first address.
 async fn run_seeds(seeds: impl Iterator<Item = u64>, first_host: usize) {
     let permits = Arc::new(Semaphore::new(MAX_PARALLEL_SEEDS));
     let mut runs = JoinSet::new();
@@ -97,25 +102,26 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// One seed.
+/// The run of one seed.
 struct SeedRun {
     cell: Cell,
     client: Client,
     jobs: Jobs,
     checker: InvariantChecker,
-    /// When entries that are away by plan are to be started again.
+    /// Entries stopped by SIGTERM, with the time at which each is started again.
     restarts: Vec<(Instant, u16)>,
 }
 
 impl SeedRun {
-    /// Plays a seed; what was broken, with the faults and where the logs are.
+    /// Runs a seed. The report names the violations, the faults and the directory of the logs;
+    /// `None` if there were no violations.
     async fn run(seed: u64, host: u8) -> Option<String> {
         let mut rng = Rng::with_seed(seed);
         let (workers, entries) = (rng.u16(5..10), rng.u16(2..6));
         let has_cells = seed % 2 == 1 && seed != SINGLE_CELL_SEED;
         let cell = Cell::start(host, workers, entries, has_cells.then_some(MIN_CELL_WORKERS)).await;
         let addrs = (0..entries).map(|no| cell.site.front_addr(no)).collect();
-        // The kept seeds are played as they were found.
+        // Recorded seeds run without workspaces, as when they failed.
         let has_workspaces =
             seed % 3 == 0 && !REGRESSION_SEEDS.contains(&seed) && !RESTART_SEEDS.contains(&seed);
         if has_workspaces {
@@ -146,7 +152,7 @@
             let jobs = run.snapshot();
             let accepted = jobs.iter().filter(|job| job.view.accepted).count();
             println!(
-                "seed {seed}: {} faults, {} jobs, {accepted} accepted, all at rest after {:?}",
+                "seed {seed}: {} faults, {} jobs, {accepted} accepted, all jobs ended after {:?}",
                 actions.len(),
                 jobs.len(),
                 faults_end.elapsed()
@@ -154,7 +160,7 @@
         }
         let SeedRun { cell, checker, .. } = run;
         if checker.violations.is_empty() {
-            // Only a failed seed's logs are worth keeping.
+            // Logs are kept for failed seeds only.
             if let Err(err) = std::fs::remove_dir_all(cell.dir()) {
                 eprintln!("event=log-removal-failed seed={seed} error={err:?}");
             }
@@ -176,7 +182,7 @@
         self.checker.read_events(&self.cell.site.run_log, &jobs);
     }
 
-    /// Waits until the cell has an owner.
+    /// Waits until the first entry answers a request for a job's state.
     async fn wait_for_owner(&mut self) -> bool {
         let begun = Instant::now();
         while begun.elapsed() < SETTLE_TIMEOUT {
@@ -189,9 +195,9 @@
         false
     }
 
-    /// Faults and callers' traffic at the same time.
+    /// Injects the faults while callers submit jobs.
     ///
-    /// `crashing`: some tasks crash their workers.
+    /// `has_crash_tasks`: whether some jobs have tasks that crash their workers.
     async fn inject_faults(
         &mut self,
         actions: &[(u64, FaultAction)],
@@ -273,7 +279,7 @@
         }
     }
 
-    /// Entries that ended after SIGTERM are started again.
+    /// Starts entries again that ended after SIGTERM, once their delay is over.
     fn restart_stopped_entries(&mut self) {
         for no in 0..self.cell.entries.len() as u16 {
             if self.cell.has_ended(no) {
@@ -292,7 +298,7 @@
         }
     }
 
-    /// Without faults every accepted job has to come to its end, and be known.
+    /// Ends all faults and waits until every accepted job has ended and is known.
     async fn wait_for_jobs(&mut self) {
         self.restore_all();
         let begun = Instant::now();
@@ -319,14 +325,15 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         for job in open {
-            self.checker.violations.push(format!("job {} came to no end: {:?}", job.key, job.view));
+            self.checker.violations.push(format!("job {} did not end: {:?}", job.key, job.view));
         }
         self.wait_until_idle().await;
         let jobs = self.snapshot();
         self.checker.check_at_end(&jobs);
     }
 
-    /// Jobs whose acceptance nobody heard of may run too: they have to end as well.
+    /// Waits until no worker runs a task: a job may also run if the answer that accepted it was
+    /// lost, and must end as well.
     async fn wait_until_idle(&mut self) {
         let begun = Instant::now();
         while begun.elapsed() < SETTLE_TIMEOUT {
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,5 +1,5 @@
-//! A loopback relay between a process and what it calls: connections through it can be delayed,
-//! reset, or silenced in either direction.
+//! A TCP proxy on loopback between a process and the service that it calls. Connections through it
+//! can be delayed, reset, or stalled in either direction.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What becomes of the bytes of all connections.
+/// Faults of all connections through a proxy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// Each piece is held this long.
+    /// Delay of each chunk of bytes.
     pub delay: Duration,
-    /// Nothing passes from the caller.
+    /// Bytes from the caller are held back.
     pub hold_requests: bool,
-    /// Nothing passes to the caller.
+    /// Bytes to the caller are held back.
     pub hold_replies: bool,
-    /// Rises when all open connections are reset.
+    /// Incremented to reset all open connections.
     pub reset_count: u32,
-    /// Rises when all open connections go silent for good, without a reset.
+    /// Incremented to stall all open connections for good, without a reset.
     pub stall_count: u32,
 }
 
-/// A relay to one address.
+/// A proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
     pub addr: SocketAddr,
@@ -32,25 +32,25 @@
 }
 
 impl Proxy {
-    /// Listens on `addr` and passes connections on to `target`.
+    /// Listens on `addr` and forwards connections to `target`.
     pub async fn start(addr: SocketAddr, target: SocketAddr) -> Arc<Self> {
         let listener = TcpListener::bind(addr).await.unwrap();
         let proxy = Arc::new(Self { addr, state: watch::channel(LinkState::default()).0 });
         let states = proxy.state.subscribe();
         tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(relay_connection(caller, target, states.clone()));
+                tokio::spawn(proxy_connection(caller, target, states.clone()));
             }
         });
         proxy
     }
 
-    /// Changes what becomes of bytes from now on.
+    /// Changes the faults of all connections from now on.
     pub fn update(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
     }
 
-    /// Everything passes again.
+    /// Ends all faults. Connections that were stalled before stay stalled.
     pub fn restore(&self) {
         self.update(|state| {
             *state = LinkState {
@@ -62,7 +62,7 @@
     }
 }
 
-async fn relay_connection(
+async fn proxy_connection(
     caller: TcpStream,
     target: SocketAddr,
     mut states: watch::Receiver<LinkState>,
@@ -74,8 +74,8 @@
     let Ok(target_stream) = TcpStream::connect(target).await else { return };
     for stream in [&caller, &target_stream] {
         if let Err(err) = stream.set_nodelay(true) {
-            // It was closed already: the relay ends at its first read.
-            eprintln!("event=relay-nodelay-failed error={err:?}");
+            // The connection is closed already: forwarding ends at the first read.
+            eprintln!("event=proxy-nodelay-failed error={err:?}");
         }
     }
     let (from_caller, to_caller) = caller.into_split();
@@ -103,7 +103,8 @@
 ) {
     let mut bytes = vec![0; 16 * 1024];
     loop {
-        // Either side may close or break off: the relay passes that on by closing the other.
+        // Either side may close the connection or reset it: the proxy passes that on by closing the
+        // other side.
         let Ok(len) = from.read(&mut bytes).await else { return };
         let Ok(state) = states.wait_for(|state| !is_held(state)).await.map(|state| *state) else {
             return;
