--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,6 +1,8 @@
-//! Small stand-ins for the systems that are not ours, for trial runs and tests.
+//! Simulators of the systems that the scheduler calls, for tests and trial runs.
 //!
-//! Each is an HTTP server with settable faults and a time line of what truly happened.
+//! Those in `platform`, `runner` and `worker` are HTTP servers with faults that can be set at
+//! runtime and a timeline of what happened. `site` simulates the platform of the users' own
+//! protocol within one process, and `process` starts entries.
 
 pub mod platform;
 pub mod process;
@@ -14,8 +16,8 @@
 use poem::web::{Data, Json};
 use std::sync::Arc;
 
-/// Gives out the time line.
+/// Returns the events of a simulator's timeline from a position on.
 #[handler]
-pub fn serve_timeline(trace: Data<&Arc<Trace>>, ask: Json<TraceRequest>) -> Json<Vec<Event>> {
-    Json(trace.after(ask.since, ask.max))
+pub fn serve_timeline(trace: Data<&Arc<Trace>>, request: Json<TraceRequest>) -> Json<Vec<Event>> {
+    Json(trace.after(request.since, request.max))
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform: an append-only log with retention, and a lagging VM list.
+//! A simulated platform: an append-only log with retention, and a list of VMs that is updated with
+//! a delay.
 
 use crate::clock::Millis;
 use crate::controller::list::VmList;
@@ -16,21 +17,21 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// Faults that can be set at any time.
+/// Faults that can be set at any time over HTTP.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// The log answers nothing but errors.
+    /// The log answers every call with an error.
     pub log_down: bool,
-    /// The list answers nothing but errors.
+    /// The VM list answers every call with an error.
     pub list_down: bool,
-    /// Each answer of the log comes this much later.
+    /// Delay of each answer of the log.
     pub slow: Millis,
-    /// This many appends take effect and are answered with an error.
+    /// Number of appends that take effect but are answered with an error.
     pub lose_replies: u32,
-    /// A new list is newest_visible this much later.
+    /// Delay after which a new VM list becomes visible.
     pub list_lag: Millis,
-    /// Callers, by name, for whom log and list are down.
+    /// Names of callers for which log and list are unavailable.
     pub cut: Vec<Name>,
 }
 
@@ -45,13 +46,13 @@
 /// How much the log was used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Appends.
+    /// Number of appends.
     pub appends: u64,
     /// Bytes appended.
     pub bytes: u64,
 }
 
-/// The stand-in.
+/// The simulated platform.
 #[derive(Debug)]
 pub struct Platform {
     retention: Millis,
@@ -67,7 +68,7 @@
 }
 
 impl Platform {
-    /// A platform that keeps records for `retention`.
+    /// Creates a platform that keeps records for `retention`.
     pub fn new(retention: Millis) -> Arc<Self> {
         let trace = Arc::new(Trace::new("platform".into()));
         trace.add(What::Up { role: "platform".into() });
@@ -81,18 +82,18 @@
         })
     }
 
-    /// Sets the faults from now on.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.trace.add(What::Platform { part: "log".into(), up: !faults.log_down });
         *lock(&self.faults) = faults;
     }
 
-    /// Puts a new list in place.
+    /// Publishes a new VM list.
     pub fn set_list(&self, list: VmList) {
         lock(&self.lists).push((Millis::now(), list));
     }
 
-    /// How much the log was used.
+    /// The use of the log so far.
     pub fn usage(&self) -> Usage {
         let log = lock(&self.log);
         Usage { appends: log.appends, bytes: log.bytes }
@@ -130,7 +131,7 @@
         newest.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Its HTTP interface.
+    /// The HTTP interface of the platform.
     pub fn app(self: Arc<Self>) -> impl IntoEndpoint {
         let trace = self.trace.clone();
         Route::new()
--- a/src/standin/process.rs
+++ b/src/standin/process.rs
@@ -1,18 +1,18 @@
-//! An entry as a separate process, started by tests and benches and never left behind.
+//! An entry as a child process, for tests and benches.
 
 use std::io;
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// A process that is killed, and waited for, when it is dropped.
+/// A child process that is killed and waited for when it is dropped.
 #[derive(Debug)]
 pub struct Process(Child);
 
 impl Process {
-    /// Starts `program node` with a settings file that is written first.
+    /// Writes `settings` to `path` and starts `program node` with that file and `extra_args`.
     ///
     /// # Errors
-    /// The file cannot be written, or the program not started.
+    /// The file cannot be written, or the program cannot be started.
     pub fn start_node(
         program: &str,
         path: &Path,
@@ -26,23 +26,23 @@
         command.spawn().map(Self)
     }
 
-    /// Its id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
-    /// Waits for its end.
+    /// Waits for the process to end.
     ///
     /// # Errors
-    /// It cannot be waited for.
+    /// The process cannot be waited for.
     pub fn wait(&mut self) -> io::Result<ExitStatus> {
         self.0.wait()
     }
 
-    /// How it ended, if it has.
+    /// The exit status, if the process has ended.
     ///
     /// # Errors
-    /// It cannot be asked.
+    /// The status cannot be queried.
     pub fn try_wait(&mut self) -> io::Result<Option<ExitStatus>> {
         self.0.try_wait()
     }
@@ -51,8 +51,8 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Err(err) = self.0.kill().and_then(|()| self.0.wait()) {
-            // Nothing more can be done for it here.
-            eprintln!("event=process-not-ended id={} error={err:?}", self.0.id());
+            // A destructor cannot return the error.
+            eprintln!("event=process-kill-failed id={} error={err:?}", self.0.id());
         }
     }
 }
--- a/src/standin/runner.rs
+++ b/src/standin/runner.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a runner: it answers requests, a few at a time.
+//! A simulated runner: it executes requests, a limited number at a time.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -16,42 +16,42 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Semaphore;
 
-/// The most exchanges at once; more are refused.
-const MAX_EXCHANGES: usize = 64;
-/// How long a request runs if it does not say.
+/// Number of requests that may be executing or waiting for a slot; more are refused.
+const MAX_REQUESTS: usize = 64;
+/// Run time of a request without `RUN_TIME_HEADER`.
 const DEFAULT_RUN_TIME: Millis = Millis(20);
-/// The header by which callers of stand-ins say how long their request runs, in milliseconds.
+/// The request header with the run time of a request in milliseconds.
 pub const RUN_TIME_HEADER: &str = "work-millis";
 
-/// Faults that can be set at any time.
+/// Faults that can be set at any time over HTTP.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answers break off after half of the body.
+    /// The connection breaks off after half of the response body.
     pub cut: bool,
-    /// Every request fails after it ran.
+    /// Every request is executed and then answered with an error.
     pub fail: bool,
-    /// Answers say that the runner is leaving.
+    /// Responses announce that the runner is leaving.
     pub leaving: bool,
 }
 
-/// The stand-in.
+/// The simulated runner.
 #[derive(Debug)]
 pub struct Runner {
     slots: Semaphore,
-    exchanges: Semaphore,
+    requests: Semaphore,
     faults: Mutex<Faults>,
     trace: Arc<Trace>,
 }
 
 impl Runner {
-    /// A runner with this many slots.
+    /// Creates a runner that executes `slots` requests at a time.
     pub fn new(name: Name, slots: u32) -> Arc<Self> {
         let trace = Arc::new(Trace::new(name));
         trace.add(What::Up { role: "runner".into() });
         Arc::new(Self {
             slots: Semaphore::new(slots as usize),
-            exchanges: Semaphore::new(MAX_EXCHANGES),
+            requests: Semaphore::new(MAX_REQUESTS),
             faults: Mutex::default(),
             trace,
         })
@@ -61,12 +61,12 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its time line.
+    /// The timeline of the runner.
     pub fn trace(&self) -> Arc<Trace> {
         self.trace.clone()
     }
 
-    /// Its HTTP interface.
+    /// The HTTP interface of the runner.
     pub fn app(self: Arc<Self>) -> impl IntoEndpoint {
         let trace = self.trace.clone();
         Route::new()
@@ -89,7 +89,7 @@
     request: &poem::Request,
     body: Vec<u8>,
 ) -> poem::Result<Response> {
-    let _exchange = runner.exchanges.try_acquire().map_err(|_| unavailable())?;
+    let _request = runner.requests.try_acquire().map_err(|_| unavailable())?;
     let _slot = runner.slots.acquire().await.map_err(|_| unavailable())?;
     let run_time = request.header(RUN_TIME_HEADER).and_then(|text| text.parse().ok());
     tokio::time::sleep(Millis(run_time.unwrap_or(DEFAULT_RUN_TIME.0)).duration()).await;
--- a/src/standin/site/mod.rs
+++ b/src/standin/site/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the users' platform: store, workers and advice service over their published
-//! protocol, with faults that can be set at any time.
+//! A simulation of the users' platform within one process: store, workers and advice service with
+//! their published protocol, and faults that can be set at any time.
 
 pub mod store;
 pub mod worker;
@@ -21,10 +21,10 @@
 use tokio::net::TcpListener;
 use worker::{RunLog, Worker};
 
-/// The largest body that is read, in bytes.
+/// Largest request body that is read, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
 
-/// A request with its body.
+/// A request with its body read completely.
 #[derive(Debug)]
 pub(super) struct Call {
     pub path: String,
@@ -37,7 +37,9 @@
     fn query_number(&self, name: &str) -> Option<u64> {
         let text = self.query.get(name)?;
         let parsed = text.parse();
-        parsed.inspect_err(|err| log::warn!("event=bad-query {name}={text} error={err:?}")).ok()
+        parsed
+            .inspect_err(|err| log::warn!("event=invalid-query-number {name}={text} error={err:?}"))
+            .ok()
     }
 
     fn query_text(&self, name: &str) -> &str {
@@ -46,36 +48,36 @@
 
     fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_else(|err| {
-            // Its fields count as absent then.
-            log::warn!("event=bad-body path={} error={err:?}", self.path);
+            // All fields of the body count as absent.
+            log::warn!("event=invalid-json-body path={} error={err:?}", self.path);
             Value::Null
         })
     }
 }
 
-/// A number that a call may leave out: 0 then, by the platform's contract.
+/// A number in a request body. By the platform's contract a missing one is 0.
 pub(super) fn number_field(body: &Value, name: &str) -> u64 {
     match &body[name] {
         Value::Null => 0,
         value => value.as_u64().unwrap_or_else(|| {
-            log::warn!("event=bad-field {name}={value}");
+            log::warn!("event=non-number-field {name}={value}");
             0
         }),
     }
 }
 
-/// A text that a call may leave out: empty then, by the platform's contract.
+/// A string in a request body. By the platform's contract a missing one is empty.
 pub(super) fn text_field<'a>(body: &'a Value, name: &str) -> &'a str {
     match &body[name] {
         Value::Null => "",
         value => value.as_str().unwrap_or_else(|| {
-            log::warn!("event=bad-field {name}={value}");
+            log::warn!("event=non-string-field {name}={value}");
             ""
         }),
     }
 }
 
-/// An answer; `None`: the connection stays silent.
+/// The response to a request; `None`: the request is never answered.
 pub(super) type Reply = Option<(StatusCode, Bytes)>;
 
 pub(super) fn reply(status: StatusCode, body: &Value) -> Reply {
@@ -88,19 +90,21 @@
     let pairs = request.uri().query().unwrap_or_default().split('&');
     let query = pairs.filter_map(|pair| pair.split_once('='));
     let query = query.map(|(name, value)| (name.to_string(), value.to_string())).collect();
-    // One that is no text names no life of any worker, and is refused as such.
+    // A value that is not UTF-8 names no worker instance; it is kept so that the request is
+    // refused.
     let instance = request.headers().get(INSTANCE_HEADER);
     let instance = instance.map(|value| String::from_utf8_lossy(value.as_bytes()).into_owned());
     let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_else(|err| {
-        // The caller broke off or sent too much: without a body the call does nothing.
-        log::warn!("event=body-unread path={path} error={err:?}");
+        // The caller disconnected or sent too much: the request is handled as one with an empty
+        // body.
+        log::warn!("event=body-read-failed path={path} error={err:?}");
         Bytes::new()
     });
     Call { path, query, instance, body }
 }
 
-/// Answers calls on a listener until its task is dropped.
+/// Serves requests on a listener until its task is dropped.
 pub(super) async fn serve<S, F, R>(listener: TcpListener, state: Arc<S>, handle: F)
 where
     S: Send + Sync + 'static,
@@ -122,37 +126,37 @@
         let builder = hyper::server::conn::http1::Builder::new();
         tokio::spawn(async move {
             if let Err(err) = builder.serve_connection(TokioIo::new(stream), service).await {
-                // A caller may close whenever it likes.
+                // A caller may close its connection at any time.
                 log::debug!("event=connection-ended error={err:?}");
             }
         });
     }
 }
 
-/// A whole platform on one host.
+/// A whole platform on one host: store, advice service and workers on consecutive ports.
 #[derive(Debug)]
 pub struct Site {
     /// The store.
     pub store: Arc<Store>,
-    /// The workers.
+    /// The workers, by index.
     pub workers: Vec<Arc<Worker>>,
-    /// What they did.
+    /// Log of what the workers ran.
     pub run_log: Arc<RunLog>,
     host: String,
     port: u16,
 }
 
-/// The service whose workers the site has.
+/// The service that all workers of the site belong to.
 const SERVICE: &str = "desk";
-/// Entries have ten ports each from here on, counted from the site's first port: callers, the
-/// balancer, other entries, metrics.
+/// Offset of the first entry's ports from the first port of the site. Each entry has ten ports, of
+/// which it uses four: callers, readiness checks of the load balancer, other entries, metrics.
 pub const ENTRY_PORT_OFFSET: u16 = 2_000;
-/// Room of a worker, in thousandths of a core.
+/// Initial CPU capacity of a worker, in thousandths of a core.
 pub const WORKER_CPU: u64 = 8_000;
 
 impl Site {
-    /// Starts store, advice service and `workers` workers, spread over the failure domains `a`, `b`
-    /// and `c`, on `host` from `port` on.
+    /// Starts the store, the advice service and `workers` workers, spread over the failure domains
+    /// `a`, `b` and `c`, on consecutive ports of `host` from `port` on.
     ///
     /// # Errors
     /// A port is in use.
@@ -171,7 +175,7 @@
         Ok(site)
     }
 
-    /// Puts another version of the policy in force, with workspaces.
+    /// Publishes a version of the policy that has these workspaces.
     pub fn publish_policy(&self, version: u64, workspaces: &[Workspace]) {
         let row = |one: &Workspace| {
             json!({
@@ -194,12 +198,12 @@
         self.add_worker_at(addr).await
     }
 
-    /// Where the next worker will listen.
+    /// Address at which the next worker will listen.
     pub fn next_worker_addr(&self) -> String {
         format!("{}:{}", self.host, self.port + 2 + self.workers.len() as u16)
     }
 
-    /// Starts one more worker that lists `addr` as its address, behind which a proxy may be.
+    /// Starts one more worker that lists `addr` as its address, for example the address of a proxy.
     ///
     /// # Errors
     /// Its port is in use.
@@ -220,7 +224,7 @@
         Ok(())
     }
 
-    /// The settings of entry `no`, with its own ports above the site's.
+    /// The settings of entry `no` as TOML.
     pub fn settings(&self, no: u16) -> String {
         let (host, store) = (&self.host, self.port);
         let base = self.entry_port(no);
@@ -259,17 +263,17 @@
         self.port + ENTRY_PORT_OFFSET + no * 10
     }
 
-    /// Where callers reach entry `no`.
+    /// Address of entry `no` for callers.
     pub fn front_addr(&self, no: u16) -> String {
         format!("{}:{}", self.host, self.entry_port(no))
     }
 
-    /// Where the balancer asks entry `no`.
+    /// Address of entry `no` for readiness checks of the load balancer.
     pub fn ready_addr(&self, no: u16) -> String {
         format!("{}:{}", self.host, self.entry_port(no) + 1)
     }
 
-    /// Where entry `no` tells its metrics.
+    /// Address of the metrics of entry `no`.
     pub fn metrics_addr(&self, no: u16) -> String {
         format!("{}:{}", self.host, self.entry_port(no) + 3)
     }
@@ -278,15 +282,16 @@
 /// A workspace in the policy of a site.
 #[derive(Debug, Clone, Copy)]
 pub struct Workspace {
-    /// Its name.
+    /// The name.
     pub name: &'static str,
-    /// What its callers bear.
+    /// The API key of its callers.
     pub key: &'static str,
-    /// What it may have running, in thousandths of a core; 0: no bound.
+    /// Limit on the CPU of its running tasks, in thousandths of a core; 0: no limit.
     pub cpu: u64,
 }
 
-/// Three queues: one without and one with advice, and one that is open to callers without keys.
+/// The initial policy, with three queues: one without advice, one with advice, and one that is open
+/// to callers without API keys.
 fn default_policy() -> Value {
     let route = |name: &str, prefix: &str, advice: Value| {
         json!({
@@ -306,10 +311,10 @@
     })
 }
 
-/// Clears every worker, with a ticket.
+/// The advice service: reports every worker as healthy, each with a ticket.
 async fn advise(_: Arc<()>, call: Call) -> Reply {
-    const TIME: Millis = Millis(5);
-    tokio::time::sleep(TIME.duration()).await;
+    const RESPONSE_TIME: Millis = Millis(5);
+    tokio::time::sleep(RESPONSE_TIME.duration()).await;
     let body = call.json();
     let workers = body["workers"].as_array().cloned().unwrap_or_default();
     let rows: Vec<Value> = workers.into_iter().map(|worker| json!([worker, "ticket"])).collect();
--- a/src/standin/site/store.rs
+++ b/src/standin/site/store.rs
@@ -1,4 +1,5 @@
-//! The store: topics of one partition each, conditions, producers, newest records of keys.
+//! The simulated store: topics of one partition each, with conditional appends, fenced producers,
+//! and the newest record of each key.
 
 use crate::standin::site::{Call, Reply, reply};
 use base64::Engine;
@@ -11,30 +12,31 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The most items of one page of newest records.
+/// Largest number of items in a page of newest records.
 const MAX_PAGE_ITEMS: usize = 500;
 
 /// Faults of the store.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// It refuses everything.
+    /// Every call is refused.
     pub refuses: bool,
-    /// It answers nothing.
+    /// No call is answered.
     pub silent: bool,
-    /// This many appends are done and not answered.
+    /// Number of appends that take effect but are not answered.
     pub lost_replies: u32,
-    /// This many appends without records are done and not answered: they fence a partition.
+    /// Number of appends without records, which fence a partition, that take effect but are not
+    /// answered.
     pub lost_fences: u32,
-    /// Each answer comes this much later.
+    /// Delay of each answer.
     pub delay: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Topic {
     records: Vec<Bytes>,
-    /// Reads find nothing before this place: the history was dropped.
+    /// Offset of the first record that can still be read: the history before it was dropped.
     first_kept: usize,
-    /// By producer: epoch, last sequence number, and the answer to it.
+    /// By producer: its epoch, its last sequence number, and the offset that was answered to it.
     producers: HashMap<String, (u64, u64, u64)>,
 }
 
@@ -58,12 +60,12 @@
 }
 
 impl Store {
-    /// Sets its faults.
+    /// Replaces the faults.
     pub fn set(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Writes a keyed record, as operators and workers do.
+    /// Appends a keyed record, as operators and workers do.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let mut record = BytesMut::new();
         record.put_u8(key.len() as u8);
@@ -73,7 +75,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Drops the history of all topics: of keyed ones the newest record of each key stays.
+    /// Drops the history of all topics; of keyed topics the newest record of each key remains.
     pub fn compact(&self) {
         for topic in lock(&self.topics).values_mut() {
             topic.first_kept = topic.records.len();
@@ -123,22 +125,23 @@
             let name = call.query_text("producer").to_string();
             let known = topic.producers.get(&name).copied();
             match known {
-                Some((seen, ..)) if seen > epoch => {
+                Some((known_epoch, ..)) if known_epoch > epoch => {
                     return (StatusCode::CONFLICT, json!({"reason": "fenced"}));
                 }
-                Some((seen, last, offset))
-                    if seen == epoch && last == seq && !records.is_empty() =>
+                Some((known_epoch, last, offset))
+                    if known_epoch == epoch && last == seq && !records.is_empty() =>
                 {
                     return (StatusCode::OK, json!({"offset": offset, "end": end}));
                 }
-                Some((seen, last, _)) if seen == epoch && seq != last + 1 => {
+                Some((known_epoch, last, _)) if known_epoch == epoch && seq != last + 1 => {
                     return (StatusCode::CONFLICT, json!({"reason": "seq", "seq": last + 1}));
                 }
                 _ => {}
             }
-            // An append without records only sets the epoch: it has no place in the sequence.
+            // An append without records only sets the epoch of its producer and takes no sequence
+            // number.
             let last_seq = match (records.is_empty(), known) {
-                (true, Some((seen, last, _))) if seen == epoch => last,
+                (true, Some((known_epoch, last, _))) if known_epoch == epoch => last,
                 _ => seq,
             };
             topic.producers.insert(name, (epoch, last_seq, end));
@@ -200,10 +203,10 @@
     }
 }
 
-/// What a read finds.
+/// The result of a read.
 enum ReadResult {
     Records(Bytes),
-    /// Records before this place are gone.
+    /// Records before this offset were dropped.
     Compacted(usize),
 }
 
--- a/src/standin/site/worker.rs
+++ b/src/standin/site/worker.rs
@@ -1,4 +1,5 @@
-//! A worker without guards: it obeys the highest fence, runs under leases and lists its ends.
+//! A simulated worker that does not check its capacity: it obeys the highest fence that it has
+//! seen, runs tasks under leases and reports how they end.
 
 use crate::standin::site::store::Store;
 use crate::standin::site::{Call, Reply, number_field, reply, text_field};
@@ -11,99 +12,108 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// How long a task runs whose text does not say: the text is a number of milliseconds.
+/// Run time of a task whose text is not a number of milliseconds.
 const DEFAULT_RUN_MS: u64 = 100;
-/// What the text of a task begins with that crashes each worker that starts it.
+/// Prefix of the text of a task that crashes every worker that starts it.
 pub const CRASH_PREFIX: &str = "crash ";
-/// How long after the start of such a task its worker crashes.
+/// Time from the start of such a task to the crash of its worker.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
-/// How long a worker is away after a crash.
+/// Time that a worker is unreachable after a crash.
 const RESTART_TIME: Duration = Duration::from_millis(1_200);
-/// When the first life of each worker started, in milliseconds since 1970.
+/// Start time of a worker's first process, in milliseconds since 1970.
 const FIRST_START_MS: u64 = 1_700_000_000_000;
-/// How much earlier each life started than the one before, by its own time of day.
+/// How much earlier than its predecessor a restarted process claims to have started, in
+/// milliseconds.
 const START_STEP_MS: u64 = 1_000;
-/// A longer lease is cut down to this, by the platform's contract.
+/// Longest lease that a worker accepts, by the platform's contract; a longer one is shortened to
+/// it.
 const MAX_LEASE_MS: u64 = 10_000;
-/// How long after a room shrank that counts, by the platform's contract.
+/// Time after a reduction of a worker's capacity from which starts over it count as a fault, by the
+/// platform's contract.
 const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
-/// Time between two entries in the list.
+/// Interval at which a worker renews its entry in the list of workers.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Default)]
 struct State {
-    /// Lives that are over.
+    /// Number of crashes so far.
     restarts: u64,
-    /// Lives that are over since the last one that had another id.
+    /// Number of crashes after which the worker got a new id.
     renames: u64,
-    /// When its process started.
+    /// Start of the current process, if the worker has restarted.
     started_at: Option<Instant>,
+    /// The highest fence seen in a call.
     fence: u64,
+    /// End of the lease on the worker's own clock, in milliseconds.
     lease_end: u64,
+    /// Run number of each running task.
     running: BTreeMap<String, u64>,
+    /// Unconfirmed ends: number of the end, task, run and outcome.
     ended: Vec<(u64, String, u64, &'static str)>,
     end_count: u64,
-    /// The lease has run out since this end and all before it.
+    /// Number of the last end that was followed by an expiry of the lease.
     lapsed_ends: u64,
+    /// The last run of each task that may not start again: it has ended or was stopped.
     ended_runs: HashMap<String, u64>,
-    /// All starts that were carried out.
+    /// All executed starts: task and run.
     starts: Vec<(String, u64)>,
 }
 
 /// Faults of a worker.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// It answers nothing and lists itself no more.
+    /// The worker answers no call and does not renew its entry in the list.
     pub unreachable: AtomicBool,
-    /// It is between two lives.
+    /// The worker has crashed and has not restarted yet.
     restarting: AtomicBool,
-    /// After a crash it starts again under the id that it had.
+    /// After a crash the worker restarts under its former id.
     pub keeps_id: AtomicBool,
-    /// All that it starts fails.
+    /// Every task fails.
     pub fails_tasks: AtomicBool,
-    /// Orders are not answered, and carried out this much later, in milliseconds; 0: at once.
+    /// Orders are not answered and are executed after this delay in milliseconds; 0: no fault.
     pub order_delay: AtomicU64,
 }
 
-/// What a worker did.
+/// An event in the run log of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEvent {
-    /// It began a run with this text.
+    /// A run was started with this text.
     Start(String),
-    /// A run ended like this; `crashed` with the worker's life.
+    /// A run ended with this outcome; `crashed` if its worker crashed.
     End(&'static str),
-    /// It has so many processors by now, in thousandths of one; no task is named.
+    /// The CPU capacity, in thousandths of a core, that counts from now on. The record names no
+    /// task.
     Resized(u64),
-    /// The end of a run was confirmed; whether the lease had run out since that end.
+    /// The end of a run was confirmed; `lapsed`: the lease had expired since that end.
     Confirm { lapsed: bool },
 }
 
-/// One thing that a worker did, in the order over all workers.
+/// An event of a worker, in the order over all workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
     /// The worker's id.
     pub worker: String,
     /// The task.
     pub task: String,
-    /// The number of the start.
+    /// The run number.
     pub run: u64,
-    /// What was done.
+    /// The event.
     pub event: RunEvent,
-    /// When.
+    /// The time of the event.
     pub at: Instant,
 }
 
-/// What all workers of a site did.
+/// Log of the events of all workers of a site.
 #[derive(Debug, Default)]
 pub struct RunLog(Mutex<Vec<RunRecord>>);
 
 impl RunLog {
-    /// Notes one thing.
+    /// Appends a record.
     pub fn add(&self, entry: RunRecord) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(entry);
     }
 
-    /// The entries from `from` on.
+    /// The records from index `from` on.
     pub fn since(&self, from: usize) -> Vec<RunRecord> {
         let entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         entries.get(from..).map(<[RunRecord]>::to_vec).unwrap_or_default()
@@ -121,14 +131,14 @@
     run_log: Arc<RunLog>,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    /// It is back after a crash: it lists itself at once.
+    /// Notified after a restart, so that the worker renews its entry in the list at once.
     restarted: Notify,
-    /// Its faults.
+    /// The faults of the worker.
     pub faults: Faults,
 }
 
 impl Worker {
-    /// A worker that runs nothing.
+    /// Creates a worker that runs no task.
     pub fn new(id: String, addr: String, domain: &str, cpu: u64, run_log: Arc<RunLog>) -> Self {
         Self {
             id,
@@ -148,7 +158,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The id of its life: the first one has the worker's name.
+    /// The id of the current incarnation: the worker's name, with a suffix after crashes that
+    /// changed the id.
     fn id(&self, state: &State) -> String {
         match state.renames {
             0 => self.id.clone(),
@@ -156,19 +167,19 @@
         }
     }
 
-    /// When its process started, in milliseconds since 1970 by its own time of day: that is set back with each
-    /// life, so that a later life may have started earlier by it.
+    /// Start time of the process, in milliseconds since 1970 by its own clock. Each restart sets it
+    /// back, so that a later process may claim an earlier start.
     fn start_time(&self, state: &State) -> u64 {
         FIRST_START_MS - state.restarts * START_STEP_MS
     }
 
-    /// As [`Worker::crash`]; it starts again under its id.
+    /// Crashes the worker, which restarts under its former id, also after later crashes.
     pub fn restart(self: &Arc<Self>) {
         self.faults.keeps_id.store(true, Ordering::Relaxed);
         self.crash();
     }
 
-    /// Its life ends, with all that it runs and knows, and it is away for a while.
+    /// Crashes the worker: it loses its tasks and its state and is unreachable for a while.
     pub fn crash(self: &Arc<Self>) {
         let mut state = self.state();
         for (task, run) in &state.running {
@@ -188,7 +199,7 @@
         });
     }
 
-    /// It has so many processors from now on, and lists that with its next entry.
+    /// Changes the CPU capacity, which the worker lists with its next entry.
     pub fn resize(self: &Arc<Self>, cpu: u64) {
         let before = self.cpu.swap(cpu, Ordering::Relaxed);
         let worker = self.clone();
@@ -196,29 +207,29 @@
             if cpu < before {
                 tokio::time::sleep(SHRINK_GRACE).await;
             }
-            // Another change may have come meanwhile.
+            // The capacity may have changed again since.
             if worker.cpu.load(Ordering::Relaxed) <= cpu {
                 worker.record(&worker.state(), "", 0, RunEvent::Resized(cpu));
             }
         });
     }
 
-    /// The worker's own clock, which begins anew with each life.
+    /// The worker's own clock in milliseconds, which restarts from 0 with its process.
     fn clock_ms(&self, state: &State) -> u64 {
         state.started_at.unwrap_or(self.created_at).elapsed().as_millis() as u64
     }
 
-    /// All starts that were carried out, in order: task and run.
+    /// All executed starts in order: task and run.
     pub fn starts(&self) -> Vec<(String, u64)> {
         self.state().starts.clone()
     }
 
-    /// What runs now.
+    /// The tasks that are running.
     pub fn running(&self) -> Vec<String> {
         self.state().running.keys().cloned().collect()
     }
 
-    /// Lists itself in the store until its task is dropped.
+    /// Renews the worker's entry in the store's list of workers until its task is dropped.
     pub(super) async fn publish_entries(self: Arc<Self>, store: Arc<Store>, service: &str) {
         let mut listed = self.id.clone();
         for seq in 1.. {
@@ -295,13 +306,13 @@
             });
             return None;
         }
-        let length = text_field(body, "spec").parse().unwrap_or_else(|err| {
-            log::debug!("event=usual-run task={task} error={err:?}");
+        let run_ms = text_field(body, "spec").parse().unwrap_or_else(|err| {
+            log::debug!("event=default-run-time task={task} error={err:?}");
             DEFAULT_RUN_MS
         });
         let worker = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(Duration::from_millis(length)).await;
+            tokio::time::sleep(Duration::from_millis(run_ms)).await;
             let failed = worker.faults.fails_tasks.load(Ordering::Relaxed);
             if worker.state().restarts == restarts {
                 worker.end(&task, run, if failed { "failed" } else { "done" });
@@ -326,7 +337,8 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Notes what was done; the caller holds the state's lock, so that the order is right.
+    /// Appends an event to the run log. The caller holds the lock of the state, so that events are
+    /// in order.
     fn record(&self, state: &State, task: &str, run: u64, event: RunEvent) {
         let (worker, task) = (self.id(state), task.to_string());
         let at = Instant::now();
@@ -348,8 +360,8 @@
     fn expire_lease(&self) {
         let over: Vec<(String, u64)> = {
             let state = self.state();
-            let late = self.clock_ms(&state) >= state.lease_end;
-            let running = state.running.iter().filter(|_| late);
+            let is_expired = self.clock_ms(&state) >= state.lease_end;
+            let running = state.running.iter().filter(|_| is_expired);
             running.map(|(task, run)| (task.clone(), *run)).collect()
         };
         for (task, run) in over {
@@ -361,7 +373,7 @@
         let seen = number_field(body, "last_seen");
         let wait = Duration::from_millis(number_field(body, "wait_ms"));
         let mut changed = self.changed.subscribe();
-        let (no_ends, restarts) = {
+        let (has_no_ends, restarts) = {
             let mut state = self.state();
             let clock = self.clock_ms(&state);
             if clock >= state.lease_end {
@@ -369,18 +381,18 @@
             }
             state.lease_end =
                 state.lease_end.max(number_field(body, "until_ms").min(clock + MAX_LEASE_MS));
-            let (known, rest) =
+            let (confirmed, rest) =
                 std::mem::take(&mut state.ended).into_iter().partition(|(no, ..)| *no <= seen);
             state.ended = rest;
-            let known: Vec<(u64, String, u64, &str)> = known;
-            for (no, task, run, _) in known {
+            let confirmed: Vec<(u64, String, u64, &str)> = confirmed;
+            for (no, task, run, _) in confirmed {
                 let event = RunEvent::Confirm { lapsed: no <= state.lapsed_ends };
                 self.record(&state, &task, run, event);
             }
             (state.ended.is_empty(), state.restarts)
         };
-        if no_ends && tokio::time::timeout(wait, changed.changed()).await.is_ok() {
-            // An end came.
+        if has_no_ends && tokio::time::timeout(wait, changed.changed()).await.is_ok() {
+            // A run has ended; the answer below contains it.
         }
         self.expire_lease();
         let state = self.state();
@@ -413,17 +425,20 @@
         return reply(StatusCode::MISDIRECTED_REQUEST, &json!({}));
     }
     let body = call.json();
-    let late = worker.faults.order_delay.load(Ordering::Relaxed);
-    if late > 0 && call.path != "/hold" {
+    let delay_ms = worker.faults.order_delay.load(Ordering::Relaxed);
+    if delay_ms > 0 && call.path != "/hold" {
         tokio::spawn(async move {
-            tokio::time::sleep(Duration::from_millis(late)).await;
-            // An order ends with the life that it was given to.
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+            // An order is dropped when the worker that received it has crashed.
             if worker.state().restarts != restarts {
-                return log::debug!("event=late-order-dropped worker={id} path={}", call.path);
+                return log::debug!("event=delayed-order-dropped worker={id} path={}", call.path);
             }
-            // Nobody waits for the answer: its caller has had none for this long.
+            // Its caller was not answered, so the result is only logged.
             let reply = handle_order(&worker, &call.path, &body).await;
-            log::debug!("event=late-order worker={id} path={} reply={reply:?}", call.path);
+            log::debug!(
+                "event=delayed-order-executed worker={id} path={} reply={reply:?}",
+                call.path
+            );
         });
         return None;
     }
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker without guards: it obeys any start, whoever sends it and whatever it
-//! has room for.
+//! A simulated worker that checks neither the sender of a start nor its own capacity, so that a
+//! fault of the scheduler becomes visible in the timeline.
 
 use crate::clock::Millis;
 use crate::id::{Name, TaskId};
@@ -15,20 +15,20 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How often leases and run times are looked at.
+/// Interval at which expired leases and run times are checked.
 const CHECK_INTERVAL: Millis = Millis(20);
 
-/// Faults that can be set at any time.
+/// Faults that can be set at any time over HTTP.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every task fails at once.
+    /// Every task fails at the next check.
     pub fail: bool,
     /// Every start is refused.
     pub refuse: bool,
-    /// Starts take effect and are answered this much later.
+    /// Delay of the answers to starts, which take effect at once.
     pub slow: Millis,
-    /// Tasks run this many hundredths of their declared time; 0: as declared.
+    /// Run time of tasks in percent of the declared one; 0: as declared.
     pub stretch: u32,
 }
 
@@ -38,7 +38,7 @@
     Ended(Outcome),
 }
 
-/// The stand-in.
+/// The simulated worker.
 #[derive(Debug)]
 pub struct Worker {
     inc: u64,
@@ -53,7 +53,7 @@
 }
 
 impl Worker {
-    /// A worker of this name and size.
+    /// Creates a worker with a name and capacity.
     pub fn new(name: Name, size: Size) -> Arc<Self> {
         let trace = Arc::new(Trace::new(name));
         trace.add(What::Up { role: "worker".into() });
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Ends tasks whose time or lease is over, for as long as the worker lives.
+    /// Ends tasks whose run time or lease is over, until its future is dropped.
     pub async fn run(self: Arc<Self>) {
         let mut timer = tokio::time::interval(CHECK_INTERVAL.duration());
         loop {
@@ -156,12 +156,12 @@
         report
     }
 
-    /// Its time line.
+    /// The timeline of the worker.
     pub fn trace(&self) -> Arc<Trace> {
         self.trace.clone()
     }
 
-    /// Its HTTP interface.
+    /// The HTTP interface of the worker.
     pub fn app(self: Arc<Self>) -> impl IntoEndpoint {
         let trace = self.trace.clone();
         Route::new()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small cell of separate processes over loopback.
-#![allow(dead_code, reason = "each test binary uses a part")]
+//! A small cell for tests: separate processes on loopback, driven over HTTP.
+#![allow(dead_code, reason = "no test uses all of these helpers")]
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -24,7 +24,8 @@
 pub const NILEWIRE_TOKEN: &str = "nilewire-token-0123";
 pub const VIESTISILTA_TOKEN: &str = "viesti-token-012345";
 
-/// Longer than anything that is waited for takes on a busy machine.
+/// Polls before `Cell::wait_until` fails: one minute, longer than any awaited condition takes on a
+/// busy machine.
 const MAX_POLLS: usize = 1_200;
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const CALL_TIMEOUT: Millis = Millis(20_000);
@@ -39,7 +40,7 @@
 campaign,viestisilta,batch,10,100,20000,600000,no,0,100,0,0,100,100
 ";
 
-/// A process that is killed when the test is over.
+/// A child process that is killed when it is dropped.
 pub struct Process {
     child: Child,
     pub addr: SocketAddr,
@@ -62,8 +63,8 @@
     }
 }
 
-/// Addresses for the processes of one cell: on a loopback address of its own, so that no other
-/// cell and no outgoing connection takes one before it is bound.
+/// Addresses for the processes of one cell. Each cell has a loopback address of its own, so that no
+/// other cell and no outgoing connection takes a port before it is bound.
 #[derive(Debug)]
 pub struct Addresses {
     host: Ipv4Addr,
@@ -92,7 +93,7 @@
     Process { child: child.expect("spawn"), addr }
 }
 
-/// Two failure domains with two entries, two workers and a runner each, and a platform.
+/// A simulated platform and two failure domains, each with two entries, two workers and a runner.
 pub struct Cell {
     pub platform: Process,
     pub entries: BTreeMap<String, Process>,
@@ -113,13 +114,14 @@
         Self::start_with(name, 600_000, json!({})).await
     }
 
-    /// A cell whose log drops records after `retention`, and whose entries have other settings.
-    pub async fn start_with(name: &str, retention: u64, settings: Value) -> Self {
+    /// Starts a cell whose log drops records after `retention_ms` and whose entries have `settings`
+    /// in place of the defaults.
+    pub async fn start_with(name: &str, retention_ms: u64, settings: Value) -> Self {
         let dir = std::env::temp_dir().join(format!("spruce-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("dir");
         let http = HttpClient::default();
         let mut addresses = Addresses::new();
-        let platform = platform(addresses.next(), retention);
+        let platform = platform(addresses.next(), retention_ms);
         let mut cell = Self {
             platform,
             entries: BTreeMap::new(),
@@ -152,7 +154,7 @@
         cell
     }
 
-    /// The VM list in a version.
+    /// The VM list with all workers and runners, as revision `rev`.
     pub fn vm_list(&self, rev: u64) -> Value {
         let mut vms = Vec::new();
         for (name, process) in &self.workers {
@@ -174,7 +176,7 @@
         json!({"rev": rev, "vms": vms})
     }
 
-    fn write_all_settings(&mut self, other: &Value) {
+    fn write_all_settings(&mut self, overrides: &Value) {
         let authority = Authority::new("test").expect("authority");
         let names = DOMAINS.iter().flat_map(|d| (1..=2).map(move |i| (format!("{d}-{i}"), *d)));
         let peers: Vec<(String, &str, SocketAddr)> =
@@ -206,24 +208,24 @@
                 ],
                 "stop_grace": 200, "sync_every": 200, "list_every": 200, "beat_every": 200,
             });
-            merge(&mut settings, other);
+            merge(&mut settings, overrides);
             let path = self.dir.join(format!("{name}.jsonc"));
             std::fs::write(&path, format!("// {name}\n{settings}")).expect("settings");
             self.settings.insert(name.clone(), path);
         }
     }
 
-    /// Changes settings of an entry that is not running.
-    pub fn change_settings(&self, name: &str, other: &Value) {
+    /// Overrides settings of an entry that is not running.
+    pub fn change_settings(&self, name: &str, overrides: &Value) {
         let path = &self.settings[name];
         let text = std::fs::read_to_string(path).expect("settings");
         let (_, body) = text.split_once('\n').expect("comment");
         let mut settings = serde_json::from_str(body).expect("settings");
-        merge(&mut settings, other);
+        merge(&mut settings, overrides);
         std::fs::write(path, format!("// {name}\n{settings}")).expect("settings");
     }
 
-    /// Stops an entry by plan and waits for its end.
+    /// Stops an entry with SIGTERM and waits for its end.
     pub async fn stop_entry(&mut self, name: &str) {
         self.save_events(name).await;
         let mut process = self.entries.remove(name).expect("entry");
@@ -245,7 +247,7 @@
         self.entries[entry].addr
     }
 
-    /// Looks until `ready` holds.
+    /// Polls until `ready` returns true; panics with `what` after `MAX_POLLS`.
     pub async fn wait_until(&self, what: &str, mut ready: impl AsyncFnMut() -> bool) {
         for _ in 0..MAX_POLLS {
             if ready().await {
@@ -253,7 +255,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("waited in vain: {what}");
+        panic!("condition not reached in time: {what}");
     }
 
     pub async fn send(
@@ -273,7 +275,8 @@
         self.http.send(&addr, request, CALL_TIMEOUT).await
     }
 
-    /// Sends with a token and returns status and JSON body.
+    /// Calls an entry with a token; returns status and JSON body, or status 0 if there was no
+    /// answer.
     pub async fn call(
         &self,
         entry: &str,
@@ -299,7 +302,8 @@
         self.call(entry, OPERATOR_TOKEN, Method::GET, path, Value::Null).await.1
     }
 
-    /// Sends a caller's request.
+    /// Sends a request of a kind with the token of its team; returns status and body, or status 0
+    /// and the error.
     pub async fn request(
         &self,
         entry: &str,
@@ -336,7 +340,7 @@
         }
     }
 
-    /// Publishes the table and waits until all entries have it and all shards have owners.
+    /// Publishes the example table and waits until all entries have it and both shards have owners.
     pub async fn publish_table_and_wait(&self) {
         let first = self.entries.keys().next().expect("entries").clone();
         self.wait_until("publish", async || self.publish(&first, 0, EXAMPLE_TABLE).await.0 == 200)
@@ -347,7 +351,7 @@
         }
     }
 
-    /// The owner of each shard whose owner answers with its workers listed.
+    /// The owner of each shard that an entry reaches and whose owner knows its workers.
     pub async fn owners(&self, entry: &str) -> BTreeMap<String, String> {
         let status = self.get(entry, "/v1/status").await;
         let shards = status["shards"].as_array().cloned().unwrap_or_default();
@@ -415,13 +419,13 @@
         answer.ok().and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or_default()
     }
 
-    /// Keeps the events of a process that is about to be killed.
+    /// Saves the events of an entry that is about to be killed or stopped.
     pub async fn save_events(&mut self, entry: &str) {
         let events = self.events_of(self.addr(entry)).await;
         self.saved_events.extend(events);
     }
 
-    /// The time line over all processes.
+    /// The events of all processes in order of time, including the saved ones.
     pub async fn timeline(&self) -> Vec<Event> {
         let mut events = self.saved_events.clone();
         let all = self.entries.values().chain(self.workers.values()).chain(self.runners.values());
@@ -432,7 +436,7 @@
         events
     }
 
-    /// Whether some line of the time line has all of these texts.
+    /// Whether some event of the timeline contains all of these texts.
     pub async fn has_event(&self, texts: &[&str]) -> bool {
         let events = self.timeline().await;
         let lines = events.iter().map(ToString::to_string);
@@ -440,17 +444,17 @@
         found.next().is_some()
     }
 
-    /// No event of the time line broke a promise.
+    /// Checks that the timeline contains no violation of the scheduler's guarantees.
     pub async fn check_invariants(&self) {
         let events = self.timeline().await;
-        assert!(events.len() > 10, "time line too short: {}", events.len());
-        let broken = check::check(&events);
-        assert!(broken.is_empty(), "{broken:#?}");
+        assert!(events.len() > 10, "timeline too short: {} events", events.len());
+        let violations = check::check(&events);
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-fn merge(settings: &mut Value, other: &Value) {
-    for (name, value) in other.as_object().expect("settings") {
+fn merge(settings: &mut Value, overrides: &Value) {
+    for (name, value) in overrides.as_object().expect("settings") {
         settings[name] = value.clone();
     }
 }
@@ -461,8 +465,8 @@
     }
 }
 
-fn platform(addr: SocketAddr, retention: u64) -> Process {
-    let (listen, retention) = (addr.to_string(), retention.to_string());
+fn platform(addr: SocketAddr, retention_ms: u64) -> Process {
+    let (listen, retention) = (addr.to_string(), retention_ms.to_string());
     let args = ["standin", "platform", "--listen", &listen, "--retention", &retention];
     spawn(addr, &args)
 }
