--- a/src/demo/cell.rs
+++ b/src/demo/cell.rs
@@ -1,4 +1,5 @@
-//! The cell of the demo, on free ports of loopback.
+//! The cell of the demo: simulated platform, workers and runners, and real entries, all in this
+//! process on free ports of loopback.
 
 use crate::clock::Millis;
 use crate::controller::list::{Role, Vm, VmList};
@@ -25,29 +26,31 @@
 use tokio::sync::watch;
 
 const OPERATOR_TOKEN: &str = "demo-operator-token";
+/// Time limit of a call to an entry.
 const CALL_TIMEOUT: Millis = Millis(20_000);
+/// Time for which the platform's log keeps records.
 const LOG_RETENTION: Millis = Millis(600_000);
-/// How long the cell may take to come up.
+/// Time limit for the start of the cell.
 const START_TIMEOUT: Millis = Millis(30_000);
 const POLL_INTERVAL: Millis = Millis(50);
-/// Failure domain, and the size of its workers.
+/// The failure domains, and the size of the workers in each.
 const DOMAINS: [(&str, Size); 2] =
     [("nasr-hall", Size::new(16_000, 32_000, 0)), ("pasila", Size::new(32_000, 64_000, 0))];
 const WORKERS_PER_DOMAIN: usize = 4;
 const RUNNERS_PER_DOMAIN: usize = 2;
 const SLOTS_PER_RUNNER: u32 = 8;
-const ACCELERATORS_PER_WORKER: u32 = 2;
+const FIRST_WORKER_ACCELERATORS: u32 = 2;
 
-/// The table of the demo.
+/// The table that the demo publishes.
 pub const EXAMPLE_TABLE: &str = include_str!("../../docs/example/table.csv");
 
 /// The cell.
 pub struct Cell {
-    /// The platform.
+    /// The simulated platform.
     pub platform: Arc<Platform>,
-    /// The entries with their addresses for callers.
+    /// The entries, each with its address for callers.
     pub entries: Vec<(Arc<Entry>, SocketAddr)>,
-    /// All workers' processors together, in thousandths of a core.
+    /// CPU capacity of all workers together, in thousandths of a core.
     pub total_cpu: u64,
     traces: Vec<Arc<Trace>>,
     http: HttpClient,
@@ -60,13 +63,13 @@
     Ok((listener, addr))
 }
 
-/// Ready when the cell is stopped.
+/// Completes when the cell is stopped.
 async fn wait_for_stop(mut stop: watch::Receiver<bool>) {
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
 impl Cell {
-    /// Starts everything and waits until each shard has an owner.
+    /// Starts all parts of the cell and waits until each shard has an owner.
     pub async fn start() -> Result<Self> {
         let platform = Platform::new(LOG_RETENTION);
         let (listener, addr) = bind_loopback().await?;
@@ -94,7 +97,7 @@
         for index in 0..WORKERS_PER_DOMAIN {
             let (listener, addr) = bind_loopback().await?;
             let name: Name = format!("{domain}-w{index}").into();
-            let acc = if index == 0 { ACCELERATORS_PER_WORKER } else { 0 };
+            let acc = if index == 0 { FIRST_WORKER_ACCELERATORS } else { 0 };
             let size = Size { acc, ..size };
             let worker = Worker::new(name.clone(), size);
             self.total_cpu += size.cpu as u64;
@@ -167,7 +170,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
-        bail!("the table could not be published")
+        bail!("the table could not be published within the start timeout")
     }
 
     async fn wait_until_ready(&self, begun: Millis) -> Result<()> {
@@ -179,10 +182,10 @@
             }
             tokio::time::sleep(POLL_INTERVAL.duration()).await;
         }
-        bail!("shards have no owners")
+        bail!("not every shard got an owner within the start timeout")
     }
 
-    /// Calls an entry.
+    /// Sends a request to an entry with the operator's token.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -209,10 +212,10 @@
         let answer = self.send(addr, Method::POST, "/v1/jobs", &headers, &job.to_string()).await?;
         let value: Value = serde_json::from_slice(&answer.body)?;
         let id = value.get("job").and_then(Value::as_str);
-        Ok(id.with_context(|| format!("refused: {value}"))?.to_string())
+        Ok(id.with_context(|| format!("job submission refused: {value}"))?.to_string())
     }
 
-    /// The time line of all processes.
+    /// The events of all entries, workers and runners, in order of time.
     pub fn events(&self) -> Vec<Event> {
         let all = self.traces.iter().flat_map(|trace| trace.after(Default::default(), usize::MAX));
         let mut events: Vec<Event> = all.collect();
@@ -220,7 +223,7 @@
         events
     }
 
-    /// Stops everything.
+    /// Stops all parts of the cell.
     pub async fn stop(&self) {
         self.stop.send_replace(true);
         tokio::time::sleep((POLL_INTERVAL + POLL_INTERVAL).duration()).await;
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -1,4 +1,5 @@
-//! Callers and jobs of both users: the press desk before a deadline, the reminders of a Monday.
+//! The workloads of the demo's two users: requests and jobs of a news desk before its deadline and
+//! of a service that sends reminders.
 
 use crate::clock::Millis;
 use crate::demo::cell::Cell;
@@ -10,20 +11,21 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::task::JoinSet;
 
-/// Work that is left may take this long to end.
+/// Time limit for jobs that are still open when the load ends.
 const FINISH_TIMEOUT: Millis = Millis(30_000);
 const POLL_INTERVAL: Millis = Millis(100);
-/// How often a job is submitted before its caller gives up, and the pause between.
+/// Number of times that a job is submitted before its caller gives up, and the delay between them.
 const MAX_SUBMIT_TRIES: u32 = 5;
 const RETRY_DELAY: Millis = Millis(500);
 
-/// RequestStream of one kind, again and again.
+/// Requests of one kind at a constant rate.
 struct RequestStream {
     kind: &'static str,
-    /// Time between two.
+    /// Time between two requests.
     interval: Millis,
-    /// How long the runner takes, in milliseconds.
+    /// Run time on the runner, in milliseconds, as a header value.
     run_ms: &'static str,
+    /// Whether each request has an idempotency key.
     has_key: bool,
 }
 
@@ -33,7 +35,7 @@
     RequestStream { kind: "render", interval: Millis(25), run_ms: "40", has_key: false },
 ];
 
-/// Jobs of one kind, again and again.
+/// The jobs that are submitted periodically, each with the time between two submissions.
 fn job_streams() -> Vec<(Millis, Value)> {
     let job = |kind: &str, tasks: u32, gang: bool, cpu: u32, acc: u32, run: u64| {
         let mem = cpu / 2;
@@ -54,8 +56,8 @@
     ["ingest", "listener"].map(|kind| json!({"kind": kind, "tasks": 2, "cpu": 1_000, "mem": 500}))
 }
 
-/// Runs both users' workloads for `length`, with a campaign withdrawn and an entry stopped by
-/// plan half way, and waits until what was begun has ended.
+/// Runs the workloads of both users for `length`. Meanwhile a campaign is cancelled, and half way
+/// an entry is stopped. Then waits until all jobs have ended.
 pub async fn run(cell: Arc<Cell>, length: Millis) -> Result<()> {
     let until = Millis::now() + length;
     let (_, addr) = cell.entries[0];
@@ -80,15 +82,15 @@
     wait_until_done(&cell, addr).await
 }
 
-/// The next entry that takes callers, as the platform's balancer would choose it.
+/// The next entry that is not stopping, in turn, as the platform's load balancer would choose it.
 fn next_entry(cell: &Cell, next: &AtomicUsize) -> SocketAddr {
-    let open: Vec<SocketAddr> = cell
+    let open_entries: Vec<SocketAddr> = cell
         .entries
         .iter()
         .filter(|(entry, _)| !entry.is_stopping())
         .map(|(_, addr)| *addr)
         .collect();
-    open[next.fetch_add(1, Ordering::Relaxed) % open.len()]
+    open_entries[next.fetch_add(1, Ordering::Relaxed) % open_entries.len()]
 }
 
 async fn send_requests(
@@ -131,17 +133,17 @@
     }
 }
 
-/// Submits a job and comes again, as callers do, while the cell has no owner for it.
+/// Submits a job, and retries as callers do while the cell has no owner for it.
 async fn submit_with_retries(cell: &Cell, next: &AtomicUsize, job: &Value) -> Option<String> {
-    let mut refused = None;
+    let mut last_error = None;
     for _ in 0..MAX_SUBMIT_TRIES {
         match cell.submit(next_entry(cell, next), job).await {
             Ok(id) => return Some(id),
-            Err(err) => refused = Some(err),
+            Err(err) => last_error = Some(err),
         }
         tokio::time::sleep(RETRY_DELAY.duration()).await;
     }
-    refused.iter().for_each(|err| println!("job refused: {err}"));
+    last_error.iter().for_each(|err| println!("job not submitted: {err}"));
     None
 }
 
@@ -157,21 +159,21 @@
 async fn stop_entry(cell: Arc<Cell>, after: Millis) {
     tokio::time::sleep(after.duration()).await;
     let (entry, addr) = &cell.entries[1];
-    println!("planned stop of the entry at {addr}");
+    println!("stopping the entry at {addr}");
     entry.stop().await;
 }
 
-/// Waits until no job has tasks waiting or running.
+/// Waits until no job is queued or running.
 async fn wait_until_done(cell: &Cell, addr: SocketAddr) -> Result<()> {
     let begun = Millis::now();
     while Millis::now().since(begun) < FINISH_TIMEOUT {
         let answer = cell.send(addr, Method::GET, "/v1/jobs", &[], "").await?;
         let jobs: Vec<Value> = serde_json::from_slice(&answer.body)?;
-        let open = |job: &&Value| job["state"] == "queued" || job["state"] == "running";
-        if !jobs.iter().any(|job| open(&job)) {
+        let is_open = |job: &&Value| job["state"] == "queued" || job["state"] == "running";
+        if !jobs.iter().any(|job| is_open(&job)) {
             return Ok(());
         }
         tokio::time::sleep(POLL_INTERVAL.duration()).await;
     }
-    anyhow::bail!("jobs did not end")
+    anyhow::bail!("jobs did not end in time")
 }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! A whole small cell in one process: stand-ins, entries, callers and jobs of both users.
+//! A demo: a whole small cell in one process, with a simulated platform, entries, callers and jobs
+//! of two users.
 
 mod cell;
 mod load;
@@ -10,10 +11,10 @@
 use cell::Cell;
 use std::sync::Arc;
 
-/// Runs the demo and prints its report.
+/// Runs the demo for `length` and prints its report.
 ///
 /// # Errors
-/// If the cell cannot be set up or a promise was broken.
+/// If the cell cannot be started or a guarantee of the scheduler was violated.
 pub async fn run(length: Millis) -> Result<()> {
     let cell = Arc::new(Cell::start().await?);
     println!("cell up: 2 failure domains, 4 entries, 8 workers, 4 runners, 1 platform");
@@ -22,12 +23,14 @@
     let after = report::ControlCost::now(&cell);
     let events = cell.events();
     report::print(&events, &before, &after);
-    let broken = check::check(&events);
-    broken.iter().for_each(|broken| println!("{broken}"));
-    println!("promises: events={} broken={}", events.len(), broken.len());
+    let violations = check::check(&events);
+    violations.iter().for_each(|violation| println!("{violation}"));
+    println!("guarantees: events={} broken={}", events.len(), violations.len());
     cell.stop().await;
-    match broken.is_empty() {
+    match violations.is_empty() {
         true => Ok(()),
-        false => Err(crate::cmd::Refusal("a promise was broken".into()).into()),
+        false => {
+            Err(crate::cmd::Refusal("a guarantee of the scheduler was violated".into()).into())
+        }
     }
 }
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -1,4 +1,5 @@
-//! The report of the demo: waits, packing and control cost.
+//! The report of the demo: waits of requests and tasks, use of the workers, and the cost of the
+//! control plane.
 
 use crate::clock::Millis;
 use crate::demo::cell::Cell;
@@ -7,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 
-/// Clock ticks of the kernel's accounting, a second.
+/// Clock ticks per second in the kernel's accounting of CPU time.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// What control has cost so far.
+/// The resources that the control plane has used up to a time.
 pub struct ControlCost {
     at: Millis,
     appends: u64,
@@ -19,12 +20,12 @@
     peer_bytes: u64,
     cpu: Millis,
     nodes: u64,
-    /// All workers' processors, in thousandths of a core.
+    /// CPU capacity of all workers, in thousandths of a core.
     total_cpu: u64,
 }
 
 impl ControlCost {
-    /// The cost up to now.
+    /// Reads the cost up to now.
     pub fn now(cell: &Cell) -> Self {
         let usage = cell.platform.usage();
         let traffic = cell.entries.iter().map(|(entry, _)| &entry.quic.traffic);
@@ -44,7 +45,7 @@
     }
 }
 
-/// Processor time of this process, from the kernel's accounting; zero where there is none.
+/// CPU time of this process, from the kernel's accounting; zero where that is not available.
 fn cpu_time() -> Millis {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
@@ -52,7 +53,7 @@
     Millis((ticks(11) + ticks(12)) * 1000 / TICKS_PER_SECOND)
 }
 
-/// Waits of one kind, in milliseconds.
+/// Waits of one kind of work, in milliseconds, sorted before `quantile` is called.
 #[derive(Default)]
 struct Waits(Vec<u64>);
 
@@ -95,7 +96,7 @@
             _ => {}
         }
     }
-    println!("\nrequests: time to the whole answer, ms");
+    println!("\nrequests: time to the complete answer, ms");
     print_waits(waits);
     for ((kind, status), count) in refused {
         println!("{kind:<12} status {status}: {count}");
@@ -123,38 +124,38 @@
             _ => {}
         }
     }
-    println!("\ntasks: time to a worker, ms");
+    println!("\ntasks: time to the assignment of a worker, ms");
     print_waits(waits);
 }
 
-/// The mean share of the workers' processors that was given to tasks.
+/// Prints the mean and peak share of the workers' CPU that was allocated to tasks.
 fn print_packing(events: &[Event], before: &ControlCost, after: &ControlCost) {
     let mut running = BTreeMap::new();
-    let (mut used, mut cpu_ms, mut last, mut peak) = (0_u64, 0_u64, before.at, 0_u64);
+    let (mut used_cpu, mut cpu_ms, mut last, mut peak) = (0_u64, 0_u64, before.at, 0_u64);
     for event in events {
         let now = event.at.millis().max(last).min(after.at);
-        cpu_ms += used * now.since(last).0;
+        cpu_ms += used_cpu * now.since(last).0;
         last = now;
         match &event.what {
             What::WorkerStarted { task, size, .. } => {
-                used += size.cpu as u64;
+                used_cpu += size.cpu as u64;
                 running.insert(task.clone(), size.cpu as u64);
             }
-            What::WorkerEnded { task, .. } => used -= running.remove(task).unwrap_or(0),
+            What::WorkerEnded { task, .. } => used_cpu -= running.remove(task).unwrap_or(0),
             _ => {}
         }
-        peak = peak.max(used);
+        peak = peak.max(used_cpu);
     }
     let period_ms = after.at.since(before.at).0.max(1);
     let share = |cpu: u64| cpu as f64 / after.total_cpu.max(1) as f64;
     let mean = share(cpu_ms) / period_ms as f64;
-    println!("\npacking: processors given to tasks, mean {mean:.3}, most {:.3}", share(peak));
+    println!("\npacking: share of CPU allocated to tasks, mean {mean:.3}, peak {:.3}", share(peak));
 }
 
 fn print_cost(before: &ControlCost, after: &ControlCost) {
     let seconds = after.at.since(before.at).0 as f64 / 1000.0;
     let rate = |a: u64, b: u64| (b - a) as f64 / seconds.max(0.001);
-    println!("\ncontrol, over {seconds:.1} s and {} nodes", after.nodes);
+    println!("\ncontrol plane, over {seconds:.1} s and {} nodes", after.nodes);
     println!(
         "log: {:.1} appends/s, {:.0} bytes/s",
         rate(before.appends, after.appends),
@@ -167,5 +168,5 @@
         rate(before.peer_bytes, after.peer_bytes) / after.nodes as f64
     );
     let cpu = rate(before.cpu.0, after.cpu.0) / 10.0;
-    println!("processor: {cpu:.1}% of a core, with stand-ins and callers");
+    println!("CPU: {cpu:.1}% of a core, including simulators and callers");
 }
