--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -9,7 +9,7 @@
 use sprucerudder::controller::gossip::Delta;
 use sprucerudder::controller::offer::Room;
 use sprucerudder::controller::quota::{Limit, PartAsk, Question};
-use sprucerudder::controller::shard::office::Event;
+use sprucerudder::controller::shard::owner::Event;
 use sprucerudder::controller::slots::SlotUse;
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
 use sprucerudder::job::{StateChange, TaskOutcome};
@@ -77,7 +77,7 @@
             owner.step(Event::Tick);
         }
         let round = begun.elapsed().as_micros();
-        let states = all.into_iter().map(|owner| owner.office.into_state());
+        let states = all.into_iter().map(|owner| owner.shard_owner.into_state());
         let bytes: usize =
             states.map(|state| postcard::to_stdvec(&state).expect("bytes").len()).sum();
         println!("  {workers:>5} {tasks:>5} {memory:>9} {bytes:>8} {round:>7}");
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -5,8 +5,8 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::list::{Role, Vm};
 use sprucerudder::controller::replica::State;
-use sprucerudder::controller::shard::Source;
-use sprucerudder::controller::shard::office::{Action, Event, Office};
+use sprucerudder::controller::shard::StateSource;
+use sprucerudder::controller::shard::owner::{Action, Event, ShardOwner};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
 use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, TaskReply};
@@ -53,7 +53,7 @@
 /// One owner.
 pub struct OwnerHarness {
     pub now: Millis,
-    pub office: Office,
+    pub shard_owner: ShardOwner,
     pub running: BTreeMap<TaskId, Name>,
     shard: Name,
     job_count: u64,
@@ -70,18 +70,20 @@
             owner,
             replicas: Vec::new(),
         };
-        let source = Source::State(Box::<State>::default());
-        let office = Office::new(&claim, source, BTreeSet::new(), Vec::new(), table, START);
-        let mut desk = Self { now: START, office, running: BTreeMap::new(), shard, job_count: 0 };
+        let source = StateSource::State(Box::<State>::default());
+        let shard_owner =
+            ShardOwner::new(&claim, source, BTreeSet::new(), Vec::new(), table, START);
+        let mut desk =
+            Self { now: START, shard_owner, running: BTreeMap::new(), shard, job_count: 0 };
         let vms = (0..).zip(sizes).map(|(i, size)| vm(rack, i, *size)).collect();
-        desk.step(Event::Workers { rev: 1, vms });
+        desk.step(Event::WorkerList { rev: 1, vms });
         desk.report();
         desk
     }
 
     pub fn step(&mut self, event: Event) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        let mut actions = self.office.step(self.now, event);
+        let mut actions = self.shard_owner.step(self.now, event);
         loop {
             let mut replies = Vec::new();
             for action in actions {
@@ -89,25 +91,25 @@
                     Action::Start { worker, order } => {
                         self.running.insert(order.task.clone(), worker.clone());
                         let (task, reply) = (order.task.clone(), Some(TaskReply::Running));
-                        replies.push(Event::Told { task, stop: false, reply });
+                        replies.push(Event::CommandReply { task, stop: false, reply });
                         decisions.push(Decision::Started { task: order.task, worker });
                     }
                     Action::Stop { task, .. } => {
                         self.running.remove(&task);
                         let reply = Some(TaskReply::Ended(TaskOutcome::Stopped));
-                        replies.push(Event::Told { task: task.clone(), stop: true, reply });
+                        replies.push(Event::CommandReply { task: task.clone(), stop: true, reply });
                         decisions.push(Decision::Stopped { task });
                     }
                     _ => {}
                 }
             }
             actions = Vec::new();
-            while self.office.log_record().is_some() {
-                let (epoch, seq) = (self.office.epoch(), u64::MAX);
-                actions.extend(self.office.step(self.now, Event::Logged { epoch, seq }));
+            while self.shard_owner.log_record().is_some() {
+                let (epoch, seq) = (self.shard_owner.epoch(), u64::MAX);
+                actions.extend(self.shard_owner.step(self.now, Event::Logged { epoch, seq }));
             }
             for event in replies {
-                actions.extend(self.office.step(self.now, event));
+                actions.extend(self.shard_owner.step(self.now, event));
             }
             if actions.is_empty() {
                 return decisions;
@@ -118,7 +120,7 @@
     /// Every worker says what it runs.
     pub fn report(&mut self) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        for worker in self.office.workers() {
+        for worker in self.shard_owner.workers() {
             let here = self.running.iter().filter(|(_, on)| **on == worker);
             let running = here.map(|(task, _)| Running {
                 task: task.clone(),
@@ -147,7 +149,7 @@
     pub fn end(&mut self, task: &TaskId, outcome: TaskOutcome) -> Vec<Decision> {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
-        self.step(Event::Told { task, stop: false, reply })
+        self.step(Event::CommandReply { task, stop: false, reply })
     }
 
     pub fn cancel(&mut self, job: JobId) -> Vec<Decision> {
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -7,8 +7,8 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::quota::{Limit, PartAsk, Pool, Question};
-use sprucerudder::controller::shard::Source;
-use sprucerudder::controller::shard::office::Office;
+use sprucerudder::controller::shard::StateSource;
+use sprucerudder::controller::shard::owner::ShardOwner;
 use sprucerudder::controller::slots::{Lender, Slots, Turn, Waiting};
 use sprucerudder::id::{EntryId, JobId, Name};
 use sprucerudder::job::TaskOutcome;
@@ -110,12 +110,12 @@
         let setup = || {
             let mut owner = OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
             owner.submit(job_spec("build", 1_000, false, Size::new(1_400, 2_000, 0)));
-            owner.office.into_state()
+            owner.shard_owner.into_state()
         };
         let run = |state| {
-            let source = Source::State(Box::new(state));
+            let source = StateSource::State(Box::new(state));
             let former = BTreeSet::new();
-            Office::new(&claim, source, former, Vec::new(), rows(), Millis(2_000_000))
+            ShardOwner::new(&claim, source, former, Vec::new(), rows(), Millis(2_000_000))
         };
         b.iter_batched(setup, run, BatchSize::SmallInput);
     });
@@ -128,7 +128,7 @@
             let owner = &mut owners[0];
             owner.now = owner.now + Millis(1_000);
             owner.report();
-            owner.step(sprucerudder::controller::shard::office::Event::Tick)
+            owner.step(sprucerudder::controller::shard::owner::Event::Tick)
         });
     });
 }
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -192,7 +192,7 @@
     fn offer(&mut self, now: u64, job: &Job) -> usize {
         let open = self.owners.iter().enumerate().filter(|(at, _)| !is_rack_lost(now, *at));
         let candidates = open.map(|(at, owner)| {
-            let room = owner.office.room();
+            let room = owner.shard_owner.capacity();
             Candidate { shard: format!("{at}").into(), far: false, weight: 1, room }
         });
         let candidates: Vec<Candidate> = candidates.collect();
@@ -223,7 +223,7 @@
         self.ids.insert(next.clone(), id);
         self.jobs.insert(id, next.clone());
         let spec = job_spec(job.kind, job.tasks, job.gang, job.size);
-        let decisions = owner.step(sprucerudder::controller::shard::office::Event::Submit {
+        let decisions = owner.step(sprucerudder::controller::shard::owner::Event::Submit {
             token: 0,
             job: next,
             spec,
--- a/src/controller/flights.rs
+++ b/src/controller/in_flight.rs
@@ -1,7 +1,7 @@
 //! Starts on their way to workers, counted by a key: the epoch they were sent in, or their task.
 
 use crate::clock::Millis;
-use crate::controller::shard::office::MAX_FLIGHT;
+use crate::controller::shard::owner::MAX_MESSAGE_DELAY;
 use std::collections::BTreeMap;
 
 /// The starts of one key.
@@ -15,17 +15,17 @@
 
 /// Starts that may still arrive.
 #[derive(Debug)]
-pub struct Flights<K> {
+pub struct InFlightStarts<K> {
     starts: BTreeMap<K, Starts>,
 }
 
-impl<K> Default for Flights<K> {
+impl<K> Default for InFlightStarts<K> {
     fn default() -> Self {
         Self { starts: BTreeMap::new() }
     }
 }
 
-impl<K: Ord> Flights<K> {
+impl<K: Ord> InFlightStarts<K> {
     /// `count` starts are about to be sent.
     pub fn begin(&mut self, key: K, count: usize) {
         if count > 0 {
@@ -65,6 +65,6 @@
 
 impl Starts {
     fn may_arrive(&self, now: Millis) -> bool {
-        self.open > 0 || now.since(self.last) < MAX_FLIGHT
+        self.open > 0 || now.since(self.last) < MAX_MESSAGE_DELAY
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,10 +4,10 @@
 
 pub mod book;
 pub mod claims;
-pub mod flights;
 pub mod fold;
 pub mod gossip;
 pub mod health;
+pub mod in_flight;
 pub mod list;
 pub mod offer;
 pub mod place;
--- a/src/controller/replica.rs
+++ b/src/controller/replica.rs
@@ -5,7 +5,7 @@
 //! every replica's answer before it starts a task, can commit nothing more.
 
 use crate::controller::book::Book;
-use crate::controller::shard::office::LEASE;
+use crate::controller::shard::owner::LEASE;
 use crate::id::Name;
 use crate::job::StateChange;
 use crate::platform::api::SyncOrder;
--- a/src/controller/shard/event.rs
+++ b/src/controller/shard/event.rs
@@ -55,31 +55,31 @@
     /// A caller withdraws a job.
     Cancel { token: u64, job: JobId },
     /// An entry takes an idempotency key.
-    Key { token: u64, key: Name, holder: Name },
+    TakeKey { token: u64, key: Name, holder: Name },
     /// An entry gives a key back: surely nothing was run under it.
     FreeKey { key: Name, holder: Name },
     /// The workers of the shard, as the list has them now.
-    Workers { rev: u64, vms: Vec<Vm> },
+    WorkerList { rev: u64, vms: Vec<Vm> },
     /// A worker answered a start or a stop; `None`: no answer came.
-    Told { task: TaskId, stop: bool, reply: Option<TaskReply> },
+    CommandReply { task: TaskId, stop: bool, reply: Option<TaskReply> },
     /// A worker reports; `asked` is when it was asked.
     Report { worker: Name, asked: Millis, report: Report },
     /// A replica holds the notes of `epoch` up to `seq`.
     Acked { replica: EntryId, epoch: u64, seq: u64 },
     /// A replica lacks notes.
-    Gap { replica: EntryId },
+    MissingChanges { replica: EntryId },
     /// The log holds the notes of `epoch` up to `seq`.
     Logged { epoch: u64, seq: u64 },
     /// An entry is gone for good.
-    Gone(EntryId),
+    EntryGone(EntryId),
     /// A former owner has no start in flight and knows that it is deposed.
-    Fenced(EntryId),
+    OwnerFenced(EntryId),
     /// A new table is in force.
     Table(Arc<Table>),
     /// Homes lent parts of limits to the owner of `epoch`.
-    Parts { epoch: u64, parts: Vec<(Limit, u64)> },
+    LimitShares { epoch: u64, parts: Vec<(Limit, u64)> },
     /// Append again what retention will drop.
-    Refresh,
+    RefreshLog,
     /// Time passes.
     Tick,
 }
@@ -96,7 +96,7 @@
     /// Answer a caller.
     Reply { token: u64, answer: Answer },
     /// Tasks wait for a larger part of a limit: ask its home.
-    AskParts,
+    RequestShares,
     /// Append a record to the log; nothing waits for it.
     Append(Record),
     /// Add to the time line.
--- a/src/controller/shard/limit.rs
+++ b/src/controller/shard/limits.rs
@@ -3,63 +3,63 @@
 use crate::controller::queue::Shape;
 use crate::controller::quota::{Limit, Need, PartAsk, Parts};
 use crate::controller::shard::event::Action;
-use crate::controller::shard::office::Office;
+use crate::controller::shard::owner::ShardOwner;
 use crate::table::Row;
 
-impl Office {
+impl ShardOwner {
     /// This shard is one of `shards` over which the limits of the cell are divided.
     pub fn set_shards(&mut self, shards: usize) {
-        match &mut self.parts {
+        match &mut self.limit_shares {
             Some(parts) => parts.set_shards(shards),
-            None => self.parts = Some(Parts::new(shards)),
+            None => self.limit_shares = Some(Parts::new(shards)),
         }
     }
 
     fn allowed(&self, limit: &Limit, whole: u64) -> u64 {
-        self.parts.as_ref().map_or(whole, |parts| parts.allowed(limit, whole))
+        self.limit_shares.as_ref().map_or(whole, |parts| parts.allowed(limit, whole))
     }
 
     /// The limit that keeps a shape from running now, if there is one.
-    pub(super) fn over_limit(&self, shape: &Shape) -> Option<&'static str> {
+    pub(super) fn exceeded_limit(&self, shape: &Shape) -> Option<&'static str> {
         let Some(row) = self.row(&shape.kind) else { return Some("unknown-kind") };
         let count = shape.gang.max(1) as u64;
-        let running = self.used(&Limit::Row(shape.kind.clone()));
+        let running = self.limit_usage(&Limit::Row(shape.kind.clone()));
         let team = Limit::Team(shape.team.clone());
-        let need = self.used(&team) + shape.size.cpu as u64 * count;
+        let need = self.limit_usage(&team) + shape.size.cpu as u64 * count;
         let quota = self.allowed(&team, self.table.quota(&shape.team)).min(row.quota as u64);
         match () {
-            _ if running + count > self.allowed_row(row) => Some("row-limit"),
+            _ if running + count > self.row_limit(row) => Some("row-limit"),
             _ if row.quota > 0 && need > quota => Some("team-quota"),
             _ => None,
         }
     }
 
-    fn allowed_row(&self, row: &Row) -> u64 {
+    fn row_limit(&self, row: &Row) -> u64 {
         self.allowed(&Limit::Row(row.kind.clone()), row.limit as u64)
     }
 
     /// What is in use here.
-    fn used(&self, limit: &Limit) -> u64 {
+    fn limit_usage(&self, limit: &Limit) -> u64 {
         match limit {
             Limit::Row(kind) => self.loads.get(kind).map_or(0, |load| load.running as u64),
-            Limit::Team(team) => self.teams.get(team).copied().unwrap_or(0),
+            Limit::Team(team) => self.team_cpu.get(team).copied().unwrap_or(0),
         }
     }
 
     /// Tasks wait for a limit: a larger part may be had at its home.
-    pub(super) fn ask_for_more(&mut self) {
-        if self.parts.is_some() && !self.out.contains(&Action::AskParts) {
-            self.out.push(Action::AskParts);
+    pub(super) fn request_larger_share(&mut self) {
+        if self.limit_shares.is_some() && !self.actions.contains(&Action::RequestShares) {
+            self.actions.push(Action::RequestShares);
         }
     }
 
     /// What this shard asks of the homes of all limits that it uses or waits for.
-    pub fn ask_parts(&mut self) -> Vec<PartAsk> {
-        let needs = self.needs();
-        self.parts.as_mut().map_or_else(Vec::new, |parts| parts.ask(&needs))
+    pub fn share_requests(&mut self) -> Vec<PartAsk> {
+        let needs = self.limit_needs();
+        self.limit_shares.as_mut().map_or_else(Vec::new, |parts| parts.ask(&needs))
     }
 
-    fn needs(&self) -> Vec<Need> {
+    fn limit_needs(&self) -> Vec<Need> {
         let mut needs = Vec::new();
         for row in self.table.rows.values() {
             let load = self.loads.get(&row.kind).copied().unwrap_or_default();
@@ -83,23 +83,23 @@
             _ if whole == 0 => {}
             Some(need) => need.waiting += waiting,
             None => {
-                let used = self.used(&limit);
+                let used = self.limit_usage(&limit);
                 let step = self.queue.least(&limit);
                 needs.push(Need { limit, whole, used, waiting, step });
             }
         }
     }
 
-    pub(super) fn take_parts(&mut self, epoch: u64, lent: &[(Limit, u64)]) {
+    pub(super) fn apply_shares(&mut self, epoch: u64, lent: &[(Limit, u64)]) {
         if epoch != self.epoch() {
             return;
         }
-        let Some(mut parts) = self.parts.take() else { return };
-        let grew = parts.lent(lent, |limit| self.used(limit));
-        self.parts = Some(parts);
+        let Some(mut parts) = self.limit_shares.take() else { return };
+        let grew = parts.lent(lent, |limit| self.limit_usage(limit));
+        self.limit_shares = Some(parts);
         if grew {
             self.queue.unblock();
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 }
--- a/src/controller/shard/office.rs
+++ b/src/controller/shard/owner.rs
@@ -2,20 +2,20 @@
 
 use crate::clock::Millis;
 use crate::controller::book::{Book, Job, Task};
-use crate::controller::flights::Flights;
 use crate::controller::fold::LogJob;
 use crate::controller::health::Health;
+use crate::controller::in_flight::InFlightStarts;
 use crate::controller::offer::Room;
 use crate::controller::place::Ledger;
 use crate::controller::queue::{Queue, Shape};
 use crate::controller::quota::Parts;
 use crate::controller::replica::{State, Update};
-use crate::controller::shard::Source;
+use crate::controller::shard::StateSource;
 pub use crate::controller::shard::event::{Action, Answer, Event, Refusal, refusal_name};
 use crate::controller::shard::journal::Journal;
-use crate::controller::shard::reserve::Reserved;
-pub use crate::controller::shard::state::Load;
-use crate::controller::shard::state::{Effect, Live, Tomb, Worker};
+use crate::controller::shard::reservation::Reservation;
+pub use crate::controller::shard::runtime::Load;
+use crate::controller::shard::runtime::{Effect, EndedTask, TaskRuntime, Worker};
 use crate::id::{EntryId, JobId, Name, TaskId};
 use crate::job::{JobSpec, JobStatus, StateChange};
 use crate::platform::api::SyncOrder;
@@ -27,19 +27,19 @@
 /// A task runs this long after its last renewal.
 pub const LEASE: Millis = Millis(15_000);
 /// A message sent to a worker arrives within this time or never.
-pub const MAX_FLIGHT: Millis = Millis(10_000);
+pub const MAX_MESSAGE_DELAY: Millis = Millis(10_000);
 /// A worker not heard for this long gets no new tasks.
-pub(super) const WORKER_FRESH: Millis = Millis(3_000);
+pub(super) const WORKER_REPORT_TTL: Millis = Millis(3_000);
 /// How long a finished job can be asked for.
-const JOB_TTL: Millis = Millis(600_000);
+const FINISHED_JOB_TTL: Millis = Millis(600_000);
 /// How long an idempotency key is kept.
 pub const KEY_TTL: Millis = Millis(3_600_000);
 /// How often old keys are dropped.
-const KEY_SWEEP: Millis = Millis(60_000);
+const KEY_SWEEP_INTERVAL: Millis = Millis(60_000);
 
 /// The owner's state machine.
 #[derive(Debug)]
-pub struct Office {
+pub struct ShardOwner {
     pub(super) shard: Name,
     pub(super) me: EntryId,
     pub(super) book: Book,
@@ -48,51 +48,51 @@
     pub(super) queue: Queue,
     pub(super) health: Health,
     pub(super) table: Arc<Table>,
-    pub(super) live: HashMap<TaskId, Live>,
-    /// Starts of this office on their way, by task: a task may end while one is still to be sent.
-    pub(super) flights: Flights<TaskId>,
-    pub(super) tombs: HashMap<TaskId, Tomb>,
+    pub(super) runtimes: HashMap<TaskId, TaskRuntime>,
+    /// Starts of this owner on their way, by task: a task may end while one is still to be sent.
+    pub(super) in_flight_starts: InFlightStarts<TaskId>,
+    pub(super) ended_tasks: HashMap<TaskId, EndedTask>,
     /// Former owners whose starts may still arrive, with the time when they surely cannot.
     pub(super) unfenced: BTreeMap<EntryId, Option<Millis>>,
     /// Since when no start of a former owner can arrive any more.
-    pub(super) calm: Option<Millis>,
+    pub(super) fenced_since: Option<Millis>,
     pub(super) loads: BTreeMap<Name, Load>,
-    pub(super) teams: BTreeMap<Name, u64>,
-    pub(super) undoing: BTreeSet<JobId>,
-    pub(super) unlisted: Option<BTreeSet<Name>>,
-    pub(super) out: Vec<Action>,
-    pub(super) dirty: bool,
-    pub(super) open: Vec<Name>,
-    pub(super) reserved: Option<Reserved>,
+    pub(super) team_cpu: BTreeMap<Name, u64>,
+    pub(super) restarting_gangs: BTreeSet<JobId>,
+    pub(super) unreported: Option<BTreeSet<Name>>,
+    pub(super) actions: Vec<Action>,
+    pub(super) needs_scheduling: bool,
+    pub(super) schedulable: Vec<Name>,
+    pub(super) reservation: Option<Reservation>,
     /// Parts of limits of the whole cell; `None`: this shard is alone and has them all.
-    pub(super) parts: Option<Parts>,
-    closed: BTreeMap<JobId, Millis>,
+    pub(super) limit_shares: Option<Parts>,
+    closed_jobs: BTreeMap<JobId, Millis>,
     /// The epoch that the log knows as one whose owner got to work.
-    active: u64,
+    active_epoch: u64,
     /// Former owners are fenced once they know of this epoch.
-    fence: u64,
-    swept: Millis,
-    since: u64,
+    fence_epoch: u64,
+    keys_swept: Millis,
+    first_epoch: u64,
 }
 
-impl Office {
-    /// Takes office in the epoch of `claim`. `former` are the earlier owners that may still have a
+impl ShardOwner {
+    /// Becomes the owner in the epoch of `claim`. `former` are the earlier owners that may still have a
     /// start in flight; `jobs` is what the log has of the shard, used if nobody holds its state.
     pub fn new(
         claim: &Claim,
-        source: Source,
+        source: StateSource,
         former: BTreeSet<EntryId>,
         jobs: Vec<(JobId, LogJob)>,
         table: Arc<Table>,
         now: Millis,
     ) -> Self {
         let state = match source {
-            Source::State(state) => *state,
-            Source::Rebuild if claim.epoch == 1 => State::default(),
-            Source::Rebuild => State { epoch: 0, seq: 0, book: Book::from_log(jobs) },
+            StateSource::State(state) => *state,
+            StateSource::Rebuild if claim.epoch == 1 => State::default(),
+            StateSource::Rebuild => State { epoch: 0, seq: 0, book: Book::from_log(jobs) },
         };
-        let unlisted = state.book.rebuilding.then(BTreeSet::new);
-        let mut office = Self {
+        let unreported = state.book.rebuilding.then(BTreeSet::new);
+        let mut shard_owner = Self {
             shard: claim.shard.clone(),
             me: claim.owner.clone(),
             book: state.book,
@@ -101,28 +101,28 @@
             queue: Queue::default(),
             health: Health::default(),
             table,
-            live: HashMap::new(),
-            flights: Flights::default(),
-            tombs: HashMap::new(),
-            calm: former.is_empty().then_some(now),
+            runtimes: HashMap::new(),
+            in_flight_starts: InFlightStarts::default(),
+            ended_tasks: HashMap::new(),
+            fenced_since: former.is_empty().then_some(now),
             unfenced: former.into_iter().map(|id| (id, None)).collect(),
             loads: BTreeMap::new(),
-            teams: BTreeMap::new(),
-            undoing: BTreeSet::new(),
-            unlisted,
-            out: Vec::new(),
-            dirty: false,
-            open: Vec::new(),
-            reserved: None,
-            parts: None,
-            closed: BTreeMap::new(),
-            active: 0,
-            fence: claim.epoch,
-            swept: now,
-            since: claim.epoch,
+            team_cpu: BTreeMap::new(),
+            restarting_gangs: BTreeSet::new(),
+            unreported,
+            actions: Vec::new(),
+            needs_scheduling: false,
+            schedulable: Vec::new(),
+            reservation: None,
+            limit_shares: None,
+            closed_jobs: BTreeMap::new(),
+            active_epoch: 0,
+            fence_epoch: claim.epoch,
+            keys_swept: now,
+            first_epoch: claim.epoch,
         };
-        office.adopt_book(now);
-        office
+        shard_owner.restore_jobs(now);
+        shard_owner
     }
 
     /// The epoch in which this entry owns the shard.
@@ -130,14 +130,14 @@
         self.journal.epoch()
     }
 
-    /// The epoch in which this entry took office: it may have renewed its claim since.
-    pub fn since(&self) -> u64 {
-        self.since
+    /// The epoch in which this entry became owner: it may have renewed its claim since.
+    pub fn first_epoch(&self) -> u64 {
+        self.first_epoch
     }
 
     /// Goes on for the rest of an epoch that another entry handed over. That one does not own the
     /// shard any more, but only a later epoch shows that it knows so: what it said before it took
-    /// office looks the same.
+    /// ownership looks the same.
     pub fn from_hand_over(
         claim: &Claim,
         me: &EntryId,
@@ -150,15 +150,15 @@
         let rest = Claim { owner: me.clone(), replicas: others.collect(), ..claim.clone() };
         let predecessors = claim.replicas.iter().chain([&claim.owner]).filter(|id| *id != me);
         let former = former.into_iter().chain(predecessors.cloned()).collect();
-        let source = Source::State(Box::new(state));
-        let mut office = Self::new(&rest, source, former, Vec::new(), table, now);
-        office.fence = claim.epoch + 1;
-        office
+        let source = StateSource::State(Box::new(state));
+        let mut shard_owner = Self::new(&rest, source, former, Vec::new(), table, now);
+        shard_owner.fence_epoch = claim.epoch + 1;
+        shard_owner
     }
 
     /// The epoch that a former owner has to know of to be fenced.
     pub fn fence_epoch(&self) -> u64 {
-        self.fence
+        self.fence_epoch
     }
 
     /// The state, for the replica of an entry that is no longer the owner.
@@ -168,37 +168,37 @@
 
     /// The same entry's claim with other replicas is in force.
     pub fn renew(&mut self, claim: &Claim) {
-        self.fence = self.fence.min(claim.epoch);
-        self.journal.begin(claim);
-        self.out.push(Action::Replicate);
+        self.fence_epoch = self.fence_epoch.min(claim.epoch);
+        self.journal.start_epoch(claim);
+        self.actions.push(Action::Replicate);
     }
 
     /// Sets up queue and rooms from a book that another owner left.
-    fn adopt_book(&mut self, now: Millis) {
+    fn restore_jobs(&mut self, now: Millis) {
         let jobs: Vec<JobId> = self.book.jobs.keys().cloned().collect();
         for id in &jobs {
-            self.adopt_job(id, now);
+            self.restore_job(id, now);
         }
-        self.dirty = true;
-        self.out.push(Action::Replicate);
+        self.needs_scheduling = true;
+        self.actions.push(Action::Replicate);
     }
 
-    pub(super) fn adopt_job(&mut self, id: &JobId, now: Millis) {
+    pub(super) fn restore_job(&mut self, id: &JobId, now: Millis) {
         let Some(job) = self.book.jobs.get(id) else { return };
         if job.over() {
-            self.closed.insert(id.clone(), now);
+            self.closed_jobs.insert(id.clone(), now);
             return;
         }
         let (at, shape, cancelled, gang) = (job.at, shape(&job.spec), job.cancelled, job.spec.gang);
         let (whole, all) = (job.bound.is_empty(), job.spec.tasks);
         let waiting: Vec<u32> = (0..all).filter(|i| job.queued_at(*i).is_some()).collect();
         if gang && !whole && !waiting.is_empty() {
-            self.undoing.insert(id.clone());
+            self.restarting_gangs.insert(id.clone());
         }
-        if cancelled || (gang && !whole) || self.unlisted.is_some() {
+        if cancelled || (gang && !whole) || self.unreported.is_some() {
             return;
         }
-        self.load(&shape.kind).queue(waiting.len() as u32, shape.size.cpu);
+        self.load_mut(&shape.kind).add_waiting(waiting.len() as u32, shape.size.cpu);
         for index in waiting {
             self.queue.add(shape.clone(), at, id.clone(), index);
         }
@@ -209,129 +209,131 @@
         match event {
             Event::Submit { token, job, spec } => self.submit(now, token, job, spec),
             Event::Cancel { token, job } => self.cancel(now, token, job),
-            Event::Key { token, key, holder } => self.take_key(now, token, key, holder),
+            Event::TakeKey { token, key, holder } => self.take_key(now, token, key, holder),
             Event::FreeKey { key, holder } => {
-                self.note(StateChange::FreeKey { key, holder }, None);
+                self.record_change(StateChange::FreeKey { key, holder }, None);
             }
-            Event::Workers { rev, vms } => self.set_workers(now, rev, vms),
-            Event::Told { task, stop, reply } => self.told(now, task, stop, reply),
-            Event::Report { worker, asked, report } => self.report(now, worker, asked, report),
-            Event::Acked { replica, epoch, seq } => self.journal.acked(&replica, epoch, seq),
-            Event::Gap { replica } => self.journal.rebase(&replica),
-            Event::Logged { epoch, seq } => self.journal.logged(epoch, seq),
-            Event::Gone(entry) => self.gone(now, &entry),
-            Event::Fenced(entry) => self.fenced(now, &entry),
+            Event::WorkerList { rev, vms } => self.set_workers(now, rev, vms),
+            Event::CommandReply { task, stop, reply } => self.on_reply(now, task, stop, reply),
+            Event::Report { worker, asked, report } => self.on_report(now, worker, asked, report),
+            Event::Acked { replica, epoch, seq } => self.journal.record_ack(&replica, epoch, seq),
+            Event::MissingChanges { replica } => self.journal.request_base(&replica),
+            Event::Logged { epoch, seq } => self.journal.record_logged(epoch, seq),
+            Event::EntryGone(entry) => self.on_entry_gone(now, &entry),
+            Event::OwnerFenced(entry) => self.on_owner_fenced(now, &entry),
             Event::Table(table) => self.set_table(table),
-            Event::Parts { epoch, parts } => self.take_parts(epoch, &parts),
-            Event::Refresh => self.refresh(),
+            Event::LimitShares { epoch, parts } => self.apply_shares(epoch, &parts),
+            Event::RefreshLog => self.refresh_log(),
             Event::Tick => self.tick(now),
         }
         self.run_effects(now);
-        if self.dirty {
+        if self.needs_scheduling {
             self.schedule(now);
             self.run_effects(now);
         }
-        self.announce();
-        std::mem::take(&mut self.out)
+        self.announce_active();
+        std::mem::take(&mut self.actions)
     }
 
     /// Applies a note here and sends it to the replicas.
-    pub(super) fn note(&mut self, note: StateChange, effect: Option<Effect>) -> u64 {
-        self.book.apply(&note);
-        self.out.push(Action::Replicate);
-        self.journal.push(note, effect)
+    pub(super) fn record_change(&mut self, change: StateChange, effect: Option<Effect>) -> u64 {
+        self.book.apply(&change);
+        self.actions.push(Action::Replicate);
+        self.journal.push(change, effect)
     }
 
-    pub(super) fn load(&mut self, kind: &Name) -> &mut Load {
+    pub(super) fn load_mut(&mut self, kind: &Name) -> &mut Load {
         self.loads.entry(kind.clone()).or_default()
     }
 
     /// Tells the log once in an epoch that the replicas have the state and that no start of a
     /// former owner can arrive: nobody needs to know of earlier claims any more.
-    fn announce(&mut self) {
+    fn announce_active(&mut self) {
         let epoch = self.epoch();
         let whole = self.journal.committed() > 0 && self.unfenced.is_empty();
-        if self.active < epoch && whole {
-            self.active = epoch;
+        if self.active_epoch < epoch && whole {
+            self.active_epoch = epoch;
             let shard = self.shard.clone();
-            self.out.push(Action::Append(Record::Active { shard, epoch }));
+            self.actions.push(Action::Append(Record::Active { shard, epoch }));
         }
     }
 
     fn run_effects(&mut self, now: Millis) {
-        while let Some(effect) = self.journal.ready() {
+        while let Some(effect) = self.journal.next_ready() {
             match effect {
                 Effect::Start(task) => self.send_start(now, &task),
                 Effect::Stop(task) => self.send_stop(now, task),
-                Effect::StopStray { worker, task } => {
-                    self.out.push(Action::Stop { worker, task });
+                Effect::StopUnbound { worker, task } => {
+                    self.actions.push(Action::Stop { worker, task });
                 }
-                Effect::Ack { worker, tasks } => {
+                Effect::ForgetTasks { worker, tasks } => {
                     if let Some(worker) = self.workers.get_mut(&worker) {
                         worker.acks.extend(tasks);
                     }
                 }
-                Effect::Reply { token, answer } => self.out.push(Action::Reply { token, answer }),
+                Effect::Reply { token, answer } => {
+                    self.actions.push(Action::Reply { token, answer })
+                }
             }
         }
     }
 
-    fn gone(&mut self, now: Millis, entry: &EntryId) {
-        if self.journal.gone(entry) {
-            self.out.push(Action::Replicate);
+    fn on_entry_gone(&mut self, now: Millis, entry: &EntryId) {
+        if self.journal.remove_replica(entry) {
+            self.actions.push(Action::Replicate);
         }
         if let Some(until) = self.unfenced.get_mut(entry) {
-            until.get_or_insert(now + MAX_FLIGHT);
+            until.get_or_insert(now + MAX_MESSAGE_DELAY);
         }
     }
 
     fn set_table(&mut self, table: Arc<Table>) {
         self.table = table;
         self.queue.unblock();
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Closes a job whose last task ended.
-    pub(super) fn close_if_over(&mut self, now: Millis, id: &JobId) {
-        if self.book.jobs.get(id).is_some_and(Job::over) && !self.closed.contains_key(id) {
-            self.closed.insert(id.clone(), now);
-            self.out.push(Action::Append(Record::Closed { job: id.clone() }));
+    pub(super) fn close_if_finished(&mut self, now: Millis, id: &JobId) {
+        if self.book.jobs.get(id).is_some_and(Job::over) && !self.closed_jobs.contains_key(id) {
+            self.closed_jobs.insert(id.clone(), now);
+            self.actions.push(Action::Append(Record::Closed { job: id.clone() }));
         }
     }
 
     /// Former owners that are gone cannot start anything once their last start has arrived.
-    pub(super) fn fence(&mut self, now: Millis) {
+    pub(super) fn expire_fences(&mut self, now: Millis) {
         self.unfenced.retain(|_, until| until.is_none_or(|until| now < until));
         if self.unfenced.is_empty() {
-            self.calm.get_or_insert(now);
+            self.fenced_since.get_or_insert(now);
         }
     }
 
-    fn fenced(&mut self, now: Millis, entry: &EntryId) {
+    fn on_owner_fenced(&mut self, now: Millis, entry: &EntryId) {
         self.unfenced.remove(entry);
-        self.fence(now);
+        self.expire_fences(now);
     }
 
     /// Drops finished jobs and old keys whose time is over.
-    pub(super) fn forget(&mut self, now: Millis) {
-        let old = self.closed.iter().filter(|(_, at)| now.since(**at) >= JOB_TTL);
+    pub(super) fn forget_expired(&mut self, now: Millis) {
+        let old = self.closed_jobs.iter().filter(|(_, at)| now.since(**at) >= FINISHED_JOB_TTL);
         let old: Vec<JobId> = old.map(|(id, _)| id.clone()).collect();
         for job in old {
-            self.closed.remove(&job);
-            self.note(StateChange::Forget { job }, None);
+            self.closed_jobs.remove(&job);
+            self.record_change(StateChange::Forget { job }, None);
         }
-        if now.since(self.swept) >= KEY_SWEEP {
-            self.swept = now;
-            self.note(StateChange::ForgetKeys { before: now - KEY_TTL }, None);
+        if now.since(self.keys_swept) >= KEY_SWEEP_INTERVAL {
+            self.keys_swept = now;
+            self.record_change(StateChange::ForgetKeys { before: now - KEY_TTL }, None);
         }
     }
 
-    fn refresh(&mut self) {
-        self.journal.renew_base();
-        self.out.push(Action::Replicate);
+    fn refresh_log(&mut self) {
+        self.journal.reset_log_base();
+        self.actions.push(Action::Replicate);
         let open = self.book.jobs.iter().filter(|(_, job)| !job.over());
         let records = open.flat_map(|(id, job)| log_records(id, job));
-        self.out.extend(records.map(Action::Append));
+        self.actions.extend(records.map(Action::Append));
     }
 
     /// What a replica needs next.
@@ -341,7 +343,7 @@
 
     /// What has to be appended to the log in an epoch without replicas.
     pub fn log_record(&mut self) -> Option<Record> {
-        self.journal.record(&self.shard, &self.book)
+        self.journal.next_record(&self.shard, &self.book)
     }
 
     /// The replicas of this epoch that are not gone.
@@ -350,7 +352,7 @@
     }
 
     /// What to tell a worker now: tasks to keep running and ended ones to forget.
-    pub fn sync(&mut self, worker: &str) -> Option<(Name, SyncOrder)> {
+    pub fn sync_order(&mut self, worker: &str) -> Option<(Name, SyncOrder)> {
         let worker = self.workers.get_mut(worker)?;
         let renew = worker.tasks.iter().cloned().collect();
         let ack = std::mem::take(&mut worker.acks);
@@ -363,17 +365,17 @@
     }
 
     /// A worker's address.
-    pub fn addr(&self, worker: &str) -> Option<Name> {
+    pub fn worker_addr(&self, worker: &str) -> Option<Name> {
         self.workers.get(worker).map(|worker| worker.addr.clone())
     }
 
     /// What is set aside and what there is, by worker.
-    pub fn rooms(&self) -> impl Iterator<Item = (&Name, &Ledger)> {
+    pub fn ledgers(&self) -> impl Iterator<Item = (&Name, &Ledger)> {
         self.workers.iter().map(|(name, worker)| (name, &worker.ledger))
     }
 
     /// What the shard could take.
-    pub fn room(&self) -> Room {
+    pub fn capacity(&self) -> Room {
         let mut room = Room::default();
         for worker in self.workers.values() {
             let free = worker.ledger.free();
@@ -394,7 +396,7 @@
     }
 
     /// Workers set aside because they fail their tasks.
-    pub fn aside(&self) -> Vec<Name> {
+    pub fn excluded_workers(&self) -> Vec<Name> {
         self.health.aside()
     }
 
@@ -407,7 +409,7 @@
     pub fn status(&self, id: &JobId, now: Millis) -> Option<JobStatus> {
         let mut status = self.book.jobs.get(id)?.status(id);
         if status.queued > 0 {
-            status.wait_reason = self.why_waiting(now, &status.spec);
+            status.wait_reason = self.wait_reason(now, &status.spec);
         }
         Some(status)
     }
--- a/src/controller/shard/call.rs
+++ b/src/controller/shard/requests.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::Millis;
 use crate::controller::shard::event::{Action, Answer, Refusal, refusal_name};
-use crate::controller::shard::office::{Office, shape};
-use crate::controller::shard::state::{Effect, StopWhy, Worker};
+use crate::controller::shard::owner::{ShardOwner, shape};
+use crate::controller::shard::runtime::{Effect, StopReason, Worker};
 use crate::id::{JobId, Name};
 use crate::job::{JobSpec, MAX_TASKS, StateChange};
 use crate::record::Record;
@@ -11,41 +11,41 @@
 use crate::table::WorkClass;
 use crate::trace::EventKind;
 
-impl Office {
+impl ShardOwner {
     pub(super) fn submit(&mut self, now: Millis, token: u64, job: JobId, spec: JobSpec) {
         if !self.book.jobs.contains_key(&job) {
-            if let Err(why) = self.check(&spec) {
+            if let Err(why) = self.check_admission(&spec) {
                 let reason = refusal_name(why);
-                self.out.push(Action::Trace(EventKind::Refused { job, reason }));
-                self.out.push(Action::Reply { token, answer: Answer::Refused(why) });
+                self.actions.push(Action::Trace(EventKind::Refused { job, reason }));
+                self.actions.push(Action::Reply { token, answer: Answer::Refused(why) });
                 return;
             }
             self.accept(now, &job, &spec);
         }
         let note = StateChange::Submit { job: job.clone(), spec, at: now };
         let answer = Answer::Submitted { job };
-        self.note(note, Some(Effect::Reply { token, answer }));
+        self.record_change(note, Some(Effect::Reply { token, answer }));
     }
 
     fn accept(&mut self, now: Millis, job: &JobId, spec: &JobSpec) {
-        self.load(&spec.kind).queue(spec.tasks, spec.size.cpu);
+        self.load_mut(&spec.kind).add_waiting(spec.tasks, spec.size.cpu);
         self.queue.add_all(shape(spec), now, job.clone(), spec.tasks);
-        self.dirty = true;
+        self.needs_scheduling = true;
         let (job, spec) = (job.clone(), spec.clone());
-        self.out.push(Action::Trace(EventKind::Submitted {
+        self.actions.push(Action::Trace(EventKind::Submitted {
             job: job.clone(),
             kind: spec.kind.clone(),
             tasks: spec.tasks,
             repeat: spec.repeatable,
         }));
-        self.out.push(Action::Append(Record::Job { job, spec, at: now }));
+        self.actions.push(Action::Append(Record::Job { job, spec, at: now }));
     }
 
     /// Whether a job can be accepted.
     ///
     /// # Errors
     /// Why it is refused.
-    pub fn check(&self, spec: &JobSpec) -> Result<(), Refusal> {
+    pub fn check_admission(&self, spec: &JobSpec) -> Result<(), Refusal> {
         let row = self.table.rows.get(&spec.kind).ok_or(Refusal::UnknownKind)?;
         let waiting = self.loads.get(&spec.kind).map_or(0, |load| load.waiting);
         let fits = |worker: &Worker| worker.ledger.total().max_copies(&spec.size);
@@ -65,25 +65,25 @@
 
     pub(super) fn cancel(&mut self, now: Millis, token: u64, id: JobId) {
         let Some(job) = self.book.jobs.get(&id) else {
-            self.out.push(Action::Reply { token, answer: Answer::NotFound });
+            self.actions.push(Action::Reply { token, answer: Answer::NotFound });
             return;
         };
         if !job.cancelled && !job.over() {
             let (kind, queued, cpu) = (job.spec.kind.clone(), job.queued, job.spec.size.cpu);
             let bound: Vec<u32> = job.bound.iter().copied().collect();
-            if !self.undoing.contains(&id) {
-                self.load(&kind).dequeue(queued, cpu);
+            if !self.restarting_gangs.contains(&id) {
+                self.load_mut(&kind).remove_waiting(queued, cpu);
             }
-            self.out.push(Action::Trace(EventKind::Cancelled { job: id.clone() }));
-            self.note(StateChange::Cancel { job: id.clone() }, None);
+            self.actions.push(Action::Trace(EventKind::Cancelled { job: id.clone() }));
+            self.record_change(StateChange::Cancel { job: id.clone() }, None);
             for index in bound {
-                self.stop_task(now, &id, index, StopWhy::Cancel);
+                self.stop_task(now, &id, index, StopReason::Cancel);
             }
-            self.close_if_over(now, &id);
+            self.close_if_finished(now, &id);
         }
         let Some(job) = self.book.jobs.get(&id) else { return };
         let answer = Answer::Cancelled(Box::new(job.status(&id)));
-        self.note(StateChange::Cancel { job: id }, Some(Effect::Reply { token, answer }));
+        self.record_change(StateChange::Cancel { job: id }, Some(Effect::Reply { token, answer }));
     }
 
     pub(super) fn take_key(&mut self, now: Millis, token: u64, key: Name, holder: Name) {
@@ -93,6 +93,6 @@
             None => Answer::KeyTaken,
         };
         let note = StateChange::Key { key, holder, at: now };
-        self.note(note, Some(Effect::Reply { token, answer }));
+        self.record_change(note, Some(Effect::Reply { token, answer }));
     }
 }
--- a/src/controller/shard/reserve.rs
+++ b/src/controller/shard/reservation.rs
@@ -8,39 +8,39 @@
 use crate::clock::Millis;
 use crate::controller::place::Ledger;
 use crate::controller::queue::{Block, Shape};
-use crate::controller::shard::office::Office;
+use crate::controller::shard::owner::ShardOwner;
 use crate::id::Name;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
 /// How long a shape keeps all workers.
-const KEEP_ALL: Millis = Millis(5_000);
+const FULL_RESERVATION_TIME: Millis = Millis(5_000);
 
 /// Workers kept free of less urgent work until a shape that found no room fits there.
 #[derive(Debug)]
-pub(super) struct Reserved {
+pub(super) struct Reservation {
     shape: Shape,
-    points: u64,
+    priority: u64,
     /// When it began to keep all workers; `None` once it keeps the fewest.
-    all: Option<Millis>,
+    all_since: Option<Millis>,
     workers: BTreeSet<Name>,
 }
 
-impl Office {
+impl ShardOwner {
     /// Whether workers are kept for this shape.
     pub(super) fn is_reserved(&self, shape: &Shape) -> bool {
-        self.reserved.as_ref().is_some_and(|reserved| reserved.shape == *shape)
+        self.reservation.as_ref().is_some_and(|reservation| reservation.shape == *shape)
     }
 
     /// A shape was blocked: keeps workers for it if it is the most urgent one without room.
-    pub(super) fn reserve(&mut self, now: Millis, shape: &Shape, points: u64, why: Block) {
-        let less = self.reserved.as_ref().is_none_or(|held| held.points < points);
+    pub(super) fn reserve(&mut self, now: Millis, shape: &Shape, priority: u64, why: Block) {
+        let less = self.reservation.as_ref().is_none_or(|held| held.priority < priority);
         match why {
             Block::Limit if self.is_reserved(shape) => self.end_reservation(),
             Block::Room if less && !self.is_reserved(shape) => {
-                let (shape, all) = (shape.clone(), Some(now));
-                let workers = self.open.iter().cloned().collect();
-                self.reserved = Some(Reserved { shape, points, all, workers });
+                let (shape, all_since) = (shape.clone(), Some(now));
+                let workers = self.schedulable.iter().cloned().collect();
+                self.reservation = Some(Reservation { shape, priority, all_since, workers });
             }
             Block::Limit | Block::Room => {}
         }
@@ -48,7 +48,8 @@
 
     /// The workers with most room for a shape: as many as it would need if they were empty.
     fn fewest_workers(&self, shape: &Shape) -> BTreeSet<Name> {
-        let able = self.open_rooms().filter(|(_, ledger)| ledger.total().can_fit(&shape.size));
+        let able =
+            self.schedulable_ledgers().filter(|(_, ledger)| ledger.total().can_fit(&shape.size));
         let mut rooms: Vec<(&Name, &Ledger)> = able.collect();
         rooms.sort_by_key(|(_, ledger)| {
             let free = ledger.free();
@@ -69,18 +70,18 @@
     /// Ends a reservation whose shape waits no longer or whose workers changed; otherwise it has
     /// become more urgent.
     pub(super) fn renew_reservation(&mut self, now: Millis) {
-        let Some(held) = &self.reserved else { return };
+        let Some(held) = &self.reservation else { return };
         let head = self.queue.head(&held.shape);
-        let whole = held.workers.iter().all(|name| self.open.contains(name));
-        let over = held.all.is_some_and(|begun| now.since(begun) >= KEEP_ALL);
+        let whole = held.workers.iter().all(|name| self.schedulable.contains(name));
+        let over = held.all_since.is_some_and(|begun| now.since(begun) >= FULL_RESERVATION_TIME);
         let fewest = over.then(|| self.fewest_workers(&held.shape));
-        let points = head.filter(|_| whole).map(|head| self.rank(now, &head).0);
-        let Some((points, held)) = points.zip(self.reserved.as_mut()) else {
+        let priority = head.filter(|_| whole).map(|head| self.rank(now, &head).0);
+        let Some((priority, held)) = priority.zip(self.reservation.as_mut()) else {
             return self.end_reservation();
         };
-        held.points = points;
+        held.priority = priority;
         if let Some(workers) = fewest {
-            held.all = None;
+            held.all_since = None;
             held.workers = workers;
             self.queue.unblock();
         }
@@ -88,24 +89,24 @@
 
     /// The kept workers are open to all again.
     pub(super) fn end_reservation(&mut self) {
-        self.reserved = None;
+        self.reservation = None;
         self.queue.unblock();
     }
 
     /// The rooms open to a shape: not those kept for a more urgent one. Work of a higher weight
     /// passes: it gets room first anyway as soon as there is any.
-    pub(super) fn rooms_for(
+    pub(super) fn ledgers_for(
         &self,
         shape: &Shape,
-        points: u64,
+        priority: u64,
     ) -> impl Iterator<Item = (&Name, &Ledger)> {
-        let held = self.reserved.as_ref();
+        let held = self.reservation.as_ref();
         let weight = |shape: &Shape| self.row(&shape.kind).map_or(0, |row| row.weight);
-        let passes = |held: &&Reserved| {
-            held.shape == *shape || held.points <= points || weight(&held.shape) < weight(shape)
+        let passes = |held: &&Reservation| {
+            held.shape == *shape || held.priority <= priority || weight(&held.shape) < weight(shape)
         };
         let held = held.filter(|held| !passes(held));
-        self.open_rooms()
+        self.schedulable_ledgers()
             .filter(move |(name, _)| held.is_none_or(|held| !held.workers.contains(*name)))
     }
 }
--- a/src/controller/shard/state.rs
+++ b/src/controller/shard/runtime.rs
@@ -14,12 +14,12 @@
     Start(TaskId),
     Stop(TaskId),
     /// Stop a task that is not bound to this worker.
-    StopStray {
+    StopUnbound {
         worker: Name,
         task: TaskId,
     },
     /// Let a worker forget ended tasks that are not in the book.
-    Ack {
+    ForgetTasks {
         worker: Name,
         tasks: Vec<TaskId>,
     },
@@ -31,34 +31,34 @@
 
 /// Why a running task is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum StopWhy {
+pub(super) enum StopReason {
     Cancel,
-    Undo,
+    Restart,
 }
 
 /// What the owner knows of a bound task besides the book.
 #[derive(Debug, Clone)]
-pub(super) struct Live {
+pub(super) struct TaskRuntime {
     pub worker: Name,
     pub kind: Name,
     pub team: Name,
     pub size: Size,
-    pub stop: Option<StopWhy>,
-    /// Bound in this office: no other entry ever sent a start for it.
-    pub fresh: bool,
+    pub stop_reason: Option<StopReason>,
+    /// Bound since this entry became owner: no other entry ever sent a start for it.
+    pub bound_here: bool,
     /// A start was sent at least once, or may have been by a former owner.
-    pub sent: bool,
+    pub start_sent: bool,
     /// When the worker last said that it runs the task.
-    pub seen: Option<Millis>,
+    pub last_seen: Option<Millis>,
     /// When the last start or stop was sent.
-    pub told: Millis,
+    pub last_command: Millis,
 }
 
 /// An ended task that its worker may not forget yet.
 #[derive(Debug, Clone)]
-pub(super) struct Tomb {
-    /// Bound in this office: no other entry ever sent a start for it.
-    pub fresh: bool,
+pub(super) struct EndedTask {
+    /// Bound since this entry became owner: no other entry ever sent a start for it.
+    pub bound_here: bool,
     pub seq: u64,
 }
 
@@ -69,11 +69,11 @@
     pub ledger: Ledger,
     pub tasks: BTreeSet<TaskId>,
     /// Running tasks that the book does not have there.
-    pub strays: BTreeMap<TaskId, (Name, Size)>,
+    pub unbound_tasks: BTreeMap<TaskId, (Name, Size)>,
     /// Ended tasks to be forgotten at the next contact.
     pub acks: Vec<TaskId>,
-    pub inc: u64,
-    pub heard: Option<Millis>,
+    pub incarnation: u64,
+    pub last_report: Option<Millis>,
     pub leaving: bool,
 }
 
@@ -90,13 +90,13 @@
 
 impl Load {
     /// More tasks wait, each for this many processors.
-    pub(super) fn queue(&mut self, tasks: u32, cpu: u32) {
+    pub(super) fn add_waiting(&mut self, tasks: u32, cpu: u32) {
         self.waiting += tasks;
         self.backlog += tasks as u64 * cpu as u64;
     }
 
     /// Tasks wait no longer.
-    pub(super) fn dequeue(&mut self, tasks: u32, cpu: u32) {
+    pub(super) fn remove_waiting(&mut self, tasks: u32, cpu: u32) {
         self.waiting = self.waiting.saturating_sub(tasks);
         self.backlog = self.backlog.saturating_sub(tasks as u64 * cpu as u64);
     }
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -1,7 +1,7 @@
 //! The administration API under /v1.
 
 use crate::clock::Millis;
-use crate::controller::shard::office::{Answer, Load};
+use crate::controller::shard::owner::{Answer, Load};
 use crate::controller::table::Verdict;
 use crate::entry::http::{MAX_EVENTS, MAX_KEY, bearer, fail, refuse};
 use crate::entry::view::{
--- a/src/entry/beat.rs
+++ b/src/entry/beat.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::controller::list::{Role, VmList};
-use crate::controller::shard::office::Event;
+use crate::controller::shard::owner::Event;
 use crate::entry::{Entry, lock};
 use crate::id::{EntryId, Name};
 use crate::trace::EventKind;
@@ -54,7 +54,7 @@
             let known = lock(&self.fold).claims.epoch(&handle.id);
             let mut shard = handle.shard();
             let epoch = known.max(shard.epoch());
-            let room = shard.office().map(|office| office.room());
+            let room = shard.owner().map(|owner| owner.capacity());
             ShardBeat { shard: handle.id.clone(), epoch, owner: room.is_some(), flying, room }
         });
         beats.collect()
@@ -129,10 +129,10 @@
     fn take_shard_beats(self: &Arc<Self>, from: &EntryId, beats: &[ShardBeat]) {
         for beat in beats {
             let Some(handle) = self.handle(&beat.shard) else { continue };
-            let epoch = handle.shard().office().map(|office| office.fence_epoch());
+            let epoch = handle.shard().owner().map(|owner| owner.fence_epoch());
             let fenced = !beat.owner && !beat.flying;
             if fenced && epoch.is_some_and(|epoch| beat.epoch >= epoch) {
-                self.step(&handle, Event::Fenced(from.clone()));
+                self.step(&handle, Event::OwnerFenced(from.clone()));
             }
         }
     }
@@ -141,7 +141,7 @@
     pub(super) fn entry_gone(self: &Arc<Self>, id: &EntryId) {
         for handle in self.shards() {
             handle.lender().gone(&id.name);
-            self.step(&handle, Event::Gone(id.clone()));
+            self.step(&handle, Event::EntryGone(id.clone()));
         }
     }
 
@@ -222,7 +222,7 @@
             .map(|vm| (vm.name.clone(), vm.slots))
             .collect();
         handle.lender().set_runners(runners);
-        self.step(handle, Event::Workers { rev: list.rev, vms: list.vms });
+        self.step(handle, Event::WorkerList { rev: list.rev, vms: list.vms });
     }
 
     /// Replicas and former owners that are gone need not be waited for.
@@ -234,9 +234,9 @@
                 history.flat_map(|claim| claim.replicas.iter().chain([&claim.owner]).cloned());
             ids.collect::<Vec<EntryId>>()
         };
-        ids.extend(handle.shard().office().map(|office| office.replicas()).unwrap_or_default());
+        ids.extend(handle.shard().owner().map(|owner| owner.replicas()).unwrap_or_default());
         for id in ids.into_iter().filter(|id| *id != self.me && self.is_gone(id)) {
-            self.step(handle, Event::Gone(id));
+            self.step(handle, Event::EntryGone(id));
         }
     }
 
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::controller::replica::State;
-use crate::controller::shard::office::Office;
+use crate::controller::shard::owner::ShardOwner;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{EntryId, Name};
 use crate::trace::EventKind;
@@ -38,7 +38,7 @@
 
     /// A replica that can be reached, is not stopping, and knows of hand-overs.
     async fn successor(&self, handle: &ShardHandle) -> Option<(EntryId, SocketAddr)> {
-        let replicas = handle.shard().office().map(|office| office.replicas())?;
+        let replicas = handle.shard().owner().map(|owner| owner.replicas())?;
         for id in replicas {
             let addr = {
                 let peers = lock(&self.peers);
@@ -71,13 +71,14 @@
         let (table, known) = (self.table(), self.known_shards());
         {
             let mut here = handle.shard();
-            if !here.may_succeed(&claim, &state) {
+            if !here.can_accept_handover(&claim, &state) {
                 return Tell::NotOwner;
             }
             let now = self.now();
-            let mut office = Office::from_hand_over(&claim, &self.me, state, former, table, now);
-            office.set_shards(known);
-            here.succeed(office);
+            let mut shard_owner =
+                ShardOwner::from_hand_over(&claim, &self.me, state, former, table, now);
+            shard_owner.set_shards(known);
+            here.accept_handover(shard_owner);
         }
         lock(&self.claimant).release(shard.clone(), epoch);
         let (shard, from) = (shard.clone(), from.name);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,14 +18,14 @@
 
 use crate::clock::Millis;
 use crate::controller::claims::Claimant;
-use crate::controller::flights::Flights;
 use crate::controller::fold::Fold;
 use crate::controller::gossip::Outbox;
+use crate::controller::in_flight::InFlightStarts;
 use crate::controller::list::Lists;
 use crate::controller::quota::Pool;
 use crate::controller::retry::Budget;
 use crate::controller::shard::Shard;
-use crate::controller::shard::office::Answer;
+use crate::controller::shard::owner::Answer;
 use crate::controller::slots::{Lender, Slots, Turn};
 use crate::id::{EntryId, Name};
 use crate::platform::http::HttpClient;
@@ -74,7 +74,7 @@
     /// A search for the shard's state is under way.
     searching: AtomicBool,
     /// Starts that this entry sent and that may still arrive at a worker.
-    flights: Mutex<Flights<u64>>,
+    flights: Mutex<InFlightStarts<u64>>,
 }
 
 impl ShardHandle {
@@ -95,7 +95,7 @@
         lock(&self.shard)
     }
 
-    pub fn flights(&self) -> MutexGuard<'_, Flights<u64>> {
+    pub fn flights(&self) -> MutexGuard<'_, InFlightStarts<u64>> {
         lock(&self.flights)
     }
 
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -4,8 +4,8 @@
 use crate::clock::Millis;
 use crate::controller::quota::Pool;
 use crate::controller::replica::{ReplicaError, State};
-use crate::controller::shard::office::{Action, Event, Office};
-use crate::controller::shard::{Search, Source};
+use crate::controller::shard::owner::{Action, Event, ShardOwner};
+use crate::controller::shard::{RecoveryStep, StateSource};
 use crate::controller::slots::Lender;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{EntryId, Name, TaskId, hash};
@@ -57,11 +57,11 @@
         }
     }
 
-    /// An earlier office of this same entry is fenced like another's.
+    /// An earlier ownership by this same entry is fenced like another's.
     fn fence_self(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        let epoch = handle.shard().office().map(|office| office.since());
+        let epoch = handle.shard().owner().map(|owner| owner.first_epoch());
         if epoch.is_some_and(|epoch| !handle.flights().any_before(self.now(), &epoch)) {
-            self.step(handle, Event::Fenced(self.me.clone()));
+            self.step(handle, Event::OwnerFenced(self.me.clone()));
         }
     }
 
@@ -70,7 +70,7 @@
     /// offset of the last snapshot.
     fn refresh_log(self: &Arc<Self>, last: u64) -> u64 {
         for handle in self.shards() {
-            self.step(&handle, Event::Refresh);
+            self.step(&handle, Event::RefreshLog);
         }
         let newest = lock(&self.fold).snapshot_at();
         if newest == last {
@@ -103,7 +103,7 @@
             let fold = lock(&self.fold);
             (fold.claims.history(&claim.shard).to_vec(), fold.state(&claim.shard))
         };
-        let deposed = handle.shard().claimed(self.now(), &claim, &history, log);
+        let deposed = handle.shard().on_claim(self.now(), &claim, &history, log);
         let (shard, epoch) = (claim.shard.clone(), claim.epoch);
         match () {
             _ if deposed => self.trace.record(EventKind::OwnershipLost { shard, epoch }),
@@ -118,7 +118,7 @@
     /// Searches for the state of a shard claimed here, beside everything else: a holder that does
     /// not answer holds up no other shard.
     fn begin_search(self: &Arc<Self>, handle: Arc<ShardHandle>) {
-        let wanted = handle.shard().claiming().is_some();
+        let wanted = handle.shard().pending_claim().is_some();
         if !wanted || handle.searching.swap(true, Ordering::SeqCst) {
             return;
         }
@@ -130,22 +130,22 @@
     }
 
     async fn search(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        let found = handle.shard().search(self.now(), |id| self.is_gone(id));
+        let found = handle.shard().next_recovery_step(self.now(), |id| self.is_gone(id));
         match found {
-            Search::Idle => {}
-            Search::Ask(ids) => self.seal_others(handle, ids).await,
-            Search::Ready(source) => self.take_office(handle, source),
+            RecoveryStep::Idle => {}
+            RecoveryStep::Ask(ids) => self.seal_others(handle, ids).await,
+            RecoveryStep::Ready(source) => self.become_owner(handle, source),
         }
     }
 
     /// Asks replicas to seal a shard for this entry's claim; any one answer will do.
     async fn seal_others(self: &Arc<Self>, handle: &Arc<ShardHandle>, ids: BTreeSet<EntryId>) {
-        let Some(epoch) = handle.shard().claiming().map(|claim| claim.epoch) else { return };
+        let Some(epoch) = handle.shard().pending_claim().map(|claim| claim.epoch) else { return };
         let others = ids.into_iter().filter(|id| *id != self.me);
         let asks = others.map(|id| async move {
             let answer = self.ask_seal(&id, &handle.id, epoch).await;
             if let Some(state) = answer {
-                handle.shard().sealed(&id, epoch, state);
+                handle.shard().record_sealed(&id, epoch, state);
             }
         });
         join_all(asks).await;
@@ -166,17 +166,17 @@
         }
     }
 
-    fn take_office(self: &Arc<Self>, handle: &Arc<ShardHandle>, source: Source) {
+    fn become_owner(self: &Arc<Self>, handle: &Arc<ShardHandle>, source: StateSource) {
         let now = self.now();
-        let Some(claim) = handle.shard().claiming().cloned() else { return };
+        let Some(claim) = handle.shard().pending_claim().cloned() else { return };
         let from = match &source {
-            Source::State(state) => format!("epoch-{}-note-{}", state.epoch, state.seq),
-            Source::Rebuild => "log".to_string(),
+            StateSource::State(state) => format!("epoch-{}-note-{}", state.epoch, state.seq),
+            StateSource::Rebuild => "log".to_string(),
         };
         let (former, jobs) = lock(&self.fold).before(&claim);
-        let mut office = Office::new(&claim, source, former, jobs, self.table(), now);
-        office.set_shards(self.known_shards());
-        if !handle.shard().take_office(office) {
+        let mut shard_owner = ShardOwner::new(&claim, source, former, jobs, self.table(), now);
+        shard_owner.set_shards(self.known_shards());
+        if !handle.shard().become_owner(shard_owner) {
             return;
         }
         let (shard, epoch) = (handle.id.clone(), claim.epoch);
@@ -222,14 +222,14 @@
         let now = self.now();
         let (epoch, actions, starts) = {
             let mut shard = handle.shard();
-            let Some(office) = shard.office() else { return false };
-            let epoch = office.epoch();
-            let actions = office.step(now, event);
+            let Some(shard_owner) = shard.owner() else { return false };
+            let epoch = shard_owner.epoch();
+            let actions = shard_owner.step(now, event);
             let starts: Vec<(Name, Option<Name>)> = actions
                 .iter()
                 .filter_map(|action| match action {
                     Action::Start { worker, .. } | Action::Stop { worker, .. } => {
-                        Some((worker.clone(), office.addr(worker)))
+                        Some((worker.clone(), shard_owner.worker_addr(worker)))
                     }
                     _ => None,
                 })
@@ -257,7 +257,7 @@
         for action in actions {
             match action {
                 Action::Replicate => handle.kick.notify_one(),
-                Action::AskParts => handle.short.notify_one(),
+                Action::RequestShares => handle.short.notify_one(),
                 Action::Start { worker, order } => {
                     let (addr, task) = (addr(&worker), order.task.clone());
                     self.tell(handle, epoch, addr, task, Tellable::Start(order));
@@ -302,7 +302,7 @@
         tokio::spawn(async move {
             let stop = matches!(message, Tellable::Stop(_));
             let reply = entry.tell_worker(&addr, message).await;
-            entry.step(&handle, Event::Told { task, stop, reply });
+            entry.step(&handle, Event::CommandReply { task, stop, reply });
             if !stop {
                 handle.flights().end(entry.now(), &epoch);
             }
@@ -338,14 +338,14 @@
 
     /// Renews leases at all workers of one shard, if it is owned here.
     fn sync_shard(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        let workers = handle.shard().office().map(|office| office.workers());
+        let workers = handle.shard().owner().map(|owner| owner.workers());
         for worker in workers.unwrap_or_default() {
             tokio::spawn(self.clone().sync_worker(handle.clone(), worker));
         }
     }
 
     async fn sync_worker(self: Arc<Self>, handle: Arc<ShardHandle>, worker: Name) {
-        let order = handle.shard().office().and_then(|office| office.sync(&worker));
+        let order = handle.shard().owner().and_then(|owner| owner.sync_order(&worker));
         let Some((addr, order)) = order else { return };
         let asked = self.now();
         let report = self.sync(&addr, &order).await;
@@ -361,7 +361,7 @@
     /// Renews leases from a replica while the owner is not heard: a renewal starts nothing.
     async fn keep_running(self: Arc<Self>, handle: Arc<ShardHandle>) {
         let Some(owner) = self.owner_of(&handle.id) else { return };
-        let here = owner == self.me.name && handle.shard().office().is_some();
+        let here = owner == self.me.name && handle.shard().owner().is_some();
         if here || lock(&self.peers).is_heard(self.now(), &owner) {
             return;
         }
@@ -387,11 +387,11 @@
     async fn replicate_once(self: &Arc<Self>, handle: &Arc<ShardHandle>) -> bool {
         let (updates, record) = {
             let mut shard = handle.shard();
-            let Some(office) = shard.office() else { return false };
-            let record = office.log_record();
-            let replicas = office.replicas().into_iter();
+            let Some(shard_owner) = shard.owner() else { return false };
+            let record = shard_owner.log_record();
+            let replicas = shard_owner.replicas().into_iter();
             let updates: Vec<_> = replicas
-                .filter_map(|id| office.update_for(&id).map(|update| (id, update)))
+                .filter_map(|id| shard_owner.update_for(&id).map(|update| (id, update)))
                 .collect();
             (updates, record)
         };
@@ -425,7 +425,7 @@
                 self.step(handle, Event::Acked { replica: id, epoch, seq });
             }
             Ok(Tell::Updated { by, result: Err(ReplicaError::Gap(_)) }) if by == id => {
-                self.step(handle, Event::Gap { replica: id });
+                self.step(handle, Event::MissingChanges { replica: id });
             }
             Ok(Tell::Updated { by, result: Err(ReplicaError::Sealed(later)) }) if by == id => {
                 if handle.shard().step_down(later) {
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::controller::offer::{self, Candidate, Offer, Room};
-use crate::controller::shard::office::{Answer, Event, Refusal};
+use crate::controller::shard::owner::{Answer, Event, Refusal};
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{JobId, Name, rendezvous};
 use crate::job::{JobSpec, JobStatus};
@@ -57,7 +57,7 @@
     /// One try; the error says whether surely nothing was sent.
     async fn try_owner(self: &Arc<Self>, shard: &Name, ask: OwnerAsk) -> Result<Tell, bool> {
         if let Some(handle) = self.handle(shard)
-            && handle.shard().office().is_some()
+            && handle.shard().owner().is_some()
         {
             return Ok(self.answer_owner(&handle, ask).await);
         }
@@ -83,22 +83,22 @@
                 self.ask_office(handle, |token| Event::Cancel { token, job }).await
             }
             OwnerAsk::Key { key, holder } => {
-                self.ask_office(handle, |token| Event::Key { token, key, holder }).await
+                self.ask_office(handle, |token| Event::TakeKey { token, key, holder }).await
             }
             OwnerAsk::FreeKey { key, holder } => {
                 let done = self.step(handle, Event::FreeKey { key, holder });
                 if done { Tell::Done } else { Tell::NotOwner }
             }
-            OwnerAsk::Status { job } => match handle.shard().office() {
-                Some(office) => Tell::Status(office.status(&job, now)),
+            OwnerAsk::Status { job } => match handle.shard().owner() {
+                Some(shard_owner) => Tell::Status(shard_owner.status(&job, now)),
                 None => Tell::NotOwner,
             },
-            OwnerAsk::Jobs { team } => match handle.shard().office() {
-                Some(office) => {
-                    let jobs = office.book().jobs.iter();
+            OwnerAsk::Jobs { team } => match handle.shard().owner() {
+                Some(shard_owner) => {
+                    let jobs = shard_owner.book().jobs.iter();
                     let wanted = jobs
                         .filter(|(_, job)| team.as_ref().is_none_or(|team| job.spec.team == *team));
-                    Tell::Jobs(wanted.filter_map(|(id, _)| office.status(id, now)).collect())
+                    Tell::Jobs(wanted.filter_map(|(id, _)| shard_owner.status(id, now)).collect())
                 }
                 None => Tell::NotOwner,
             },
@@ -128,17 +128,17 @@
 
     fn shard_status(&self, handle: &ShardHandle) -> Option<ShardStatus> {
         let mut shard = handle.shard();
-        let office = shard.office()?;
-        let rooms = office.rooms();
+        let shard_owner = shard.owner()?;
+        let rooms = shard_owner.ledgers();
         let workers = rooms.map(|(name, at)| (name.clone(), at.total(), at.used())).collect();
         Some(ShardStatus {
             shard: handle.id.clone(),
-            epoch: office.epoch(),
+            epoch: shard_owner.epoch(),
             owner: self.me.clone(),
-            replicas: office.replicas(),
+            replicas: shard_owner.replicas(),
             workers,
-            aside: office.aside(),
-            loads: office.loads().iter().map(|(kind, load)| (kind.clone(), *load)).collect(),
+            aside: shard_owner.excluded_workers(),
+            loads: shard_owner.loads().iter().map(|(kind, load)| (kind.clone(), *load)).collect(),
         })
     }
 
@@ -154,8 +154,8 @@
         let mut rooms = lock(&self.peers).rooms(self.now());
         for handle in self.shards() {
             let mut shard = handle.shard();
-            let Some(office) = shard.office() else { continue };
-            let room = office.room();
+            let Some(shard_owner) = shard.owner() else { continue };
+            let room = shard_owner.capacity();
             rooms.push((handle.id.clone(), self.settings.domain.clone(), room));
         }
         rooms
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -59,7 +59,7 @@
     /// Lends slots if this entry surely owned the shard a moment ago.
     pub(super) fn lend(&self, shard: &Name, entry: &Name, uses: &[SlotUse], waiting: u32) -> Tell {
         let Some(handle) = self.handle(shard) else { return Tell::NotOwner };
-        let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else {
+        let Some(epoch) = handle.shard().owner().map(|owner| owner.epoch()) else {
             return Tell::NotOwner;
         };
         if !self.is_owner_proven(shard, epoch) {
--- a/src/entry/share.rs
+++ b/src/entry/share.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Millis;
 use crate::controller::quota::{Limit, PartAsk, Question};
-use crate::controller::shard::office::Event;
+use crate::controller::shard::owner::Event;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{Name, rendezvous};
 use crate::wire::msg::{Ask, Tell, V2};
@@ -39,14 +39,14 @@
         let known = self.known_shards();
         let (epoch, asks) = {
             let mut shard = handle.shard();
-            let Some(office) = shard.office() else { return };
-            office.set_shards(known);
-            (office.epoch(), office.ask_parts())
+            let Some(shard_owner) = shard.owner() else { return };
+            shard_owner.set_shards(known);
+            (shard_owner.epoch(), shard_owner.share_requests())
         };
         let questions = self.questions(&handle.id, epoch, asks);
         let answers = questions.into_iter().map(|(home, question)| async move {
             if let Tell::Parts(parts) = self.ask_home(&home, question).await {
-                self.step(handle, Event::Parts { epoch, parts });
+                self.step(handle, Event::LimitShares { epoch, parts });
             }
         });
         join_all(answers).await;
@@ -90,7 +90,7 @@
     /// Lends parts of the limits that a shard owned here is home to.
     pub(super) fn lend_parts(&self, home: &Name, question: &Question) -> Tell {
         let Some(handle) = self.handle(home) else { return Tell::NotOwner };
-        let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else {
+        let Some(epoch) = handle.shard().owner().map(|owner| owner.epoch()) else {
             return Tell::NotOwner;
         };
         let (known, shards) = (self.known_shards(), self.holders());
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -60,13 +60,13 @@
 
     /// How many shards this entry owns.
     pub(crate) fn owned(&self) -> usize {
-        let owned = self.shards().into_iter().filter(|handle| handle.shard().office().is_some());
+        let owned = self.shards().into_iter().filter(|handle| handle.shard().owner().is_some());
         owned.count()
     }
 
     /// Gives a shard up in favour of a peer of this failure domain, which claims it at once.
     async fn release(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else { return };
+        let Some(epoch) = handle.shard().owner().map(|owner| owner.epoch()) else { return };
         let fresh = lock(&self.peers).fresh(self.now()).into_iter();
         let here = fresh.filter(|(_, domain, _)| *domain == self.settings.domain);
         let here: BTreeMap<Name, SocketAddr> = here.map(|(name, _, addr)| (name, addr)).collect();
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,6 +1,6 @@
 //! What the administration API takes and gives.
 
-use crate::controller::shard::office::Load;
+use crate::controller::shard::owner::Load;
 use crate::id::Name;
 use crate::job::JobStatus;
 use crate::size::Size;
--- a/src/filter/once.rs
+++ b/src/filter/once.rs
@@ -1,7 +1,7 @@
 //! At most one run under an idempotency key: the key is at every replica of its shard before the
 //! first byte goes out.
 
-use crate::controller::shard::office::Answer;
+use crate::controller::shard::owner::Answer;
 use crate::entry::Entry;
 use crate::filter::{Classified, not_run};
 use crate::id::Name;
--- a/src/filter/problem.rs
+++ b/src/filter/problem.rs
@@ -1,6 +1,6 @@
 //! Refusals as `application/problem+json` (RFC 9457), with `run` and a reason of a fixed list.
 
-use crate::controller::shard::office::Refusal;
+use crate::controller::shard::owner::Refusal;
 use crate::wire::msg::{Reason, Refused, Run};
 use poem::Response;
 use poem::http::StatusCode;
--- a/src/wire/msg.rs
+++ b/src/wire/msg.rs
@@ -10,7 +10,7 @@
 use crate::controller::offer::Room;
 use crate::controller::quota::{Limit, Question};
 use crate::controller::replica::{ReplicaError, State, Update};
-use crate::controller::shard::office::{Answer, Load, Refusal};
+use crate::controller::shard::owner::{Answer, Load, Refusal};
 use crate::controller::slots::SlotUse;
 use crate::controller::table::Revision;
 use crate::id::{EntryId, JobId, Name};
--- a/tests/office.rs
+++ b/tests/office.rs
@@ -3,8 +3,8 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::list::{Role, Vm};
 use sprucerudder::controller::replica::State;
-use sprucerudder::controller::shard::Source;
-use sprucerudder::controller::shard::office::{Action, Answer, Event, Office, Refusal};
+use sprucerudder::controller::shard::StateSource;
+use sprucerudder::controller::shard::owner::{Action, Answer, Event, Refusal, ShardOwner};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
 use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, TaskReply};
@@ -28,7 +28,7 @@
 /// An owner without replicas besides itself: what it notes is committed at once.
 struct Desk {
     now: Millis,
-    office: Office,
+    shard_owner: ShardOwner,
     jobs: u64,
     running: BTreeMap<TaskId, Name>,
     stopped: Vec<TaskId>,
@@ -58,12 +58,13 @@
         let [shard, domain] = ["rack", "d"].map(Name::from);
         let claim = Claim { shard, domain, epoch: 1, owner, replicas: Vec::new() };
         let now = Millis(1_000_000);
-        let source = Source::State(Box::<State>::default());
-        let office = Office::new(&claim, source, BTreeSet::new(), Vec::new(), table(), now);
+        let source = StateSource::State(Box::<State>::default());
+        let shard_owner =
+            ShardOwner::new(&claim, source, BTreeSet::new(), Vec::new(), table(), now);
         let (jobs, running, stopped, answers) = (0, BTreeMap::new(), Vec::new(), Vec::new());
-        let mut desk = Self { now, office, jobs, running, stopped, answers };
+        let mut desk = Self { now, shard_owner, jobs, running, stopped, answers };
         let named = (0..).zip(sizes).map(|(i, size)| worker(&format!("w{i}"), *size));
-        desk.step(Event::Workers { rev: 1, vms: named.collect() });
+        desk.step(Event::WorkerList { rev: 1, vms: named.collect() });
         desk
     }
 
@@ -74,24 +75,24 @@
     }
 
     fn step(&mut self, event: Event) {
-        let mut actions = self.office.step(self.now, event);
-        while let Some(record) = self.office.log_record() {
+        let mut actions = self.shard_owner.step(self.now, event);
+        while let Some(record) = self.shard_owner.log_record() {
             drop(record);
-            let (epoch, seq) = (self.office.epoch(), u64::MAX);
-            actions.extend(self.office.step(self.now, Event::Logged { epoch, seq }));
+            let (epoch, seq) = (self.shard_owner.epoch(), u64::MAX);
+            actions.extend(self.shard_owner.step(self.now, Event::Logged { epoch, seq }));
         }
         for action in actions {
             match action {
                 Action::Start { worker, order } => {
                     self.running.insert(order.task.clone(), worker);
                     let (task, reply) = (order.task, Some(TaskReply::Running));
-                    self.step(Event::Told { task, stop: false, reply });
+                    self.step(Event::CommandReply { task, stop: false, reply });
                 }
                 Action::Stop { task, .. } => {
                     self.running.remove(&task);
                     self.stopped.push(task.clone());
                     let reply = Some(TaskReply::Ended(TaskOutcome::Stopped));
-                    self.step(Event::Told { task, stop: true, reply });
+                    self.step(Event::CommandReply { task, stop: true, reply });
                 }
                 Action::Reply { answer, .. } => self.answers.push(answer),
                 _ => {}
@@ -100,7 +101,7 @@
     }
 
     fn report_all(&mut self) {
-        for worker in self.office.workers() {
+        for worker in self.shard_owner.workers() {
             let asked = self.now;
             let here = self.running.iter().filter(|(_, on)| **on == worker);
             let running = here.map(|(task, _)| Running {
@@ -118,7 +119,7 @@
     fn end(&mut self, task: &TaskId, outcome: TaskOutcome) {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
-        self.step(Event::Told { task, stop: false, reply });
+        self.step(Event::CommandReply { task, stop: false, reply });
     }
 
     fn submit(&mut self, kind: &str, tasks: u32, gang: bool, size: Size) -> JobId {
@@ -244,10 +245,10 @@
     let first = desk.tasks_of(&job).remove(0);
     desk.end(&first, TaskOutcome::Done);
     desk.cancel(&job);
-    let state = desk.office.status(&job, desk.now).expect("job");
+    let state = desk.shard_owner.status(&job, desk.now).expect("job");
     desk.cancel(&job);
     desk.end(&first, TaskOutcome::Failed);
-    let again = desk.office.status(&job, desk.now).expect("job");
+    let again = desk.shard_owner.status(&job, desk.now).expect("job");
     assert_eq!(state, again);
     assert_eq!(state.ended, [(TaskOutcome::Done, 1), (TaskOutcome::Stopped, 2)]);
     assert_eq!((state.queued, state.running), (0, 0));
@@ -265,7 +266,7 @@
     desk.end(&task, TaskOutcome::Done);
     assert_eq!(desk.running.len(), 1);
     assert_eq!(desk.running_of(&waiting[99]).len(), 1);
-    let load = desk.office.loads()["bulk"];
+    let load = desk.shard_owner.loads()["bulk"];
     assert_eq!((load.waiting, load.running), (0, 1));
 }
 
@@ -283,7 +284,11 @@
         }
         desk.now = desk.now + Millis(100);
         desk.report_all();
-        assert!(round < 6 || desk.office.aside() == ["w3".into()], "{:?}", desk.office.aside());
+        assert!(
+            round < 6 || desk.shard_owner.excluded_workers() == ["w3".into()],
+            "{:?}",
+            desk.shard_owner.excluded_workers()
+        );
     }
     let mut desk = Desk::up(&[ROOM; 8]);
     for _ in 0..20 {
@@ -291,7 +296,7 @@
         for task in desk.tasks_of(&job) {
             desk.end(&task, TaskOutcome::Failed);
         }
-        assert!(desk.office.aside().is_empty());
+        assert!(desk.shard_owner.excluded_workers().is_empty());
     }
 }
 
@@ -302,6 +307,6 @@
     let task = desk.tasks_of(&job).remove(0);
     desk.running.remove(&task);
     let reply = Some(TaskReply::Refused);
-    desk.step(Event::Told { task: task.clone(), stop: false, reply });
+    desk.step(Event::CommandReply { task: task.clone(), stop: false, reply });
     assert_eq!(desk.stopped, [task]);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -53,7 +53,7 @@
             writeln!(out, "e{owner} owns the shard")?;
             let now = self.world.now;
             let jobs = self.world.jobs.clone();
-            let Some(office) = self.world.entries[owner].shard.office() else { continue };
+            let Some(office) = self.world.entries[owner].shard.owner() else { continue };
             for status in jobs.iter().filter_map(|job| office.status(job, now)) {
                 writeln!(
                     out,
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -6,7 +6,7 @@
 
 use common::{OwnerHarness, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use sprucerudder::controller::gossip::{Inbox, Outbox};
-use sprucerudder::controller::shard::office::Event;
+use sprucerudder::controller::shard::owner::Event;
 use sprucerudder::id::{EntryId, TaskId};
 use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::size::Size;
@@ -63,7 +63,7 @@
     let owner = |rack| {
         let mut owner =
             OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows.clone());
-        owner.office.set_shards(workers.div_ceil(WORKERS_PER_RACK));
+        owner.shard_owner.set_shards(workers.div_ceil(WORKERS_PER_RACK));
         owner.submit(job_spec("build", 44, false, Size::new(1_400, 2_000, 0)));
         for less in 0..stuck {
             owner.submit(job_spec("build", 1, false, Size::new(16_000, 32_000 - less, 2)));
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -4,12 +4,14 @@
 
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::claims::{Claimant, Peer};
-use sprucerudder::controller::flights::Flights;
 use sprucerudder::controller::fold::{Change, Fold};
+use sprucerudder::controller::in_flight::InFlightStarts;
 use sprucerudder::controller::list::{Role, Vm};
 use sprucerudder::controller::replica::{ReplicaError, State, Update};
-use sprucerudder::controller::shard::office::{Action, Answer, Event, MAX_FLIGHT, Office};
-use sprucerudder::controller::shard::{Search, Shard, Source};
+use sprucerudder::controller::shard::owner::{
+    Action, Answer, Event, MAX_MESSAGE_DELAY, ShardOwner,
+};
+use sprucerudder::controller::shard::{RecoveryStep, Shard, StateSource};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId, hash};
 use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, StartOrder, SyncOrder, TaskReply};
@@ -81,7 +83,7 @@
     claimant: Claimant,
     peers: BTreeMap<Name, Peer>,
     outbox: Vec<Message>,
-    flights: Flights<u64>,
+    flights: InFlightStarts<u64>,
     /// Records that wait for the log.
     unsent: Vec<Record>,
     /// Starts and stops that wait for an answer, with their epoch: each gets one.
@@ -175,7 +177,7 @@
             claimant: Claimant::new(id.clone(), "d".into(), self.now),
             peers: BTreeMap::new(),
             outbox: Vec::new(),
-            flights: Flights::default(),
+            flights: InFlightStarts::default(),
             unsent: Vec::new(),
             open: BTreeMap::new(),
             paused: false,
@@ -211,7 +213,7 @@
 
     /// The entries that own the shard as far as they know.
     pub fn owners(&mut self) -> Vec<usize> {
-        let owns = |e: &mut Entry| e.shard.office().is_some();
+        let owns = |e: &mut Entry| e.shard.owner().is_some();
         (0..self.entries.len()).filter(|i| owns(&mut self.entries[*i])).collect()
     }
 
@@ -237,14 +239,14 @@
         self.append_unsent(index);
         self.step(index, Event::Tick);
         for old in self.gone.clone() {
-            self.step(index, Event::Gone(old));
+            self.step(index, Event::EntryGone(old));
         }
         let now = self.now;
         let entry = &mut self.entries[index];
-        let since = entry.shard.office().map(|office| office.since());
+        let since = entry.shard.owner().map(|owner| owner.first_epoch());
         if since.is_some_and(|since| !entry.flights.any_before(now, &since)) {
             let me = entry.id.clone();
-            self.step(index, Event::Fenced(me));
+            self.step(index, Event::OwnerFenced(me));
         }
         let entry = &mut self.entries[index];
         let claim = entry.claimant.decide(now, &SHARD.into(), &entry.fold.claims, &entry.peers);
@@ -262,32 +264,34 @@
         let now = self.now;
         let flaw = self.flaw;
         let entry = &mut self.entries[index];
-        let Some(claim) = entry.shard.claiming().cloned() else { return };
-        let mut found = entry.shard.search(now, |id| gone.contains(id));
+        let Some(claim) = entry.shard.pending_claim().cloned() else { return };
+        let mut found = entry.shard.next_recovery_step(now, |id| gone.contains(id));
         if flaw == Flaw::NoSeal {
-            found = Search::Ready(Source::State(Box::new(entry.shard.replica().state().clone())));
+            found = RecoveryStep::Ready(StateSource::State(Box::new(
+                entry.shard.replica().state().clone(),
+            )));
         }
         if flaw == Flaw::NoState {
-            found = Search::Ready(Source::State(Box::default()));
+            found = RecoveryStep::Ready(StateSource::State(Box::default()));
         }
         match found {
-            Search::Idle => {}
-            Search::Ask(ids) => {
+            RecoveryStep::Idle => {}
+            RecoveryStep::Ask(ids) => {
                 let from = entry.id.clone();
                 let epoch = claim.epoch;
                 let others = ids.into_iter().filter(|id| *id != from);
                 let asks = others.map(|to| Message::Seal { from: from.clone(), to, epoch });
                 entry.outbox.extend(asks);
             }
-            Search::Ready(source) => {
+            RecoveryStep::Ready(source) => {
                 let (former, jobs) = entry.fold.before(&claim);
                 let table = Arc::new(Table::parse(TABLE).expect("table"));
-                let office = Office::new(&claim, source, former, jobs, table, now);
-                entry.shard.take_office(office);
+                let shard_owner = ShardOwner::new(&claim, source, former, jobs, table, now);
+                entry.shard.become_owner(shard_owner);
                 self.history.push(format!("{} e{index} takes office {}", self.now, claim.epoch));
                 self.tell_list(index);
                 for id in gone {
-                    self.step(index, Event::Gone(id));
+                    self.step(index, Event::EntryGone(id));
                 }
             }
         }
@@ -295,18 +299,18 @@
 
     fn tell_list(&mut self, index: usize) {
         let (rev, vms) = (self.list, self.vms());
-        self.step(index, Event::Workers { rev, vms });
+        self.step(index, Event::WorkerList { rev, vms });
     }
 
     fn replicate(&mut self, index: usize) {
         let flaw = self.flaw;
         let entry = &mut self.entries[index];
-        let Some(office) = entry.shard.office() else { return };
+        let Some(shard_owner) = entry.shard.owner() else { return };
         let from = entry.id.clone();
-        let record = office.log_record();
+        let record = shard_owner.log_record();
         let mut done = Vec::new();
-        for to in office.replicas() {
-            let Some(update) = office.update_for(&to) else { continue };
+        for to in shard_owner.replicas() {
+            let Some(update) = shard_owner.update_for(&to) else { continue };
             if flaw == Flaw::NoWait {
                 let seq = update.base.as_ref().map_or(0, |base| base.seq);
                 let seq = seq.max(update.first - 1 + update.notes.len() as u64);
@@ -330,7 +334,7 @@
         let entry = &mut self.entries[index];
         let flying = entry.flights.any_before(now, &u64::MAX);
         let epoch = entry.fold.claims.epoch(SHARD).max(entry.shard.epoch());
-        let owner = entry.shard.office().is_some();
+        let owner = entry.shard.owner().is_some();
         let from = entry.id.clone();
         let others: Vec<EntryId> =
             self.entries.iter().map(|e| e.id.clone()).filter(|id| *id != from).collect();
@@ -344,10 +348,10 @@
     pub fn step(&mut self, index: usize, event: Event) {
         let now = self.now;
         let entry = &mut self.entries[index];
-        let Some(office) = entry.shard.office() else { return };
+        let Some(shard_owner) = entry.shard.owner() else { return };
         let from = entry.id.clone();
-        let epoch = office.epoch();
-        for action in office.step(now, event) {
+        let epoch = shard_owner.epoch();
+        for action in shard_owner.step(now, event) {
             match action {
                 Action::Start { worker, order } => {
                     entry.flights.begin(epoch, 1);
@@ -364,7 +368,7 @@
                 }
                 Action::Reply { token, answer } => drop(self.answers.insert(token, answer)),
                 Action::Append(record) => entry.unsent.push(record),
-                Action::Replicate | Action::AskParts | Action::Trace(_) => {}
+                Action::Replicate | Action::RequestShares | Action::Trace(_) => {}
             }
         }
     }
@@ -395,7 +399,7 @@
                 Change::Claim(claim) => {
                     let history = self.entries[index].fold.claims.history(SHARD).to_vec();
                     let state = self.entries[index].fold.state(SHARD);
-                    self.entries[index].shard.claimed(now, &claim, &history, state);
+                    self.entries[index].shard.on_claim(now, &claim, &history, state);
                 }
                 Change::Noted { epoch, seq, .. } => self.step(index, Event::Logged { epoch, seq }),
                 Change::Table | Change::Job(_) => {}
@@ -409,7 +413,7 @@
             return;
         }
         let InFlight { sent, message } = self.net.remove(at);
-        let late = self.now.since(sent) >= MAX_FLIGHT;
+        let late = self.now.since(sent) >= MAX_MESSAGE_DELAY;
         let receiver = message.receiver().and_then(|id| self.index(id));
         let unknown = message.receiver().is_some() && receiver.is_none();
         if late || unknown || self.is_cut(&message) {
@@ -501,7 +505,7 @@
                 if !stop {
                     entry.flights.end(self.now, &epoch);
                 }
-                self.step(index, Event::Told { task, stop, reply });
+                self.step(index, Event::CommandReply { task, stop, reply });
             }
             Message::Report { worker, report, asked, .. } => {
                 self.step(index, Event::Report { worker, asked, report });
@@ -513,7 +517,9 @@
             }
             Message::Updated { by, epoch, result, .. } => match result {
                 Ok(seq) => self.step(index, Event::Acked { replica: by, epoch, seq }),
-                Err(ReplicaError::Gap(_)) => self.step(index, Event::Gap { replica: by }),
+                Err(ReplicaError::Gap(_)) => {
+                    self.step(index, Event::MissingChanges { replica: by })
+                }
                 Err(ReplicaError::Sealed(later)) => {
                     self.entries[index].shard.step_down(later);
                 }
@@ -530,19 +536,19 @@
             }
             Message::HandOver { epoch, state, .. } => self.succeed(index, epoch, state),
             Message::Sealed { by, epoch, state, .. } => {
-                self.entries[index].shard.sealed(&by, epoch, state);
+                self.entries[index].shard.record_sealed(&by, epoch, state);
             }
             Message::Beat { from, epoch, owner, flying, .. } => {
                 let heard = self.now;
                 let peer = Peer { id: from.clone(), heard, leaving: false };
                 self.entries[index].peers.insert(from.name.clone(), peer);
                 let early = self.flaw == Flaw::EarlyFence;
-                let mine = self.entries[index].shard.office().map(|office| match early {
-                    true => office.epoch(),
-                    false => office.fence_epoch(),
+                let mine = self.entries[index].shard.owner().map(|owner| match early {
+                    true => owner.epoch(),
+                    false => owner.fence_epoch(),
                 });
                 if !owner && !flying && mine.is_some_and(|mine| epoch >= mine) {
-                    self.step(index, Event::Fenced(from));
+                    self.step(index, Event::OwnerFenced(from));
                 }
             }
         }
@@ -551,7 +557,7 @@
     /// An owner hands the shard over to a replica, whichever `draw` says.
     pub fn hand_over(&mut self, index: usize, draw: usize) {
         let entry = &mut self.entries[index];
-        let replicas = entry.shard.office().map(|office| office.replicas()).unwrap_or_default();
+        let replicas = entry.shard.owner().map(|owner| owner.replicas()).unwrap_or_default();
         let to = replicas.get(draw % replicas.len().max(1)).cloned();
         let Some(to) = to.filter(|_| !entry.paused) else { return };
         let Some((epoch, state)) = entry.shard.hand_over() else { return };
@@ -566,18 +572,18 @@
         let entry = &mut self.entries[index];
         let claim = entry.fold.claims.last(SHARD).filter(|claim| claim.epoch == epoch).cloned();
         let Some(claim) = claim else { return };
-        if !entry.shard.may_succeed(&claim, &state) {
+        if !entry.shard.can_accept_handover(&claim, &state) {
             return;
         }
         let (former, _) = entry.fold.before(&claim);
         let table = Arc::new(Table::parse(TABLE).expect("table"));
-        let office = Office::from_hand_over(&claim, &entry.id, state, former, table, now);
-        entry.shard.succeed(office);
+        let shard_owner = ShardOwner::from_hand_over(&claim, &entry.id, state, former, table, now);
+        entry.shard.accept_handover(shard_owner);
         entry.claimant.release(SHARD.into(), epoch);
         self.history.push(format!("{now} e{index} goes on in {epoch}"));
         self.tell_list(index);
         for id in gone {
-            self.step(index, Event::Gone(id));
+            self.step(index, Event::EntryGone(id));
         }
     }
 
@@ -673,7 +679,7 @@
         }
         let asked = self.now;
         let from = entry.id.clone();
-        let order = entry.shard.office().and_then(|office| office.sync(&name));
+        let order = entry.shard.owner().and_then(|owner| owner.sync_order(&name));
         if let Some((_, order)) = order {
             entry.outbox.push(Message::Sync { from, worker: name, order, asked });
         }
@@ -687,7 +693,7 @@
         self.history.push(format!("{} {old} is killed", self.now));
         for other in 0..self.entries.len() {
             if other != index && !self.entries[other].paused {
-                self.step(other, Event::Gone(old.clone()));
+                self.step(other, Event::EntryGone(old.clone()));
             }
         }
     }
@@ -825,9 +831,9 @@
     fn all_over(&mut self) -> bool {
         let owners = self.owners();
         let [owner] = owners[..] else { return false };
-        let Some(office) = self.entries[owner].shard.office() else { return false };
-        let over = office.book().jobs.values().all(|job| job.over());
-        let empty = office.rooms().all(|(_, ledger)| ledger.used() == Size::default());
+        let Some(shard_owner) = self.entries[owner].shard.owner() else { return false };
+        let over = shard_owner.book().jobs.values().all(|job| job.over());
+        let empty = shard_owner.ledgers().all(|(_, ledger)| ledger.used() == Size::default());
         let idle = |w: &Worker| w.tasks.values().all(|t| matches!(t, Task::Ended(_)));
         over && empty && self.workers.values().all(idle)
     }
