--- a/src/controller/shard/event.rs
+++ b/src/controller/shard/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the owner of a shard, and what it wants done.
+//! Events that a shard owner takes and actions that it returns.
 
 use crate::clock::Millis;
 use crate::controller::list::Vm;
@@ -12,98 +12,98 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Why a job was not accepted. None of it was run.
+/// Why a job was refused. None of its tasks ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The table has no such kind of work, or it is not for tasks.
+    /// The table has no row for this kind of work, or the row is for requests and not for tasks.
     UnknownKind,
-    /// The row belongs to another team.
+    /// The row of this kind belongs to another team.
     WrongTeam,
-    /// Too many tasks, none, or sizes of nothing.
+    /// The job has no tasks, more than [`MAX_TASKS`](crate::job::MAX_TASKS), or tasks of size zero.
     BadSize,
-    /// No worker here is large enough.
+    /// The workers of this shard are too small for a task, or together for the whole gang.
     NeverFits,
-    /// Too many wait already.
+    /// The queue of this kind has no place for so many tasks.
     QueueFull,
-    /// No worker is known yet.
+    /// The owner knows no worker of this shard yet.
     NoWorkers,
 }
 
-/// The answer to a caller's event.
+/// The answer to a request of a caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The job is held by every replica, or by the log if there is none.
+    /// The job was accepted and is stored at every replica, or in the log if there are no replicas.
     Submitted { job: JobId },
-    /// The job was not accepted.
+    /// The job was refused.
     Refused(Refusal),
-    /// The job was withdrawn; its state.
+    /// The job was cancelled; holds its status.
     Cancelled(Box<JobStatus>),
-    /// There is no such job.
+    /// The shard has no such job.
     NotFound,
-    /// The key was free and is taken now.
+    /// The idempotency key was free and now belongs to the caller.
     KeyTaken,
-    /// The key was taken before, by this holder.
+    /// The idempotency key belongs to this holder already.
     KeyKnown(Name),
 }
 
-/// What happens to the owner.
+/// An event that the shard owner has to handle.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A caller submits a job.
     Submit { token: u64, job: JobId, spec: JobSpec },
-    /// A caller withdraws a job.
+    /// A caller cancels a job.
     Cancel { token: u64, job: JobId },
     /// An entry takes an idempotency key.
     TakeKey { token: u64, key: Name, holder: Name },
-    /// An entry gives a key back: surely nothing was run under it.
+    /// An entry releases a key because nothing was run under it.
     FreeKey { key: Name, holder: Name },
-    /// The workers of the shard, as the list has them now.
+    /// Version `rev` of the VM list was read.
     WorkerList { rev: u64, vms: Vec<Vm> },
-    /// A worker answered a start or a stop; `None`: no answer came.
+    /// A worker replied to a start or, if `stop`, to a stop; `None` if no reply arrived.
     CommandReply { task: TaskId, stop: bool, reply: Option<TaskReply> },
-    /// A worker reports; `asked` is when it was asked.
+    /// A worker reported its tasks; `asked` is when the report was requested.
     Report { worker: Name, asked: Millis, report: Report },
-    /// A replica holds the notes of `epoch` up to `seq`.
+    /// A replica holds the state changes of `epoch` up to number `seq`.
     Acked { replica: EntryId, epoch: u64, seq: u64 },
-    /// A replica lacks notes.
+    /// A replica misses state changes and needs the full state.
     MissingChanges { replica: EntryId },
-    /// The log holds the notes of `epoch` up to `seq`.
+    /// The log holds the state changes of `epoch` up to number `seq`.
     Logged { epoch: u64, seq: u64 },
-    /// An entry is gone for good.
+    /// The VM of an entry no longer exists.
     EntryGone(EntryId),
-    /// A former owner has no start in flight and knows that it is deposed.
+    /// A former owner knows that it was replaced and has no start in flight.
     OwnerFenced(EntryId),
-    /// A new table is in force.
+    /// A new table took effect.
     Table(Arc<Table>),
-    /// Homes lent parts of limits to the owner of `epoch`.
+    /// Shares of limits that their home shards granted to the owner of `epoch`.
     LimitShares { epoch: u64, parts: Vec<(Limit, u64)> },
-    /// Append again what retention will drop.
+    /// Append all open jobs to the log again, before log retention drops their records.
     RefreshLog,
-    /// Time passes.
+    /// Periodic work: retries, expiry and scheduling.
     Tick,
 }
 
-/// What the shell has to do.
+/// What the entry has to do for the shard owner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// There are notes for replicas or the log.
+    /// Send pending state changes to the replicas or the log.
     Replicate,
     /// Send a start to a worker.
     Start { worker: Name, order: StartOrder },
     /// Send a stop to a worker.
     Stop { worker: Name, task: TaskId },
-    /// Answer a caller.
+    /// Reply to the caller whose request carried `token`.
     Reply { token: u64, answer: Answer },
-    /// Tasks wait for a larger part of a limit: ask its home.
+    /// Ask the home shards of limits for larger shares, because tasks wait for them.
     RequestShares,
-    /// Append a record to the log; nothing waits for it.
+    /// Append a record to the log without waiting for the write.
     Append(Record),
-    /// Add to the time line.
+    /// Record an event of the timeline.
     Trace(EventKind),
 }
 
-/// The name of a refusal in answers and the time line.
+/// The name of a refusal in API responses and in the timeline.
 pub fn refusal_name(why: Refusal) -> Name {
     match why {
         Refusal::UnknownKind => "unknown-kind",
--- a/src/controller/shard/journal.rs
+++ b/src/controller/shard/journal.rs
@@ -1,4 +1,4 @@
-//! An owner's notes on their way to the replicas, and what waits for them to arrive.
+//! State changes that replicas or the log do not hold yet, and the effects that wait for them.
 
 use crate::controller::book::Book;
 use crate::controller::replica::{State, Update};
@@ -7,34 +7,40 @@
 use crate::record::{Claim, Record};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most notes of one update.
+/// The most state changes in one update.
 const MAX_UPDATE_CHANGES: usize = 4096;
 
-/// How far one replica is.
+/// What one replica, or the log, has acknowledged.
 #[derive(Debug, Clone, Copy, Default)]
 struct Progress {
+    /// Whether it holds the full state of this epoch.
     has_base: bool,
+    /// The number of the last change that it holds.
     acked: u64,
 }
 
-/// Notes in order, each with an effect that waits until every replica holds the note.
+/// Numbered state changes, each with an optional effect that is held back until every replica holds
+/// the change.
 #[derive(Debug)]
 pub struct Journal<E> {
     epoch: u64,
     seq: u64,
     changes: VecDeque<(u64, StateChange)>,
     replicas: BTreeMap<EntryId, Progress>,
+    /// The progress of the log; `Some` only in an epoch without replicas.
     log: Option<Progress>,
+    /// The last change that was handed out for the log.
     last_appended: u64,
-    /// After a replica was left out: the first note whose acknowledgement shows that another one
-    /// was there after that, and the last one that was committed before.
+    /// The change that all remaining replicas must acknowledge after a replica was removed, before
+    /// anything more counts as committed.
     proof_seq: u64,
+    /// The last change that was committed before that removal.
     settled_seq: u64,
     effects: VecDeque<(u64, E)>,
 }
 
 impl<E> Journal<E> {
-    /// The journal of an epoch that goes on from note `seq`.
+    /// Creates the journal of an epoch whose first change has the number `seq + 1`.
     pub fn new(claim: &Claim, seq: u64) -> Self {
         let mut journal = Self {
             epoch: claim.epoch,
@@ -51,7 +57,8 @@
         journal
     }
 
-    /// Goes on in a new epoch of the same owner: replicas need a new base, effects still wait.
+    /// Starts a new epoch of the same owner. Replicas need the full state again; pending effects keep
+    /// waiting.
     pub fn start_epoch(&mut self, claim: &Claim) {
         self.epoch = claim.epoch;
         self.replicas = claim.replicas.iter().map(|id| (id.clone(), Progress::default())).collect();
@@ -60,17 +67,18 @@
         (self.proof_seq, self.settled_seq) = (0, 0);
     }
 
-    /// The epoch.
+    /// The epoch of the owner's claim.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The number of the last note.
+    /// The number of the last change.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Adds a note; `effect` comes out of [`Journal::next_ready`] once all replicas hold it.
+    /// Appends a change and returns its number. [`Journal::next_ready`] returns `effect` once every
+    /// replica holds the change.
     pub fn push(&mut self, change: StateChange, effect: Option<E>) -> u64 {
         self.seq += 1;
         self.changes.push_back((self.seq, change));
@@ -80,7 +88,7 @@
         self.seq
     }
 
-    /// What a replica still needs; `None` if it has everything.
+    /// The next update for a replica; `None` if it holds everything.
     pub fn update(&self, id: &EntryId, book: &Book) -> Option<Update> {
         let progress = self.replicas.get(id)?;
         if !progress.has_base {
@@ -98,7 +106,7 @@
         later.take(MAX_UPDATE_CHANGES).map(|(_, change)| change.clone()).collect()
     }
 
-    /// The record to append in an epoch without replicas; `None` if all was handed out.
+    /// The next record to append in an epoch without replicas; `None` if every change was handed out.
     pub fn next_record(&mut self, shard: &Name, book: &Book) -> Option<Record> {
         let log = self.log.as_mut()?;
         let (epoch, shard) = (self.epoch, shard.clone());
@@ -117,14 +125,15 @@
         Some(Record::Notes { shard, epoch, first, notes })
     }
 
-    /// In an epoch without replicas: append the whole state again, before retention drops it.
+    /// Makes the next record of an epoch without replicas hold the full state, which has to be appended
+    /// again before log retention drops it.
     pub fn reset_log_base(&mut self) {
         if let Some(log) = &mut self.log {
             log.has_base = false;
         }
     }
 
-    /// A replica holds everything up to `seq` of `epoch`.
+    /// Records that a replica holds every change of `epoch` up to `seq`.
     pub fn record_ack(&mut self, id: &EntryId, epoch: u64, seq: u64) {
         let progress = self.replicas.get_mut(id).filter(|_| epoch == self.epoch);
         if let Some(progress) = progress {
@@ -134,7 +143,7 @@
         self.drop_committed();
     }
 
-    /// The log holds everything up to `seq` of `epoch`.
+    /// Records that the log holds every change of `epoch` up to `seq`.
     pub fn record_logged(&mut self, epoch: u64, seq: u64) {
         let log = self.log.as_mut().filter(|_| epoch == self.epoch);
         if let Some(log) = log {
@@ -143,17 +152,20 @@
         self.drop_committed();
     }
 
-    /// A replica lacks notes and needs the base again.
+    /// Makes the next update to a replica that misses changes hold the full state.
     pub fn request_base(&mut self, id: &EntryId) {
         if let Some(progress) = self.replicas.get_mut(id) {
             progress.has_base = false;
         }
     }
 
-    /// A replica is gone for good: nothing waits for it any more, unless it is the last one. A
-    /// claimant may have sealed it before it died, and may count on the others being gone: what they
-    /// acknowledged before shows nothing. So nothing more is committed until all that are left have
-    /// acknowledged a note made after that. `true` if there is one to send.
+    /// Removes a replica whose VM no longer exists, unless it is the last one. Effects no longer wait
+    /// for it.
+    ///
+    /// A claimant may have sealed that replica before it died and may take the others for gone, so
+    /// their earlier acknowledgements do not prove that this entry still owns the shard. Nothing more
+    /// is committed until every remaining replica has acknowledged a change made after the removal.
+    /// Returns whether there is such a change to send.
     pub fn remove_replica(&mut self, id: &EntryId) -> bool {
         if self.replicas.len() <= 1 || !self.replicas.contains_key(id) {
             return false;
@@ -164,12 +176,12 @@
         true
     }
 
-    /// The replicas that updates go to.
+    /// The replicas that get updates.
     pub fn replicas(&self) -> Vec<EntryId> {
         self.replicas.keys().cloned().collect()
     }
 
-    /// The last note that every replica holds.
+    /// The number of the last committed change: every replica, or the log, holds it.
     pub fn committed(&self) -> u64 {
         let all = self.replicas.values().chain(&self.log);
         let held = |at: &Progress| if at.has_base { at.acked } else { 0 };
@@ -184,7 +196,7 @@
         }
     }
 
-    /// The next effect whose note every replica holds.
+    /// Removes and returns the next effect whose change is committed.
     pub fn next_ready(&mut self) -> Option<E> {
         let committed = self.committed();
         let (seq, _) = self.effects.front()?;
@@ -194,7 +206,7 @@
         self.effects.pop_front().map(|(_, effect)| effect)
     }
 
-    /// Effects that still wait.
+    /// The number of effects that wait for their change to be committed.
     pub fn pending_effects(&self) -> usize {
         self.effects.len()
     }
--- a/src/controller/shard/lifecycle.rs
+++ b/src/controller/shard/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of tasks at workers: starts, stops, reports, and workers that come and go.
+//! Starts and stops of tasks, reports of workers, and changes of the worker list.
 
 use crate::clock::Millis;
 use crate::controller::list::{Role, Vm};
@@ -14,11 +14,11 @@
 use crate::trace::EventKind;
 use std::collections::BTreeSet;
 
-/// A start or stop without effect is sent again after this long.
+/// How long to wait for the effect of a start or stop before it is sent again.
 const COMMAND_RETRY_INTERVAL: Millis = Millis(1_000);
 
 impl ShardOwner {
-    /// Every replica holds the note that binds this task: its start may go out.
+    /// Sends the start of a task whose binding every replica holds.
     pub(super) fn send_start(&mut self, now: Millis, task: &TaskId) {
         let lease = super::owner::LEASE;
         let Some(bound) = self.book.bound(task) else { return };
@@ -50,7 +50,7 @@
         self.actions.push(Action::Start { worker, order });
     }
 
-    /// Stops a bound task; one whose start was never sent ends at once.
+    /// Stops a bound task. A task whose start was never sent ends immediately.
     pub(super) fn stop_task(&mut self, now: Millis, id: &JobId, index: u32, why: StopReason) {
         let bound = self.book.jobs.get(id).and_then(|job| job.bound_at(index));
         let Some(attempt) = bound.map(|bound| bound.attempt) else { return };
@@ -66,7 +66,7 @@
         }
     }
 
-    /// This entry surely owns the shard still: a stop may go out.
+    /// Sends a stop, after a committed change has proved that this entry still owns the shard.
     pub(super) fn send_stop(&mut self, now: Millis, task: TaskId) {
         if let Some(runtime) = self.runtimes.get_mut(&task) {
             runtime.last_command = now;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A worker answered a start or a stop, or did not.
+    /// Handles the reply of a worker to a start or stop, or its absence.
     pub(super) fn on_reply(
         &mut self,
         now: Millis,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A worker says that a task is over.
+    /// Handles the end of a task as reported by its worker.
     fn on_task_ended(&mut self, now: Millis, task: &TaskId, outcome: TaskOutcome) {
         if self.book.bound(task).is_none() {
             return;
@@ -118,7 +118,7 @@
         self.ended_tasks.insert(task.clone(), ended);
     }
 
-    /// Whether a task that ended like this runs once more.
+    /// Whether a task with this outcome goes back to the queue.
     fn should_retry(&self, task: &TaskId, outcome: TaskOutcome) -> bool {
         let Some(job) = self.book.jobs.get(&task.job) else { return false };
         let retries = self.row(&job.spec.kind).map_or(0, |row| row.retries);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The worker of a task is gone, or has lost it.
+    /// Requeues or ends a task whose worker is gone or no longer has it.
     fn on_task_lost(&mut self, now: Millis, task: &TaskId) {
         let job = self.book.jobs.get(&task.job);
         let (repeat, cancelled) = job.map_or((false, true), |j| (j.spec.repeatable, j.cancelled));
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A member of a gang cannot run: stops the others, so that all start again together.
+    /// Stops the other tasks of a gang after one of them could not run, so that all start again together.
     fn restart_gang(&mut self, now: Millis, id: &JobId) {
         if self.restarting_gangs.insert(id.clone()) {
             let job = self.book.jobs.get(id);
@@ -183,7 +183,8 @@
         self.requeue_stopped_gang(now, id);
     }
 
-    /// Once no member of an undone gang is bound, queues it again or ends what is left of it.
+    /// Once no task of a restarting gang is bound, queues the whole gang again, or ends its remaining
+    /// tasks if some have ended for good.
     fn requeue_stopped_gang(&mut self, now: Millis, id: &JobId) {
         let job = self.book.jobs.get(id).filter(|job| job.bound.is_empty());
         let Some(job) = job.filter(|_| self.restarting_gangs.contains(id)) else { return };
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Gives back the room of a bound task.
+    /// Releases the resources of a bound task.
     fn release(&mut self, task: &TaskId) {
         let Some(runtime) = self.runtimes.remove(task) else { return };
         if let Some(worker) = self.workers.get_mut(&runtime.worker) {
@@ -232,7 +233,7 @@
         }
     }
 
-    /// The workers of the shard, as the list has them in version `rev`.
+    /// Applies version `rev` of the VM list to the workers of the shard.
     pub(super) fn set_workers(&mut self, now: Millis, rev: u64, vms: Vec<Vm>) {
         if rev < self.book.list {
             return;
@@ -283,7 +284,8 @@
         }
     }
 
-    /// Sets room aside for a task that a former owner bound to this worker.
+    /// Reserves resources for a task that is bound to a worker already, by a former owner or because it
+    /// was found running during a rebuild.
     fn restore_binding(&mut self, task: TaskId, name: &Name) {
         let Some(job) = self.book.jobs.get(&task.job) else { return };
         let (kind, team, size) = (job.spec.kind.clone(), job.spec.team.clone(), job.spec.size);
@@ -321,7 +323,7 @@
         }
     }
 
-    /// Tasks bound to workers that are gone since before this entry became owner.
+    /// Requeues or ends tasks bound to workers that were gone before this entry became the owner.
     fn handle_orphans(&mut self, now: Millis) {
         let bound = self.book.all_bound();
         let gone = bound.filter(|(_, _, bound)| !self.workers.contains_key(&bound.worker));
@@ -331,7 +333,7 @@
         }
     }
 
-    /// A worker says what it runs and what it has finished.
+    /// Handles a worker's report of its running and ended tasks.
     pub(super) fn on_report(&mut self, now: Millis, name: Name, asked: Millis, report: Report) {
         let Some(worker) = self.workers.get_mut(&name) else { return };
         worker.last_report = Some(now);
@@ -420,7 +422,8 @@
         }
     }
 
-    /// Whether a worker may forget an ended task: no start of it can arrive any more.
+    /// Whether a worker may forget an ended task. It must remember the task as long as a start may arrive,
+    /// or it would run the task again.
     fn can_forget(&self, now: Millis, task: &TaskId) -> bool {
         let fenced = self.unfenced.is_empty();
         let committed = self.journal.committed();
@@ -433,7 +436,7 @@
         }
     }
 
-    /// A worker did not name a task that is bound to it.
+    /// Handles a task that is missing from the report of the worker to which it is bound.
     fn on_missing_task(&mut self, now: Millis, asked: Millis, inc: u64, task: &TaskId) {
         let Some(bound_inc) = self.book.bound(task).map(|bound| bound.inc) else { return };
         let Some(runtime) = self.runtimes.get(task) else { return };
@@ -447,9 +450,9 @@
         }
     }
 
-    /// After a rebuild: once every worker has reported, at a time when no start of a former owner
-    /// could arrive any more, what was not found may run, or, if it must not be repeated, is in
-    /// doubt for good.
+    /// Ends a rebuild once every worker has reported after the last start of a former owner could
+    /// arrive. Tasks that no worker reported are queued, or end with an unknown outcome if they must
+    /// not be repeated.
     fn finish_rebuild(&mut self, now: Millis) {
         let listed = self.unreported.as_ref().is_some_and(BTreeSet::is_empty);
         if !listed || self.workers.is_empty() {
@@ -477,7 +480,7 @@
         }
     }
 
-    /// Sends again what had no effect, and forgets what is old.
+    /// Sends starts and stops without effect again and drops expired data.
     pub(super) fn tick(&mut self, now: Millis) {
         let waiting = self.journal.pending_effects() > MAX_PENDING_EFFECTS;
         let due = self
@@ -509,8 +512,8 @@
         self.needs_scheduling |= self.schedulable_workers(now) != self.schedulable;
     }
 
-    /// Sends a start again once a note has proved that this entry still owns the shard: another
-    /// one may have decided about the task since it was bound.
+    /// Sends a start again once a committed change has proved that this entry still owns the shard:
+    /// another owner may have requeued or ended the task since it was bound.
     fn resend_start(&mut self, now: Millis, task: TaskId) {
         if let Some(runtime) = self.runtimes.get_mut(&task) {
             runtime.last_command = now;
@@ -518,8 +521,8 @@
         }
     }
 
-    /// Whether a task's worker has not restarted since the task was bound: a start that is sent
-    /// again has no second effect there.
+    /// Whether the worker of a task has not restarted since the task was bound, so that a repeated
+    /// start has no second effect there.
     fn is_same_incarnation(&self, task: &TaskId) -> bool {
         let bound = self.book.bound(task);
         bound.is_some_and(|bound| {
--- a/src/controller/shard/limits.rs
+++ b/src/controller/shard/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of rows and teams at one shard: its parts of what the table allows in the whole cell.
+//! Limits of rows and teams at one shard: its shares of the limits that the table sets for the cell.
 
 use crate::controller::queue::Shape;
 use crate::controller::quota::{Limit, Need, PartAsk, Parts};
@@ -7,7 +7,7 @@
 use crate::table::Row;
 
 impl ShardOwner {
-    /// This shard is one of `shards` over which the limits of the cell are divided.
+    /// Sets the number of shards in the cell, over which its limits are divided.
     pub fn set_shards(&mut self, shards: usize) {
         match &mut self.limit_shares {
             Some(parts) => parts.set_shards(shards),
@@ -19,7 +19,7 @@
         self.limit_shares.as_ref().map_or(whole, |parts| parts.allowed(limit, whole))
     }
 
-    /// The limit that keeps a shape from running now, if there is one.
+    /// The name of the limit that keeps tasks of this shape from starting now, if there is one.
     pub(super) fn exceeded_limit(&self, shape: &Shape) -> Option<&'static str> {
         let Some(row) = self.row(&shape.kind) else { return Some("unknown-kind") };
         let count = shape.gang.max(1) as u64;
@@ -38,7 +38,7 @@
         self.allowed(&Limit::Row(row.kind.clone()), row.limit as u64)
     }
 
-    /// What is in use here.
+    /// How much of a limit the bound tasks of this shard use.
     fn limit_usage(&self, limit: &Limit) -> u64 {
         match limit {
             Limit::Row(kind) => self.loads.get(kind).map_or(0, |load| load.running as u64),
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Tasks wait for a limit: a larger part may be had at its home.
+    /// Has the entry ask for larger shares, once per step, because tasks wait for a limit.
     pub(super) fn request_larger_share(&mut self) {
         if self.limit_shares.is_some() && !self.actions.contains(&Action::RequestShares) {
             self.actions.push(Action::RequestShares);
         }
     }
 
-    /// What this shard asks of the homes of all limits that it uses or waits for.
+    /// The share requests to the home shards of all limits that tasks of this shard use or wait for.
     pub fn share_requests(&mut self) -> Vec<PartAsk> {
         let needs = self.limit_needs();
         self.limit_shares.as_mut().map_or_else(Vec::new, |parts| parts.ask(&needs))
@@ -74,7 +74,7 @@
         needs
     }
 
-    /// Adds what a row's tasks need of their team's quota.
+    /// Adds the need of a row's tasks to the need for their team's quota.
     fn need_quota(&self, row: &Row, backlog: u64, needs: &mut Vec<Need>) {
         let whole = self.table.quota(&row.team);
         let limit = Limit::Team(row.team.clone());
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,4 +1,5 @@
-//! One shard at one entry: a replica, a claimant that looks for the shard's state, or its owner.
+//! One shard at one entry, which follows the shard as a replica, recovers its state as the winner of
+//! a claim, or owns it.
 
 pub mod event;
 pub mod journal;
@@ -18,7 +19,7 @@
 use owner::{MAX_MESSAGE_DELAY, ShardOwner};
 use std::collections::BTreeSet;
 
-/// What this entry is to the shard.
+/// The part that this entry has in the shard.
 #[derive(Debug)]
 enum Phase {
     Follower,
@@ -26,30 +27,31 @@
     Owner(Box<ShardOwner>),
 }
 
-/// A shard at one entry.
+/// The state of one shard at this entry.
 #[derive(Debug)]
 pub struct Shard {
     id: Name,
     me: EntryId,
     replica: Replica,
     phase: Phase,
-    /// The last epoch in which this entry owned the shard and handed it over.
+    /// The last epoch in which this entry handed the shard over to another one; 0 for never.
     released_epoch: u64,
-    /// The last epoch in which the shard was handed over to this entry.
+    /// The last epoch in which another entry handed the shard over to this one; 0 for never.
     received_epoch: u64,
 }
 
-/// How a claimant came to the shard's state.
+/// Where a new owner gets the shard's state from.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateSource {
-    /// From a replica or the log.
+    /// A complete state from a replica, the former owner or the log.
     State(Box<State>),
-    /// From nobody: the log's jobs and the workers' lists have to do.
+    /// No complete state exists: the state is rebuilt from the log's job records and the reports of
+    /// the workers.
     Rebuild,
 }
 
 impl Shard {
-    /// A shard that this entry only follows.
+    /// Creates a shard that this entry follows.
     pub fn new(id: Name, me: EntryId) -> Self {
         let (replica, phase) = (Replica::default(), Phase::Follower);
         Self { id, me, replica, phase, released_epoch: 0, received_epoch: 0 }
@@ -68,12 +70,12 @@
         }
     }
 
-    /// The replica held here.
+    /// The replica of the shard's state at this entry.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The claim whose state is being looked for.
+    /// The claim that this entry won and for which it is still recovering the state.
     pub fn pending_claim(&self) -> Option<&Claim> {
         match &self.phase {
             Phase::Claimant { claim, .. } => Some(claim),
@@ -81,10 +83,11 @@
         }
     }
 
-    /// Takes an update from the owner.
+    /// Applies an update from the owner to the replica and returns the number of the last change held.
     ///
     /// # Errors
-    /// As [`Replica::update`]; an owner or claimant of the same or a later epoch refuses too.
+    /// As [`Replica::update`]; also [`ReplicaError::Sealed`] if this entry owns or claims the same or a
+    /// later epoch.
     pub fn update(&mut self, update: Update) -> Result<u64, ReplicaError> {
         let epoch = self.epoch();
         if epoch >= update.epoch {
@@ -96,7 +99,7 @@
         Ok(seq)
     }
 
-    /// The epoch that this entry owns or claims, 0 if neither.
+    /// The epoch in which this entry owns or claims the shard; 0 if it does neither.
     pub fn epoch(&self) -> u64 {
         match &self.phase {
             Phase::Follower => 0,
@@ -105,22 +108,22 @@
         }
     }
 
-    /// Seals this entry for a claimant of `epoch` and returns all that it holds; `None` if that is
-    /// not its to say, because it handed the shard over.
+    /// Refuses earlier epochs from now on and returns the state held here to the claimant of `epoch`;
+    /// `None` if this entry handed that state over, since its successor may have changed it.
     pub fn seal(&mut self, epoch: u64) -> Option<State> {
         self.step_down(epoch);
         let state = self.replica.seal(epoch).clone();
         (!self.is_state_released()).then_some(state)
     }
 
-    /// Whether the newest state here is the one that was handed over: its successor may have gone
-    /// on from it, so it must not be taken for the owner's word.
+    /// Whether the state held here was handed over to another entry. Its successor may have changed
+    /// it, so a claimant must not treat it as the owner's last state.
     fn is_state_released(&self) -> bool {
         self.released_epoch > 0 && self.replica.state().epoch <= self.released_epoch
     }
 
-    /// The owner gives the shard up for the rest of its epoch: the epoch, and the state from which
-    /// its successor goes on. Only one entry may ever get it.
+    /// Gives the shard up for the rest of its epoch. Returns the epoch and the state from which the
+    /// successor continues; only one entry may ever receive them.
     pub fn hand_over(&mut self) -> Option<(u64, State)> {
         let epoch = self.owner()?.epoch();
         let Phase::Owner(shard_owner) = std::mem::replace(&mut self.phase, Phase::Follower) else {
@@ -132,8 +135,9 @@
         Some((epoch, state))
     }
 
-    /// Whether this entry may go on from a state that the owner of `claim` handed over: it is a
-    /// replica, knows of no later epoch, and was not its successor before.
+    /// Whether this entry can continue from a state that the owner of `claim` handed over: it must be
+    /// a replica of that epoch, know of no later epoch, and not have handed over or received the
+    /// shard in this epoch before.
     pub fn can_accept_handover(&self, claim: &Claim, state: &State) -> bool {
         let follows = matches!(self.phase, Phase::Follower);
         let held = self.replica.state();
@@ -143,13 +147,14 @@
         follows && newer && first && named && self.replica.sealed() <= claim.epoch
     }
 
-    /// Goes on as the owner for the rest of an epoch.
+    /// Becomes the owner for the rest of an epoch that another entry handed over.
     pub fn accept_handover(&mut self, shard_owner: ShardOwner) {
         self.received_epoch = shard_owner.epoch();
         self.phase = Phase::Owner(Box::new(shard_owner));
     }
 
-    /// Gives up what this entry owns or claims if `epoch` is later; `true` if it owned the shard.
+    /// Follows the shard again if `epoch` is later than the one that this entry owns or claims.
+    /// Returns whether it owned the shard.
     pub fn step_down(&mut self, epoch: u64) -> bool {
         if self.epoch() == 0 || self.epoch() >= epoch {
             return false;
@@ -162,7 +167,8 @@
         false
     }
 
-    /// A claim on this shard is in force; `true` if this entry was deposed by it.
+    /// Handles the claim that won an epoch of this shard. Returns whether this entry lost the ownership
+    /// by it.
     pub fn on_claim(&mut self, now: Millis, claim: &Claim, history: &[Claim], log: State) -> bool {
         match &mut self.phase {
             Phase::Owner(shard_owner) if claim.owner == self.me => {
@@ -184,7 +190,7 @@
         false
     }
 
-    /// Another entry sealed itself for this one's claim.
+    /// Records the state of an entry that sealed itself for this entry's claim.
     pub fn record_sealed(&mut self, from: &EntryId, epoch: u64, state: State) {
         if let Phase::Claimant { claim, recovery, .. } = &mut self.phase
             && claim.epoch == epoch
@@ -193,8 +199,9 @@
         }
     }
 
-    /// What the claimant needs next: entries to ask, or the source to become owner from. Where the
-    /// state is lost with its holders, their last starts must have arrived before a rebuild.
+    /// The next step of the recovery: entries to ask, or the source of the state once it is known. If
+    /// every holder of the state is gone, a rebuild waits [`MAX_MESSAGE_DELAY`] from the claim, so that
+    /// the last starts of those holders have arrived.
     pub fn next_recovery_step(
         &mut self,
         now: Millis,
@@ -212,7 +219,8 @@
         }
     }
 
-    /// Becomes the owner with the state that the search found, unless the claim is void by now.
+    /// Makes this entry the owner with the recovered state, unless a later claim replaced its own.
+    /// Returns whether it became the owner.
     pub fn become_owner(&mut self, shard_owner: ShardOwner) -> bool {
         let due = self.pending_claim().is_some_and(|claim| claim.epoch == shard_owner.epoch());
         if due {
@@ -222,13 +230,13 @@
     }
 }
 
-/// Where a claimant's search stands.
+/// The next step of a claimant that recovers the shard's state.
 #[derive(Debug, PartialEq)]
 pub enum RecoveryStep {
-    /// There is none.
+    /// Nothing to do: this entry has no pending claim.
     Idle,
-    /// These may be asked.
+    /// Ask these entries to seal the shard.
     Ask(BTreeSet<EntryId>),
-    /// The state was found, or cannot be.
+    /// The recovery is over; holds the source of the state.
     Ready(StateSource),
 }
--- a/src/controller/shard/owner.rs
+++ b/src/controller/shard/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of a shard: it accepts, places, starts, stops and forgets tasks.
+//! The owner of a shard, which accepts jobs and schedules, starts, stops and finally forgets their
+//! tasks.
 
 use crate::clock::Millis;
 use crate::controller::book::{Book, Job, Task};
@@ -24,60 +25,72 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A task runs this long after its last renewal.
+/// How long a worker keeps running a task after the last renewal of its lease.
 pub const LEASE: Millis = Millis(15_000);
-/// A message sent to a worker arrives within this time or never.
+/// A message to a worker arrives within this time or not at all.
 pub const MAX_MESSAGE_DELAY: Millis = Millis(10_000);
-/// A worker not heard for this long gets no new tasks.
+/// A worker without a report for this long gets no new tasks.
 pub(super) const WORKER_REPORT_TTL: Millis = Millis(3_000);
-/// How long a finished job can be asked for.
+/// How long a finished job stays available to callers.
 const FINISHED_JOB_TTL: Millis = Millis(600_000);
 /// How long an idempotency key is kept.
 pub const KEY_TTL: Millis = Millis(3_600_000);
-/// How often old keys are dropped.
+/// How often expired idempotency keys are dropped.
 const KEY_SWEEP_INTERVAL: Millis = Millis(60_000);
 
-/// The owner's state machine.
+/// The state machine of a shard owner. It takes events and returns actions.
 #[derive(Debug)]
 pub struct ShardOwner {
     pub(super) shard: Name,
     pub(super) me: EntryId,
+    /// The replicated state of the shard.
     pub(super) book: Book,
     pub(super) journal: Journal<Effect>,
     pub(super) workers: BTreeMap<Name, Worker>,
     pub(super) queue: Queue,
     pub(super) health: Health,
     pub(super) table: Arc<Table>,
+    /// Unreplicated data of bound tasks.
     pub(super) runtimes: HashMap<TaskId, TaskRuntime>,
-    /// Starts of this owner on their way, by task: a task may end while one is still to be sent.
+    /// Starts that this owner sent and that may still arrive. A task may end before its start is sent.
     pub(super) in_flight_starts: InFlightStarts<TaskId>,
+    /// Ended tasks that their workers must not forget yet.
     pub(super) ended_tasks: HashMap<TaskId, EndedTask>,
-    /// Former owners whose starts may still arrive, with the time when they surely cannot.
+    /// Former owners whose starts may still arrive; for those that are gone, the time from which on
+    /// none can.
     pub(super) unfenced: BTreeMap<EntryId, Option<Millis>>,
-    /// Since when no start of a former owner can arrive any more.
+    /// Since when no start of a former owner can arrive.
     pub(super) fenced_since: Option<Millis>,
+    /// Numbers of tasks by kind of work.
     pub(super) loads: BTreeMap<Name, Load>,
+    /// Processors used by the bound tasks of each team, in thousandths of a core.
     pub(super) team_cpu: BTreeMap<Name, u64>,
+    /// Gangs whose bound tasks are being stopped, so that the whole gang starts again together.
     pub(super) restarting_gangs: BTreeSet<JobId>,
+    /// During a rebuild, the workers that have not reported their tasks yet.
     pub(super) unreported: Option<BTreeSet<Name>>,
+    /// The actions that the present step returns.
     pub(super) actions: Vec<Action>,
     pub(super) needs_scheduling: bool,
+    /// The workers that may get new tasks.
     pub(super) schedulable: Vec<Name>,
     pub(super) reservation: Option<Reservation>,
-    /// Parts of limits of the whole cell; `None`: this shard is alone and has them all.
+    /// This shard's shares of the limits of the cell; `None` if it is the only shard and has them all.
     pub(super) limit_shares: Option<Parts>,
+    /// Finished jobs with the time when they finished.
     closed_jobs: BTreeMap<JobId, Millis>,
-    /// The epoch that the log knows as one whose owner got to work.
+    /// The last epoch for which this owner appended [`Record::Active`].
     active_epoch: u64,
-    /// Former owners are fenced once they know of this epoch.
+    /// A former owner is fenced once it knows of this epoch.
     fence_epoch: u64,
+    /// When expired idempotency keys were last dropped.
     keys_swept: Millis,
     first_epoch: u64,
 }
 
 impl ShardOwner {
-    /// Becomes the owner in the epoch of `claim`. `former` are the earlier owners that may still have a
-    /// start in flight; `jobs` is what the log has of the shard, used if nobody holds its state.
+    /// Creates the owner for the epoch of `claim`. `former` are earlier owners that may still have a
+    /// start in flight; `jobs` are the jobs in the log, used if no complete state exists.
     pub fn new(
         claim: &Claim,
         source: StateSource,
@@ -125,19 +138,20 @@
         shard_owner
     }
 
-    /// The epoch in which this entry owns the shard.
+    /// The present epoch, in which this entry owns the shard.
     pub fn epoch(&self) -> u64 {
         self.journal.epoch()
     }
 
-    /// The epoch in which this entry became owner: it may have renewed its claim since.
+    /// The epoch in which this entry became the owner. It may have renewed its claim since.
     pub fn first_epoch(&self) -> u64 {
         self.first_epoch
     }
 
-    /// Goes on for the rest of an epoch that another entry handed over. That one does not own the
-    /// shard any more, but only a later epoch shows that it knows so: what it said before it took
-    /// ownership looks the same.
+    /// Creates the owner for the rest of an epoch that another entry handed over.
+    ///
+    /// The former owner counts as fenced only once it knows of a later epoch: a message with the epoch
+    /// of `claim` may be one that it sent while it still owned the shard or before it did.
     pub fn from_hand_over(
         claim: &Claim,
         me: &EntryId,
@@ -156,24 +170,24 @@
         shard_owner
     }
 
-    /// The epoch that a former owner has to know of to be fenced.
+    /// The epoch that a former owner must know of to count as fenced.
     pub fn fence_epoch(&self) -> u64 {
         self.fence_epoch
     }
 
-    /// The state, for the replica of an entry that is no longer the owner.
+    /// Converts the owner into its replicated state, which an entry keeps when it loses the ownership.
     pub fn into_state(self) -> State {
         State { epoch: self.journal.epoch(), seq: self.journal.seq(), book: self.book }
     }
 
-    /// The same entry's claim with other replicas is in force.
+    /// Continues under a new claim of the same entry, with other replicas.
     pub fn renew(&mut self, claim: &Claim) {
         self.fence_epoch = self.fence_epoch.min(claim.epoch);
         self.journal.start_epoch(claim);
         self.actions.push(Action::Replicate);
     }
 
-    /// Sets up queue and rooms from a book that another owner left.
+    /// Sets up the queue and counters from the jobs of the replicated state.
     fn restore_jobs(&mut self, now: Millis) {
         let jobs: Vec<JobId> = self.book.jobs.keys().cloned().collect();
         for id in &jobs {
@@ -204,7 +218,7 @@
         }
     }
 
-    /// Takes one event and returns what has to be done.
+    /// Handles one event and returns the actions for the entry.
     pub fn step(&mut self, now: Millis, event: Event) -> Vec<Action> {
         match event {
             Event::Submit { token, job, spec } => self.submit(now, token, job, spec),
@@ -235,7 +249,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Applies a note here and sends it to the replicas.
+    /// Applies a change to the state and queues it for the replicas. `effect` runs once every replica
+    /// holds the change.
     pub(super) fn record_change(&mut self, change: StateChange, effect: Option<Effect>) -> u64 {
         self.book.apply(&change);
         self.actions.push(Action::Replicate);
@@ -246,8 +261,8 @@
         self.loads.entry(kind.clone()).or_default()
     }
 
-    /// Tells the log once in an epoch that the replicas have the state and that no start of a
-    /// former owner can arrive: nobody needs to know of earlier claims any more.
+    /// Appends [`Record::Active`] once an epoch, when the replicas hold the state and no start of a
+    /// former owner can arrive, so that readers of the log can drop earlier claims.
     fn announce_active(&mut self) {
         let epoch = self.epoch();
         let whole = self.journal.committed() > 0 && self.unfenced.is_empty();
@@ -293,7 +308,7 @@
         self.needs_scheduling = true;
     }
 
-    /// Closes a job whose last task ended.
+    /// Closes a job that has ended, in the log as well.
     pub(super) fn close_if_finished(&mut self, now: Millis, id: &JobId) {
         if self.book.jobs.get(id).is_some_and(Job::over) && !self.closed_jobs.contains_key(id) {
             self.closed_jobs.insert(id.clone(), now);
@@ -301,7 +316,7 @@
         }
     }
 
-    /// Former owners that are gone cannot start anything once their last start has arrived.
+    /// Removes former owners that are gone and whose last start must have arrived by now.
     pub(super) fn expire_fences(&mut self, now: Millis) {
         self.unfenced.retain(|_, until| until.is_none_or(|until| now < until));
         if self.unfenced.is_empty() {
@@ -314,7 +329,7 @@
         self.expire_fences(now);
     }
 
-    /// Drops finished jobs and old keys whose time is over.
+    /// Drops finished jobs and idempotency keys whose retention time is over.
     pub(super) fn forget_expired(&mut self, now: Millis) {
         let old = self.closed_jobs.iter().filter(|(_, at)| now.since(**at) >= FINISHED_JOB_TTL);
         let old: Vec<JobId> = old.map(|(id, _)| id.clone()).collect();
@@ -336,22 +351,23 @@
         self.actions.extend(records.map(Action::Append));
     }
 
-    /// What a replica needs next.
+    /// The next update for a replica; `None` if it holds everything.
     pub fn update_for(&self, id: &EntryId) -> Option<Update> {
         self.journal.update(id, &self.book)
     }
 
-    /// What has to be appended to the log in an epoch without replicas.
+    /// The next record to append to the log in an epoch without replicas.
     pub fn log_record(&mut self) -> Option<Record> {
         self.journal.next_record(&self.shard, &self.book)
     }
 
-    /// The replicas of this epoch that are not gone.
+    /// The replicas of this epoch whose VMs still exist.
     pub fn replicas(&self) -> Vec<EntryId> {
         self.journal.replicas()
     }
 
-    /// What to tell a worker now: tasks to keep running and ended ones to forget.
+    /// The address of a worker and the next sync order for it: leases to renew and ended tasks that it
+    /// may forget.
     pub fn sync_order(&mut self, worker: &str) -> Option<(Name, SyncOrder)> {
         let worker = self.workers.get_mut(worker)?;
         let renew = worker.tasks.iter().cloned().collect();
@@ -359,22 +375,22 @@
         Some((worker.addr.clone(), SyncOrder { renew, ack, lease: LEASE }))
     }
 
-    /// The workers' names.
+    /// The names of the shard's workers.
     pub fn workers(&self) -> Vec<Name> {
         self.workers.keys().cloned().collect()
     }
 
-    /// A worker's address.
+    /// The address of a worker.
     pub fn worker_addr(&self, worker: &str) -> Option<Name> {
         self.workers.get(worker).map(|worker| worker.addr.clone())
     }
 
-    /// What is set aside and what there is, by worker.
+    /// The total and reserved resources of each worker.
     pub fn ledgers(&self) -> impl Iterator<Item = (&Name, &Ledger)> {
         self.workers.iter().map(|(name, worker)| (name, &worker.ledger))
     }
 
-    /// What the shard could take.
+    /// A summary of the free resources and the waiting work of the shard.
     pub fn capacity(&self) -> Room {
         let mut room = Room::default();
         for worker in self.workers.values() {
@@ -390,22 +406,22 @@
         room
     }
 
-    /// Tasks by kind.
+    /// Numbers of waiting and running tasks by kind of work.
     pub fn loads(&self) -> &BTreeMap<Name, Load> {
         &self.loads
     }
 
-    /// Workers set aside because they fail their tasks.
+    /// Workers that get no tasks because too many tasks failed there.
     pub fn excluded_workers(&self) -> Vec<Name> {
         self.health.aside()
     }
 
-    /// The book.
+    /// The replicated state.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    /// A job's state for callers, with the reason why it waits.
+    /// The status of a job, with the reason why its tasks wait.
     pub fn status(&self, id: &JobId, now: Millis) -> Option<JobStatus> {
         let mut status = self.book.jobs.get(id)?.status(id);
         if status.queued > 0 {
@@ -419,7 +435,7 @@
     }
 }
 
-/// The shape of a job's tasks.
+/// The shape shared by all tasks of a job.
 pub(super) fn shape(spec: &JobSpec) -> Shape {
     Shape {
         kind: spec.kind.clone(),
@@ -429,7 +445,7 @@
     }
 }
 
-/// The records that tell a later reader of the log all about an open job.
+/// The records from which a later reader of the log can rebuild an open job.
 fn log_records(id: &JobId, job: &Job) -> Vec<Record> {
     let (spec, at) = (job.spec.clone(), job.at);
     let mut records = vec![Record::Job { job: id.clone(), spec, at }];
--- a/src/controller/shard/requests.rs
+++ b/src/controller/shard/requests.rs
@@ -1,4 +1,4 @@
-//! What callers ask of the owner: jobs are accepted and withdrawn, idempotency keys taken.
+//! Requests of callers: submitting and cancelling jobs, and taking idempotency keys.
 
 use crate::clock::Millis;
 use crate::controller::shard::event::{Action, Answer, Refusal, refusal_name};
@@ -22,9 +22,9 @@
             }
             self.accept(now, &job, &spec);
         }
-        let note = StateChange::Submit { job: job.clone(), spec, at: now };
+        let change = StateChange::Submit { job: job.clone(), spec, at: now };
         let answer = Answer::Submitted { job };
-        self.record_change(note, Some(Effect::Reply { token, answer }));
+        self.record_change(change, Some(Effect::Reply { token, answer }));
     }
 
     fn accept(&mut self, now: Millis, job: &JobId, spec: &JobSpec) {
@@ -41,10 +41,11 @@
         self.actions.push(Action::Append(Record::Job { job, spec, at: now }));
     }
 
-    /// Whether a job can be accepted.
+    /// Checks whether a job can be accepted: by its row of the table, the free places in the row's
+    /// queue and the sizes of the workers.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// The reason why the job is refused.
     pub fn check_admission(&self, spec: &JobSpec) -> Result<(), Refusal> {
         let row = self.table.rows.get(&spec.kind).ok_or(Refusal::UnknownKind)?;
         let waiting = self.loads.get(&spec.kind).map_or(0, |load| load.waiting);
@@ -92,7 +93,7 @@
             Some(known) => Answer::KeyKnown(known),
             None => Answer::KeyTaken,
         };
-        let note = StateChange::Key { key, holder, at: now };
-        self.record_change(note, Some(Effect::Reply { token, answer }));
+        let change = StateChange::Key { key, holder, at: now };
+        self.record_change(change, Some(Effect::Reply { token, answer }));
     }
 }
--- a/src/controller/shard/reservation.rs
+++ b/src/controller/shard/reservation.rs
@@ -1,9 +1,9 @@
-//! Room kept for work that needs much at once, so that small work does not starve it.
+//! Reservations of workers for large tasks and gangs, so that small tasks do not starve them.
 //!
-//! The most urgent shape that found no room keeps all workers from less urgent ones for a while:
-//! room that is freed anywhere adds up for it soonest. If that does not help, it keeps only as many
-//! workers as it would need if they were empty, so that work that waits for long-lived services to
-//! end does not hold up a whole shard.
+//! The most urgent shape that does not fit anywhere first reserves all workers against less urgent
+//! work, so that freed resources add up for it as soon as possible. If it still does not fit after
+//! [`FULL_RESERVATION_TIME`], it keeps only as many workers as it would need if they were empty: a shape
+//! that waits for long-lived services to end must not block a whole shard.
 
 use crate::clock::Millis;
 use crate::controller::place::Ledger;
@@ -13,26 +13,27 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// How long a shape keeps all workers.
+/// How long a shape reserves all workers.
 const FULL_RESERVATION_TIME: Millis = Millis(5_000);
 
-/// Workers kept free of less urgent work until a shape that found no room fits there.
+/// Workers that are closed to less urgent work until a shape that did not fit can be placed there.
 #[derive(Debug)]
 pub(super) struct Reservation {
     shape: Shape,
     priority: u64,
-    /// When it began to keep all workers; `None` once it keeps the fewest.
+    /// When the shape reserved all workers; `None` once it keeps only the fewest.
     all_since: Option<Millis>,
     workers: BTreeSet<Name>,
 }
 
 impl ShardOwner {
-    /// Whether workers are kept for this shape.
+    /// Whether workers are reserved for this shape.
     pub(super) fn is_reserved(&self, shape: &Shape) -> bool {
         self.reservation.as_ref().is_some_and(|reservation| reservation.shape == *shape)
     }
 
-    /// A shape was blocked: keeps workers for it if it is the most urgent one without room.
+    /// Handles a shape that cannot be placed: reserves workers for it if it is the most urgent one that
+    /// fits nowhere.
     pub(super) fn reserve(&mut self, now: Millis, shape: &Shape, priority: u64, why: Block) {
         let less = self.reservation.as_ref().is_none_or(|held| held.priority < priority);
         match why {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The workers with most room for a shape: as many as it would need if they were empty.
+    /// The workers with the most free resources for a shape, as many as it would need if they were empty.
     fn fewest_workers(&self, shape: &Shape) -> BTreeSet<Name> {
         let able =
             self.schedulable_ledgers().filter(|(_, ledger)| ledger.total().can_fit(&shape.size));
@@ -67,8 +68,9 @@
         workers
     }
 
-    /// Ends a reservation whose shape waits no longer or whose workers changed; otherwise it has
-    /// become more urgent.
+    /// Ends the reservation if its shape no longer waits or one of its workers became unavailable.
+    /// Otherwise updates its priority, which grows with the time that the shape has waited, and
+    /// reduces the reservation to the fewest workers after [`FULL_RESERVATION_TIME`].
     pub(super) fn renew_reservation(&mut self, now: Millis) {
         let Some(held) = &self.reservation else { return };
         let head = self.queue.head(&held.shape);
@@ -87,14 +89,15 @@
         }
     }
 
-    /// The kept workers are open to all again.
+    /// Opens the reserved workers to all work again.
     pub(super) fn end_reservation(&mut self) {
         self.reservation = None;
         self.queue.unblock();
     }
 
-    /// The rooms open to a shape: not those kept for a more urgent one. Work of a higher weight
-    /// passes: it gets room first anyway as soon as there is any.
+    /// The workers that a shape may use: all schedulable ones except those reserved for more urgent
+    /// work. A shape of a higher weight ignores the reservation, since it gets freed resources first
+    /// anyway.
     pub(super) fn ledgers_for(
         &self,
         shape: &Shape,
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which waiting task runs next, and where.
+//! The scheduler of a shard: picks the next waiting task and a worker for it.
 
 use crate::clock::Millis;
 use crate::controller::health::Standing;
@@ -13,22 +13,23 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A task that just came ranks as if it had waited this long, in milliseconds.
+/// Added to the time that a task has waited when its priority is computed, in milliseconds, so that
+/// weights also count for new tasks.
 const BASE_WAIT_MS: u64 = 1_000;
-/// With this many notes on their way nothing more is placed.
+/// With more pending effects than this, nothing is placed or sent again until replicas catch up.
 pub(super) const MAX_PENDING_EFFECTS: usize = 10_000;
 
-/// The order in which shapes are looked at.
+/// The scheduling order of shapes: higher priority first, then older jobs.
 pub(super) type Rank = (u64, Reverse<Millis>, Reverse<Shape>);
 
-/// What became of the head of a shape.
+/// The result of placing the oldest waiting task of a shape.
 enum Placement {
     Placed,
     Blocked(Block),
 }
 
 impl ShardOwner {
-    /// Places waiting tasks, most urgent first, until none fits.
+    /// Places waiting tasks in order of priority until no more can be placed.
     pub(super) fn schedule(&mut self, now: Millis) {
         self.needs_scheduling = false;
         if self.unreported.is_some() || self.journal.pending_effects() > MAX_PENDING_EFFECTS {
@@ -138,7 +139,8 @@
         Placement::Placed
     }
 
-    /// Sets the room aside and notes the binding; the start goes out once every replica has it.
+    /// Reserves resources on a worker and records the binding. The start is sent once every replica
+    /// holds the binding.
     fn bind(&mut self, now: Millis, id: &JobId, index: u32, name: &Name) {
         let Some(attempt) = self.book.queued(id, index) else { return };
         let Some(job) = self.book.jobs.get(id) else { return };
@@ -174,11 +176,11 @@
         let (worker, owner, epoch) = (name.clone(), self.me.clone(), self.epoch());
         let what = EventKind::Bound { task: task.clone(), worker: worker.clone(), epoch, waited };
         self.actions.push(Action::Trace(what));
-        let note = StateChange::Bind { task: task.clone(), worker, incarnation, owner };
-        self.record_change(note, Some(Effect::Start(task)));
+        let change = StateChange::Bind { task: task.clone(), worker, incarnation, owner };
+        self.record_change(change, Some(Effect::Start(task)));
     }
 
-    /// Why a job's tasks wait, for people.
+    /// The reason why a job's tasks wait, as shown in its status.
     pub(super) fn wait_reason(&self, now: Millis, spec: &JobSpec) -> String {
         let shape = shape(spec);
         let open = self.schedulable_workers(now);
