--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -17,14 +17,19 @@
 use sprucerudder::record::{Claim, Record};
 use sprucerudder::size::Size;
 use sprucerudder::trace::Stamp;
-use sprucerudder::wire::msg::{Ask, Beat, DeltaBeat, Envelope, NEWEST, ShardBeat, Tell, encode};
+use sprucerudder::wire::msg::{
+    DeltaHeartbeat, Envelope, Heartbeat, NEWEST_VERSION, PeerRequest, PeerResponse, ShardHeartbeat,
+    encode,
+};
 use std::time::Instant;
 
 const WORKER: Size = Size::new(16_000, 32_000, 2);
 const PAGE_BYTES: u64 = 4096;
 
-fn wire_bytes(ask: Ask) -> usize {
-    encode(NEWEST, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask }).expect("bytes").len()
+fn wire_bytes(ask: PeerRequest) -> usize {
+    encode(NEWEST_VERSION, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask })
+        .expect("bytes")
+        .len()
 }
 
 fn json_bytes<T: Serialize>(value: &T) -> usize {
@@ -84,25 +89,25 @@
     }
 }
 
-fn shard_beat(i: u32, owned: bool) -> ShardBeat {
+fn shard_beat(i: u32, owned: bool) -> ShardHeartbeat {
     let room = Room { largest: WORKER, free: WORKER, spare: WORKER, backlog: 100_000, urgent: 100 };
-    ShardBeat {
+    ShardHeartbeat {
         shard: format!("nasr-hall-rack-{i}").into(),
         epoch: 300,
-        owner: owned,
-        flying: true,
+        is_owner: owned,
+        start_pending: true,
         room: owned.then_some(room),
     }
 }
 
-fn beat(shards: Vec<ShardBeat>) -> Beat {
-    Beat {
+fn beat(shards: Vec<ShardHeartbeat>) -> Heartbeat {
+    Heartbeat {
         from: entry("nasr-hall-entry-1"),
         domain: "nasr-hall".into(),
         addr: "10.20.30.40:7100".parse().expect("addr"),
-        leaving: false,
-        rev: 100_000,
-        list: 100_000,
+        is_stopping: false,
+        table_rev: 100_000,
+        list_rev: 100_000,
         shards,
     }
 }
@@ -111,14 +116,18 @@
     println!("heartbeat: shards of the failure domain (a third owned), bytes whole,");
     println!("  with the owned shards changed, with nothing changed");
     for count in [2, 12, 28] {
-        let all: Vec<ShardBeat> = (0..count).map(|i| shard_beat(i, i % 3 == 0)).collect();
-        let owned: Vec<ShardBeat> = all.iter().filter(|shard| shard.owner).cloned().collect();
+        let all: Vec<ShardHeartbeat> = (0..count).map(|i| shard_beat(i, i % 3 == 0)).collect();
+        let owned: Vec<ShardHeartbeat> =
+            all.iter().filter(|shard| shard.is_owner).cloned().collect();
         let delta = |shards| {
             let (seq, base, held) = (1_000_000, 999_999, 1_000_000);
             let delta = Delta { seq, base, held, shards };
-            wire_bytes(Ask::Delta(DeltaBeat { beat: beat(Vec::new()), delta }))
+            wire_bytes(PeerRequest::DeltaHeartbeat(DeltaHeartbeat {
+                heartbeat: beat(Vec::new()),
+                delta,
+            }))
         };
-        let whole = wire_bytes(Ask::Beat(beat(all)));
+        let whole = wire_bytes(PeerRequest::Heartbeat(beat(all)));
         println!("  {count:>5} {whole:>7} {:>7} {:>7}", delta(owned), delta(Vec::new()));
     }
 }
@@ -144,7 +153,7 @@
         };
         println!(
             "  {count:>5} {:>7} {:>7}",
-            wire_bytes(Ask::Update { shard, update }),
+            wire_bytes(PeerRequest::Update { shard, update }),
             json_bytes(&record)
         );
     }
@@ -195,7 +204,7 @@
     for runners in [2, 8, 48] {
         let usage =
             |i| SlotUse { runner: format!("nasr-hall-runner-{i}").into(), held: 4, used: 2 };
-        let ask = Ask::Slots {
+        let ask = PeerRequest::LendSlots {
             shard: "nasr-hall-rack-12".into(),
             entry: "nasr-hall-entry-1".into(),
             uses: (0..runners).map(usage).collect(),
@@ -221,11 +230,14 @@
             shards: 140,
             asks: (0..limits).map(ask).collect(),
         };
-        let lent = Tell::Parts((0..limits).map(|i| (limit(i), 9_000)).collect());
+        let lent = PeerResponse::LentQuota((0..limits).map(|i| (limit(i), 9_000)).collect());
         let answer = Envelope { stamp: Stamp(u64::MAX / 2), body: lent };
-        let answer = encode(NEWEST, &answer).expect("bytes").len();
+        let answer = encode(NEWEST_VERSION, &answer).expect("bytes").len();
         let home = "pasila-rack-3".into();
-        println!("  {limits:>5} {:>7} {answer:>7}", wire_bytes(Ask::Parts { home, question }));
+        println!(
+            "  {limits:>5} {:>7} {answer:>7}",
+            wire_bytes(PeerRequest::LendQuota { home, question })
+        );
     }
 }
 
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -41,7 +41,7 @@
             entries.insert(name.clone(), part);
         }
         let authority_keys =
-            json!({"certificate": authority.certificate(), "secret": authority.secret()});
+            json!({"certificate": authority.certificate(), "secret": authority.private_key()});
         let output = json!({AUTHORITY_FIELD: authority_keys, "entries": entries});
         println!("{}", serde_json::to_string_pretty(&output)?);
         Ok(())
--- a/src/controller/gossip.rs
+++ b/src/controller/gossip.rs
@@ -5,7 +5,7 @@
 //! one next time.
 
 use crate::id::{EntryId, Name};
-use crate::wire::msg::ShardBeat;
+use crate::wire::msg::ShardHeartbeat;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -19,13 +19,13 @@
     /// The newest state of the receiver that the sender holds; 0: none.
     pub held: u64,
     /// The shards that changed.
-    pub shards: Vec<ShardBeat>,
+    pub shards: Vec<ShardHeartbeat>,
 }
 
 /// A shard with the number of the state in which it last changed.
 #[derive(Debug)]
 struct Change {
-    beat: ShardBeat,
+    beat: ShardHeartbeat,
     seq: u64,
 }
 
@@ -40,7 +40,7 @@
 
 impl Outbox {
     /// Takes in the present state of all shards; those that are not named keep theirs.
-    pub fn update(&mut self, shards: Vec<ShardBeat>) {
+    pub fn update(&mut self, shards: Vec<ShardHeartbeat>) {
         self.seq += 1;
         for beat in shards {
             let same = self.shards.get(&beat.shard).is_some_and(|known| known.beat == beat);
@@ -75,7 +75,7 @@
 pub struct Inbox {
     inc: u64,
     seq: u64,
-    shards: BTreeMap<Name, ShardBeat>,
+    shards: BTreeMap<Name, ShardHeartbeat>,
 }
 
 /// What became of a message.
@@ -115,7 +115,7 @@
     }
 
     /// The shards in that state.
-    pub fn shards(&self) -> Vec<ShardBeat> {
+    pub fn shards(&self) -> Vec<ShardHeartbeat> {
         self.shards.values().cloned().collect()
     }
 }
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -29,7 +29,7 @@
         let usage = cell.platform.usage();
         let traffic = cell.entries.iter().map(|(entry, _)| &entry.quic.traffic);
         let sum = traffic.fold((0, 0), |(asks, bytes), at| {
-            (asks + at.asks.load(Ordering::Relaxed), bytes + at.bytes.load(Ordering::Relaxed))
+            (asks + at.requests.load(Ordering::Relaxed), bytes + at.bytes.load(Ordering::Relaxed))
         });
         Self {
             at: Millis::now(),
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -16,7 +16,7 @@
 use crate::size::Size;
 use crate::table::{Fault, Table, WorkClass};
 use crate::trace::Stamp;
-use crate::wire::msg::{OwnerAsk, Reason, Refused, Run, ShardStatus, Tell};
+use crate::wire::msg::{Executed, OwnerRequest, PeerResponse, Reason, RequestError, ShardStatus};
 use poem::http::StatusCode;
 use poem::http::header::CONTENT_TYPE;
 use poem::{Request, Response};
@@ -61,9 +61,9 @@
         let key: Name = format!("{team}/job/{key}").into();
         let keeper = entry.key_shard(&key).ok_or_else(|| refuse(Reason::NoOwner))?;
         let holder: Name = fresh.to_string().into();
-        let ask = OwnerAsk::Key { key, holder };
+        let ask = OwnerRequest::TakeKey { key, holder };
         match entry.ask_owner(&keeper, ask, OWNER_LIMIT).await.map_err(fail)? {
-            Tell::Answer(Answer::KeyKnown(known)) => {
+            PeerResponse::OwnerAnswer(Answer::KeyKnown(known)) => {
                 known.parse().map_err(|_| refuse(Reason::KeyKnown))
             }
             _ => Ok(fresh),
@@ -85,7 +85,7 @@
             let job = self.job_id(&shard, key, &spec.team).await?;
             match entry.submit_to(job.clone(), spec.clone(), OWNER_LIMIT).await {
                 Ok(()) => return Ok(self.accepted(job, spec).await),
-                Err(refused) if refused.run == Run::Unknown || key.is_some() => {
+                Err(refused) if refused.run == Executed::Unknown || key.is_some() => {
                     return Err(fail(refused));
                 }
                 Err(refused) => last = refused,
@@ -113,9 +113,9 @@
         owner: String,
         epoch: u64,
     ) -> (ShardView, Vec<(Name, Load)>) {
-        let answer = self.entry.ask_owner(&shard, OwnerAsk::State, Millis(500)).await;
+        let answer = self.entry.ask_owner(&shard, OwnerRequest::ShardStatus, Millis(500)).await;
         let state: Option<ShardStatus> = match answer {
-            Ok(Tell::Shard(state)) => Some(state),
+            Ok(PeerResponse::ShardStatus(state)) => Some(state),
             _ => None,
         };
         let reached = state.is_some();
@@ -203,9 +203,9 @@
         if !caller.may(&status.spec.team) {
             return Err(refuse(Reason::NotFound));
         }
-        let ask = OwnerAsk::Cancel { job: id.clone() };
+        let ask = OwnerRequest::Cancel { job: id.clone() };
         match self.entry.ask_owner(&id.shard, ask, OWNER_LIMIT).await.map_err(fail)? {
-            Tell::Answer(Answer::Cancelled(status)) => Ok(Json((*status).into())),
+            PeerResponse::OwnerAnswer(Answer::Cancelled(status)) => Ok(Json((*status).into())),
             _ => Err(refuse(Reason::NotFound)),
         }
     }
@@ -220,8 +220,10 @@
         };
         let mut jobs = Vec::new();
         for shard in shards {
-            let ask = OwnerAsk::Jobs { team: caller.team.clone() };
-            if let Ok(Tell::Jobs(found)) = self.entry.ask_owner(&shard, ask, Millis(500)).await {
+            let ask = OwnerRequest::ListJobs { team: caller.team.clone() };
+            if let Ok(PeerResponse::Jobs(found)) =
+                self.entry.ask_owner(&shard, ask, Millis(500)).await
+            {
                 jobs.extend(found.into_iter().map(JobView::from));
             }
         }
@@ -269,8 +271,8 @@
             Some(Verdict::Faulty) => Err(refuse(Reason::Malformed)),
             None if read_back => Err(refuse(Reason::NoLog)),
             None => {
-                let (reason, run) = (Reason::NoLog, Run::Unknown);
-                Err(fail(Refused { reason, run, after: Some(COMMIT_LIMIT) }))
+                let (reason, run) = (Reason::NoLog, Executed::Unknown);
+                Err(fail(RequestError { reason, run, after: Some(COMMIT_LIMIT) }))
             }
         }
     }
--- a/src/entry/beat.rs
+++ b/src/entry/beat.rs
@@ -6,7 +6,9 @@
 use crate::entry::{Entry, lock};
 use crate::id::{EntryId, Name};
 use crate::trace::EventKind;
-use crate::wire::msg::{Ask, Beat, DeltaBeat, ShardBeat, Tell, V2};
+use crate::wire::msg::{
+    DeltaHeartbeat, Heartbeat, PeerRequest, PeerResponse, ShardHeartbeat, VERSION_2,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,12 +36,12 @@
 
     async fn beat_to(self: Arc<Self>, name: Name, addr: SocketAddr) {
         let ask = |version| match version {
-            V2.. => Some(Ask::Delta(self.make_delta(&name))),
-            _ => Some(Ask::Beat(self.make_beat(self.shard_beats()))),
+            VERSION_2.. => Some(PeerRequest::DeltaHeartbeat(self.make_delta(&name))),
+            _ => Some(PeerRequest::Heartbeat(self.make_beat(self.shard_beats()))),
         };
-        match self.quic.ask_by_version(&name, addr, ask, BEAT_LIMIT).await {
-            Ok(Tell::Beat(beat)) => self.take_beat(beat).await,
-            Ok(Tell::Delta(message)) => {
+        match self.quic.request_by_version(&name, addr, ask, BEAT_LIMIT).await {
+            Ok(PeerResponse::Heartbeat(beat)) => self.take_beat(beat).await,
+            Ok(PeerResponse::DeltaHeartbeat(message)) => {
                 if let Some(beat) = self.merge_delta(message) {
                     self.take_beat(beat).await;
                 }
@@ -48,68 +50,74 @@
         }
     }
 
-    fn shard_beats(&self) -> Vec<ShardBeat> {
+    fn shard_beats(&self) -> Vec<ShardHeartbeat> {
         let beats = self.shards().into_iter().map(|handle| {
-            let flying = handle.flights().any_before(self.now(), &u64::MAX);
+            let start_pending = handle.flights().any_before(self.now(), &u64::MAX);
             let known = lock(&self.fold).claims.epoch(&handle.id);
             let mut shard = handle.shard();
             let epoch = known.max(shard.epoch());
             let room = shard.office().map(|office| office.room());
-            ShardBeat { shard: handle.id.clone(), epoch, owner: room.is_some(), flying, room }
+            ShardHeartbeat {
+                shard: handle.id.clone(),
+                epoch,
+                is_owner: room.is_some(),
+                start_pending,
+                room,
+            }
         });
         beats.collect()
     }
 
-    fn make_beat(&self, shards: Vec<ShardBeat>) -> Beat {
-        Beat {
+    fn make_beat(&self, shards: Vec<ShardHeartbeat>) -> Heartbeat {
+        Heartbeat {
             shards,
             from: self.me.clone(),
             domain: self.settings.domain.clone(),
             addr: self.settings.peer,
-            leaving: self.is_leaving(),
-            rev: lock(&self.fold).tables.rev(),
-            list: lock(&self.lists).newest().rev,
+            is_stopping: self.is_leaving(),
+            table_rev: lock(&self.fold).tables.rev(),
+            list_rev: lock(&self.lists).newest().rev,
         }
     }
 
     /// A heartbeat for one peer, with the shards that changed since it last said what it holds.
-    fn make_delta(&self, peer: &Name) -> DeltaBeat {
+    fn make_delta(&self, peer: &Name) -> DeltaHeartbeat {
         let held = {
             let peers = lock(&self.peers);
             let inc = peers.incarnation(peer).unwrap_or_default();
             peers.held(peer, inc)
         };
         let delta = lock(&self.outbox).delta(peer, held);
-        DeltaBeat { beat: self.make_beat(Vec::new()), delta }
+        DeltaHeartbeat { heartbeat: self.make_beat(Vec::new()), delta }
     }
 
     /// Answers a peer's heartbeat.
-    pub(super) fn answer_beat(self: &Arc<Self>, beat: Beat) -> Tell {
+    pub(super) fn answer_beat(self: &Arc<Self>, beat: Heartbeat) -> PeerResponse {
         let entry = self.clone();
         tokio::spawn(async move { entry.take_beat(beat).await });
-        Tell::Beat(self.make_beat(self.shard_beats()))
+        PeerResponse::Heartbeat(self.make_beat(self.shard_beats()))
     }
 
     /// Answers a peer's heartbeat that leaves out what did not change.
-    pub(super) fn answer_delta(self: &Arc<Self>, message: DeltaBeat) -> Tell {
-        let peer = message.beat.from.name.clone();
+    pub(super) fn answer_delta(self: &Arc<Self>, message: DeltaHeartbeat) -> PeerResponse {
+        let peer = message.heartbeat.from.name.clone();
         if let Some(beat) = self.merge_delta(message) {
             let entry = self.clone();
             tokio::spawn(async move { entry.take_beat(beat).await });
         }
         lock(&self.outbox).update(self.shard_beats());
-        Tell::Delta(self.make_delta(&peer))
+        PeerResponse::DeltaHeartbeat(self.make_delta(&peer))
     }
 
     /// The whole heartbeat, and a note of what the peer holds.
-    fn merge_delta(&self, message: DeltaBeat) -> Option<Beat> {
-        lock(&self.outbox).acked(&message.beat.from, message.delta.held);
+    fn merge_delta(&self, message: DeltaHeartbeat) -> Option<Heartbeat> {
+        lock(&self.outbox).acked(&message.heartbeat.from, message.delta.held);
         lock(&self.peers).merge(message)
     }
 
-    pub(super) async fn take_beat(self: &Arc<Self>, beat: Beat) {
+    pub(super) async fn take_beat(self: &Arc<Self>, beat: Heartbeat) {
         let (from, domain, addr) = (beat.from.clone(), beat.domain.clone(), beat.addr);
-        let (rev, list) = (beat.rev, beat.list);
+        let (rev, list) = (beat.table_rev, beat.list_rev);
         let replaced = lock(&self.peers).heard(self.now(), beat.clone());
         if domain == self.settings.domain {
             self.take_shard_beats(&from, &beat.shards);
@@ -126,11 +134,11 @@
     }
 
     /// A former owner that knows of this entry's epoch and has no start in flight is fenced.
-    fn take_shard_beats(self: &Arc<Self>, from: &EntryId, beats: &[ShardBeat]) {
+    fn take_shard_beats(self: &Arc<Self>, from: &EntryId, beats: &[ShardHeartbeat]) {
         for beat in beats {
             let Some(handle) = self.handle(&beat.shard) else { continue };
             let epoch = handle.shard().office().map(|office| office.fence_epoch());
-            let fenced = !beat.owner && !beat.flying;
+            let fenced = !beat.is_owner && !beat.start_pending;
             if fenced && epoch.is_some_and(|epoch| beat.epoch >= epoch) {
                 self.step(&handle, Event::Fenced(from.clone()));
             }
@@ -146,16 +154,16 @@
     }
 
     async fn fetch_table(self: &Arc<Self>, name: &Name, addr: SocketAddr) {
-        let answer = self.quic.ask(name, addr, Ask::Table, BEAT_LIMIT).await;
-        let Ok(Tell::Table(Some(revision))) = answer else { return };
+        let answer = self.quic.request(name, addr, PeerRequest::Table, BEAT_LIMIT).await;
+        let Ok(PeerResponse::Table(Some(revision))) = answer else { return };
         if lock(&self.fold).tables.adopt(revision) {
             self.take_table();
         }
     }
 
     async fn fetch_list(self: &Arc<Self>, name: &Name, addr: SocketAddr) {
-        let answer = self.quic.ask(name, addr, Ask::List, BEAT_LIMIT).await;
-        if let Ok(Tell::List(list)) = answer {
+        let answer = self.quic.request(name, addr, PeerRequest::VmList, BEAT_LIMIT).await;
+        if let Ok(PeerResponse::VmList(list)) = answer {
             self.take_list(list);
         }
     }
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -6,7 +6,7 @@
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{EntryId, Name};
 use crate::trace::EventKind;
-use crate::wire::msg::{Ask, Tell, V2};
+use crate::wire::msg::{PeerRequest, PeerResponse, VERSION_2};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -27,9 +27,9 @@
         self.trace.record(EventKind::HandedOver { shard: shard.clone(), epoch, to: name.clone() });
         self.news.notify_one();
         let from = self.me.clone();
-        let ask = Ask::HandOver { shard, from, to, epoch, state };
+        let ask = PeerRequest::HandOver { shard, from, to, epoch, state };
         for _ in 0..TRIES {
-            if self.quic.ask(&name, addr, ask.clone(), SUCCESSOR_LIMIT).await.is_ok() {
+            if self.quic.request(&name, addr, ask.clone(), SUCCESSOR_LIMIT).await.is_ok() {
                 return;
             }
             tokio::time::sleep(PAUSE.duration()).await;
@@ -47,7 +47,7 @@
             };
             let Some((name, _, addr)) = addr else { continue };
             let version = self.quic.version(&name, addr, SUCCESSOR_LIMIT).await;
-            if version.is_ok_and(|version| version >= V2) {
+            if version.is_ok_and(|version| version >= VERSION_2) {
                 return Some((id, addr));
             }
         }
@@ -61,18 +61,18 @@
         from: EntryId,
         epoch: u64,
         state: State,
-    ) -> Tell {
+    ) -> PeerResponse {
         let claim = lock(&self.fold).claims.last(shard).cloned();
         let claim = claim.filter(|claim| claim.epoch == epoch);
         let (Some(claim), Some(handle)) = (claim, self.handle(shard)) else {
-            return Tell::NotOwner;
+            return PeerResponse::NotOwner;
         };
         let (former, _) = lock(&self.fold).before(&claim);
         let (table, known) = (self.table(), self.known_shards());
         {
             let mut here = handle.shard();
             if !here.may_succeed(&claim, &state) {
-                return Tell::NotOwner;
+                return PeerResponse::NotOwner;
             }
             let now = self.now();
             let mut office = Office::from_hand_over(&claim, &self.me, state, former, table, now);
@@ -82,7 +82,7 @@
         lock(&self.claimant).release(shard.clone(), epoch);
         let (shard, from) = (shard.clone(), from.name);
         self.begin_office(&handle, epoch, EventKind::OwnershipContinued { shard, epoch, from });
-        Tell::Done
+        PeerResponse::Done
     }
 
     /// The entry that owns a shard, as far as is known: the one that says so, or the one that
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -7,7 +7,7 @@
 use crate::id::Name;
 use crate::server::{TIMELINE_PATH, TimelineRequest};
 use crate::trace::Event;
-use crate::wire::msg::{Forwarded, Reason, Refused, Run};
+use crate::wire::msg::{Executed, ForwardedResponse, Reason, RequestError};
 use poem::error::ReadBodyError;
 use poem::http::StatusCode;
 use poem::http::header::{AUTHORIZATION, CONTENT_TYPE};
@@ -43,7 +43,7 @@
     problem::error(&not_run(reason, None))
 }
 
-pub(super) fn fail(refused: Refused) -> poem::Error {
+pub(super) fn fail(refused: RequestError) -> poem::Error {
     problem::error(&refused)
 }
 
@@ -70,7 +70,7 @@
     kind: String,
     request: &Request,
     body: Body,
-) -> Result<Exchange, Refused> {
+) -> Result<Exchange, RequestError> {
     let came = entry.now();
     let caller = identify::apply(&entry.settings.tokens, bearer(request))?;
     let malformed = || not_run(Reason::Malformed, None);
@@ -78,7 +78,7 @@
     if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
         return Err(malformed());
     }
-    let repeat = match request.header(REPEAT_HEADER) {
+    let may_repeat = match request.header(REPEAT_HEADER) {
         None | Some("yes") => true,
         Some("no") => false,
         Some(_) => return Err(malformed()),
@@ -96,7 +96,7 @@
         kind: kind.into(),
         team: caller.team,
         key: key.map(Name::from),
-        repeat,
+        may_repeat,
         came,
         wait: wait_of(request.header(PREFER_HEADER)),
         headers: passed
@@ -121,17 +121,18 @@
         drop(flight);
         result
     });
-    let unknown = Refused { reason: Reason::BrokenAnswer, run: Run::Unknown, after: None };
+    let unknown =
+        RequestError { reason: Reason::BrokenAnswer, run: Executed::Unknown, after: None };
     match served.await {
-        Ok(Ok(Forwarded::Whole { status, content, body })) => {
+        Ok(Ok(ForwardedResponse::Complete { status, content_type, body })) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             let mut builder = Response::builder().status(status);
-            if let Some(content) = content {
-                builder = builder.header(CONTENT_TYPE, content);
+            if let Some(content_type) = content_type {
+                builder = builder.header(CONTENT_TYPE, content_type);
             }
             builder.body(body)
         }
-        Ok(Ok(Forwarded::Refused(refused)) | Err(refused)) => problem::response(&refused),
+        Ok(Ok(ForwardedResponse::Refused(refused)) | Err(refused)) => problem::response(&refused),
         Err(_) => problem::response(&unknown),
     }
 }
@@ -149,7 +150,7 @@
 fn metrics(entry: Data<&Arc<Entry>>) -> String {
     entry.metrics.shards.set(entry.owned() as i64);
     let traffic = &entry.quic.traffic;
-    entry.metrics.peer_messages.set(traffic.asks.load(Ordering::Relaxed) as i64);
+    entry.metrics.peer_messages.set(traffic.requests.load(Ordering::Relaxed) as i64);
     entry.metrics.peer_bytes.set(traffic.bytes.load(Ordering::Relaxed) as i64);
     entry.metrics.text()
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -33,7 +33,7 @@
 use crate::settings::Settings;
 use crate::table::Table;
 use crate::trace::{EventKind, Trace};
-use crate::wire::quic::{Quic, WireError};
+use crate::wire::quic::{QuicTransport, WireError};
 use metrics::Metrics;
 use peers::Peers;
 pub(crate) use request::Slot;
@@ -115,7 +115,7 @@
     pub(crate) me: EntryId,
     pub(crate) trace: Arc<Trace>,
     pub(crate) http: HttpClient,
-    pub(crate) quic: Arc<Quic>,
+    pub(crate) quic: Arc<QuicTransport>,
     pub(crate) metrics: Metrics,
     fold: Mutex<Fold>,
     table: RwLock<Arc<Table>>,
@@ -153,7 +153,12 @@
         let trace = Arc::new(Trace::new(settings.name.clone()));
         let me = EntryId { name: settings.name.clone(), incarnation: now.0 };
         let listener = TcpListener::bind(settings.http).await?;
-        let quic = Quic::bind(settings.peer, &settings.keys, settings.wire_version, trace.clone())?;
+        let quic = QuicTransport::bind(
+            settings.peer,
+            &settings.keys,
+            settings.wire_version,
+            trace.clone(),
+        )?;
         settings.peer = quic.addr()?;
         let domain = settings.domain.clone();
         let (writer, queue) = log::Writer::new();
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -13,7 +13,7 @@
 use crate::record::Claim;
 use crate::table::Table;
 use crate::trace::EventKind;
-use crate::wire::msg::{Ask, Tell};
+use crate::wire::msg::{PeerRequest, PeerResponse};
 use futures_util::future::join_all;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -159,9 +159,9 @@
         if present != id.incarnation {
             return None;
         }
-        let ask = Ask::Seal { shard: shard.clone(), epoch };
-        match self.quic.ask(&id.name, addr, ask, REPLICA_LIMIT).await {
-            Ok(Tell::Sealed { by, state }) if by == *id => Some(state),
+        let ask = PeerRequest::Seal { shard: shard.clone(), epoch };
+        match self.quic.request(&id.name, addr, ask, REPLICA_LIMIT).await {
+            Ok(PeerResponse::Sealed { by, state }) if by == *id => Some(state),
             _ => None,
         }
     }
@@ -400,7 +400,7 @@
         }
         let sends = updates.into_iter().map(|(id, update)| async move {
             let epoch = update.epoch;
-            let ask = Ask::Update { shard: handle.id.clone(), update };
+            let ask = PeerRequest::Update { shard: handle.id.clone(), update };
             self.send_update(handle, id, epoch, ask).await;
         });
         let sends: Vec<_> = sends.collect();
@@ -414,20 +414,22 @@
         handle: &Arc<ShardHandle>,
         id: EntryId,
         epoch: u64,
-        ask: Ask,
+        ask: PeerRequest,
     ) {
         let addr = lock(&self.peers).addr(&id.name);
         let Some(addr) = addr else {
             return tokio::time::sleep(REPLICA_PAUSE.duration()).await;
         };
-        match self.quic.ask(&id.name, addr, ask, REPLICA_LIMIT).await {
-            Ok(Tell::Updated { by, result: Ok(seq) }) if by == id => {
+        match self.quic.request(&id.name, addr, ask, REPLICA_LIMIT).await {
+            Ok(PeerResponse::Updated { by, result: Ok(seq) }) if by == id => {
                 self.step(handle, Event::Acked { replica: id, epoch, seq });
             }
-            Ok(Tell::Updated { by, result: Err(ReplicaError::Gap(_)) }) if by == id => {
+            Ok(PeerResponse::Updated { by, result: Err(ReplicaError::Gap(_)) }) if by == id => {
                 self.step(handle, Event::Gap { replica: id });
             }
-            Ok(Tell::Updated { by, result: Err(ReplicaError::Sealed(later)) }) if by == id => {
+            Ok(PeerResponse::Updated { by, result: Err(ReplicaError::Sealed(later)) })
+                if by == id =>
+            {
                 if handle.shard().step_down(later) {
                     self.trace.record(EventKind::OwnershipLost {
                         shard: handle.id.clone(),
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -8,7 +8,7 @@
 use crate::controller::slots::OWNER_PROOF;
 use crate::id::{EntryId, Name};
 use crate::settings::Settings;
-use crate::wire::msg::{Beat, DeltaBeat};
+use crate::wire::msg::{DeltaHeartbeat, Heartbeat};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
 pub(crate) struct Known {
     pub domain: Name,
     pub addr: SocketAddr,
-    pub beat: Option<(Millis, Beat)>,
+    pub beat: Option<(Millis, Heartbeat)>,
     inbox: Inbox,
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// Takes in a heartbeat; the earlier run of the same entry, if this is a new one.
-    pub fn heard(&mut self, now: Millis, beat: Beat) -> Option<EntryId> {
+    pub fn heard(&mut self, now: Millis, beat: Heartbeat) -> Option<EntryId> {
         let fresh = Known::new(beat.domain.clone(), beat.addr);
         let known = self.known.entry(beat.from.name.clone()).or_insert(fresh);
         let old = known.beat.as_ref().map(|(_, beat)| beat.from.clone());
@@ -72,12 +72,12 @@
     }
 
     /// Adds to a heartbeat what it leaves out; `None` if that is not known, or newer is.
-    pub fn merge(&mut self, message: DeltaBeat) -> Option<Beat> {
-        let DeltaBeat { beat, delta } = message;
-        let fresh = Known::new(beat.domain.clone(), beat.addr);
-        let known = self.known.entry(beat.from.name.clone()).or_insert(fresh);
-        let taken = known.inbox.take(&beat.from, delta);
-        (taken == Taken::Yes).then(|| Beat { shards: known.inbox.shards(), ..beat })
+    pub fn merge(&mut self, message: DeltaHeartbeat) -> Option<Heartbeat> {
+        let DeltaHeartbeat { heartbeat, delta } = message;
+        let fresh = Known::new(heartbeat.domain.clone(), heartbeat.addr);
+        let known = self.known.entry(heartbeat.from.name.clone()).or_insert(fresh);
+        let taken = known.inbox.take(&heartbeat.from, delta);
+        (taken == Taken::Yes).then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
     }
 
     /// The newest state held of a run of an entry; 0: none.
@@ -137,7 +137,7 @@
         let mut owners = heard.filter(|(_, known)| {
             let beat = known.beat.as_ref().map(|(_, beat)| beat);
             let at = beat.and_then(|beat| beat.shards.iter().find(|at| *at.shard == *shard));
-            at.is_some_and(|at| at.owner && at.epoch >= epoch)
+            at.is_some_and(|at| at.is_owner && at.epoch >= epoch)
         });
         owners.next().map(|(name, _)| name.clone())
     }
@@ -149,7 +149,7 @@
         here.all(|known| {
             let Some((heard, beat)) = &known.beat else { return false };
             let later = beat.shards.iter().any(|at| *at.shard == *shard && at.epoch > epoch);
-            (beat.leaving || now.since(*heard) < OWNER_PROOF) && !later
+            (beat.is_stopping || now.since(*heard) < OWNER_PROOF) && !later
         })
     }
 
@@ -158,7 +158,7 @@
         let here = self.known.iter().filter(|(_, known)| known.domain == self.domain);
         let heard = here.filter_map(|(name, known)| {
             let (heard, beat) = known.beat.as_ref()?;
-            let peer = Peer { id: beat.from.clone(), heard: *heard, leaving: beat.leaving };
+            let peer = Peer { id: beat.from.clone(), heard: *heard, leaving: beat.is_stopping };
             Some((name.clone(), peer))
         });
         heard.collect()
@@ -167,6 +167,6 @@
 
 impl Known {
     fn is_fresh(&self, now: Millis) -> bool {
-        self.beat.as_ref().is_some_and(|(at, beat)| now.since(*at) < FRESH && !beat.leaving)
+        self.beat.as_ref().is_some_and(|(at, beat)| now.since(*at) < FRESH && !beat.is_stopping)
     }
 }
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -4,7 +4,7 @@
 use crate::controller::slots::{SlotUse, Turn, Waiting};
 use crate::entry::{Entry, lock};
 use crate::id::Name;
-use crate::wire::msg::{Ask, Tell};
+use crate::wire::msg::{PeerRequest, PeerResponse};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -105,22 +105,22 @@
         }
         let me = self.me.name.clone();
         let mut tell = self.lend(&shard, &me, &uses, waiting);
-        if tell == Tell::NotOwner {
+        if tell == PeerResponse::NotOwner {
             tell = self.ask_slots(shard, uses, waiting).await;
         }
-        if let Tell::Slots(lent) = tell {
+        if let PeerResponse::LentSlots(lent) = tell {
             lock(&self.slots).lent(asked, &lent);
             self.give_turns();
         }
     }
 
-    async fn ask_slots(&self, shard: Name, uses: Vec<SlotUse>, waiting: u32) -> Tell {
+    async fn ask_slots(&self, shard: Name, uses: Vec<SlotUse>, waiting: u32) -> PeerResponse {
         let Some(owner) = self.owner_of(&shard).filter(|owner| *owner != self.me.name) else {
-            return Tell::NotOwner;
+            return PeerResponse::NotOwner;
         };
-        let Some(addr) = lock(&self.peers).addr(&owner) else { return Tell::NotOwner };
-        let ask = Ask::Slots { shard, entry: self.me.name.clone(), uses, waiting };
-        self.quic.ask(&owner, addr, ask, RENEW_LIMIT).await.unwrap_or(Tell::NotOwner)
+        let Some(addr) = lock(&self.peers).addr(&owner) else { return PeerResponse::NotOwner };
+        let ask = PeerRequest::LendSlots { shard, entry: self.me.name.clone(), uses, waiting };
+        self.quic.request(&owner, addr, ask, RENEW_LIMIT).await.unwrap_or(PeerResponse::NotOwner)
     }
 
     /// Where a runner answers.
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -9,7 +9,9 @@
 use crate::record::Claim;
 use crate::size::Size;
 use crate::table::Row;
-use crate::wire::msg::{Ask, OwnerAsk, Reason, Refused, Run, ShardStatus, Tell};
+use crate::wire::msg::{
+    Executed, OwnerRequest, PeerRequest, PeerResponse, Reason, RequestError, ShardStatus,
+};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
@@ -21,8 +23,8 @@
 const OWNER_RETRY: Millis = Millis(2_000);
 
 /// The refusal of a caller whose shard has no owner now. Nothing was run.
-fn no_owner(run: Run) -> Refused {
-    Refused { reason: Reason::NoOwner, run, after: Some(OWNER_RETRY) }
+fn no_owner(run: Executed) -> RequestError {
+    RequestError { reason: Reason::NoOwner, run, after: Some(OWNER_RETRY) }
 }
 
 impl Entry {
@@ -34,18 +36,18 @@
     pub(crate) async fn ask_owner(
         self: &Arc<Self>,
         shard: &Name,
-        ask: OwnerAsk,
+        ask: OwnerRequest,
         limit: Millis,
-    ) -> Result<Tell, Refused> {
+    ) -> Result<PeerResponse, RequestError> {
         let until = self.now() + limit;
-        let mut run = Run::No;
+        let mut run = Executed::No;
         loop {
             match self.try_owner(shard, ask.clone()).await {
-                Ok(Tell::NotOwner) => {}
-                Ok(Tell::Pending) => run = Run::Unknown,
+                Ok(PeerResponse::NotOwner) => {}
+                Ok(PeerResponse::Pending) => run = Executed::Unknown,
                 Ok(tell) => return Ok(tell),
                 Err(true) => {}
-                Err(false) => run = Run::Unknown,
+                Err(false) => run = Executed::Unknown,
             }
             if self.now() + OWNER_PAUSE >= until {
                 return Err(no_owner(run));
@@ -55,7 +57,11 @@
     }
 
     /// One try; the error says whether surely nothing was sent.
-    async fn try_owner(self: &Arc<Self>, shard: &Name, ask: OwnerAsk) -> Result<Tell, bool> {
+    async fn try_owner(
+        self: &Arc<Self>,
+        shard: &Name,
+        ask: OwnerRequest,
+    ) -> Result<PeerResponse, bool> {
         if let Some(handle) = self.handle(shard)
             && handle.shard().office().is_some()
         {
@@ -63,8 +69,8 @@
         }
         let name = self.owner_of(shard).filter(|name| *name != self.me.name).ok_or(true)?;
         let addr = lock(&self.peers).addr(&name).ok_or(true)?;
-        let ask = Ask::Owner { shard: shard.clone(), ask };
-        let answer = self.quic.ask(&name, addr, ask, OWNER_LIMIT).await;
+        let ask = PeerRequest::Owner { shard: shard.clone(), request: ask };
+        let answer = self.quic.request(&name, addr, ask, OWNER_LIMIT).await;
         answer.map_err(|err| err.is_unsent())
     }
 
@@ -72,37 +78,41 @@
     pub(super) async fn answer_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
-        ask: OwnerAsk,
-    ) -> Tell {
+        ask: OwnerRequest,
+    ) -> PeerResponse {
         let now = self.now();
         match ask {
-            OwnerAsk::Submit { job, spec } => {
+            OwnerRequest::Submit { job, spec } => {
                 self.ask_office(handle, |token| Event::Submit { token, job, spec }).await
             }
-            OwnerAsk::Cancel { job } => {
+            OwnerRequest::Cancel { job } => {
                 self.ask_office(handle, |token| Event::Cancel { token, job }).await
             }
-            OwnerAsk::Key { key, holder } => {
+            OwnerRequest::TakeKey { key, holder } => {
                 self.ask_office(handle, |token| Event::Key { token, key, holder }).await
             }
-            OwnerAsk::FreeKey { key, holder } => {
+            OwnerRequest::FreeKey { key, holder } => {
                 let done = self.step(handle, Event::FreeKey { key, holder });
-                if done { Tell::Done } else { Tell::NotOwner }
+                if done { PeerResponse::Done } else { PeerResponse::NotOwner }
             }
-            OwnerAsk::Status { job } => match handle.shard().office() {
-                Some(office) => Tell::Status(office.status(&job, now)),
-                None => Tell::NotOwner,
+            OwnerRequest::JobStatus { job } => match handle.shard().office() {
+                Some(office) => PeerResponse::JobStatus(office.status(&job, now)),
+                None => PeerResponse::NotOwner,
             },
-            OwnerAsk::Jobs { team } => match handle.shard().office() {
+            OwnerRequest::ListJobs { team } => match handle.shard().office() {
                 Some(office) => {
                     let jobs = office.book().jobs.iter();
                     let wanted = jobs
                         .filter(|(_, job)| team.as_ref().is_none_or(|team| job.spec.team == *team));
-                    Tell::Jobs(wanted.filter_map(|(id, _)| office.status(id, now)).collect())
+                    PeerResponse::Jobs(
+                        wanted.filter_map(|(id, _)| office.status(id, now)).collect(),
+                    )
                 }
-                None => Tell::NotOwner,
+                None => PeerResponse::NotOwner,
             },
-            OwnerAsk::State => self.shard_status(handle).map_or(Tell::NotOwner, Tell::Shard),
+            OwnerRequest::ShardStatus => {
+                self.shard_status(handle).map_or(PeerResponse::NotOwner, PeerResponse::ShardStatus)
+            }
         }
     }
 
@@ -110,19 +120,19 @@
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         event: impl FnOnce(u64) -> Event,
-    ) -> Tell {
+    ) -> PeerResponse {
         let token = self.next();
         let (reply, waiting) = oneshot::channel();
         lock(&self.replies).insert(token, reply);
         if !self.step(handle, event(token)) {
             lock(&self.replies).remove(&token);
-            return Tell::NotOwner;
+            return PeerResponse::NotOwner;
         }
         let answer = tokio::time::timeout(OWNER_LIMIT.duration(), waiting).await;
         lock(&self.replies).remove(&token);
         match answer {
-            Ok(Ok(answer)) => Tell::Answer(answer),
-            _ => Tell::Pending,
+            Ok(Ok(answer)) => PeerResponse::OwnerAnswer(answer),
+            _ => PeerResponse::Pending,
         }
     }
 
@@ -137,7 +147,7 @@
             owner: self.me.clone(),
             replicas: office.replicas(),
             workers,
-            aside: office.aside(),
+            set_aside: office.aside(),
             loads: office.loads().iter().map(|(kind, load)| (kind.clone(), *load)).collect(),
         })
     }
@@ -171,7 +181,7 @@
         row: &Row,
         spec: &JobSpec,
         seed: u64,
-    ) -> Result<Vec<Name>, Refused> {
+    ) -> Result<Vec<Name>, RequestError> {
         let local = &self.settings.domain;
         let rooms = self.known_rooms();
         let candidates: Vec<Candidate> = rooms
@@ -189,10 +199,12 @@
         let order = offer::order(&candidates, &offer, seed);
         match order.is_empty() {
             false => Ok(order),
-            true if self.knows_all_rooms(row, &rooms) => {
-                Err(Refused { reason: Reason::Job(Refusal::NeverFits), run: Run::No, after: None })
-            }
-            true => Err(no_owner(Run::No)),
+            true if self.knows_all_rooms(row, &rooms) => Err(RequestError {
+                reason: Reason::Job(Refusal::NeverFits),
+                run: Executed::No,
+                after: None,
+            }),
+            true => Err(no_owner(Executed::No)),
         }
     }
 
@@ -217,11 +229,11 @@
         self: &Arc<Self>,
         job: &JobId,
         limit: Millis,
-    ) -> Result<JobStatus, Refused> {
-        let ask = OwnerAsk::Status { job: job.clone() };
+    ) -> Result<JobStatus, RequestError> {
+        let ask = OwnerRequest::JobStatus { job: job.clone() };
         match self.ask_owner(&job.shard, ask, limit).await? {
-            Tell::Status(Some(status)) => Ok(status),
-            _ => Err(Refused { reason: Reason::NotFound, run: Run::No, after: None }),
+            PeerResponse::JobStatus(Some(status)) => Ok(status),
+            _ => Err(RequestError { reason: Reason::NotFound, run: Executed::No, after: None }),
         }
     }
 
@@ -234,14 +246,14 @@
         job: JobId,
         spec: JobSpec,
         limit: Millis,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RequestError> {
         let shard = job.shard.clone();
-        match self.ask_owner(&shard, OwnerAsk::Submit { job, spec }, limit).await? {
-            Tell::Answer(Answer::Submitted { .. }) => Ok(()),
-            Tell::Answer(Answer::Refused(why)) => {
-                Err(Refused { reason: Reason::Job(why), run: Run::No, after: None })
+        match self.ask_owner(&shard, OwnerRequest::Submit { job, spec }, limit).await? {
+            PeerResponse::OwnerAnswer(Answer::Submitted { .. }) => Ok(()),
+            PeerResponse::OwnerAnswer(Answer::Refused(why)) => {
+                Err(RequestError { reason: Reason::Job(why), run: Executed::No, after: None })
             }
-            _ => Err(no_owner(Run::Unknown)),
+            _ => Err(no_owner(Executed::Unknown)),
         }
     }
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -4,7 +4,7 @@
 use crate::entry::{Entry, lock};
 use crate::filter::{Exchange, run_forwarded};
 use crate::id::Name;
-use crate::wire::msg::{Ask, Tell};
+use crate::wire::msg::{PeerRequest, PeerResponse};
 use std::sync::Arc;
 
 impl Entry {
@@ -18,58 +18,66 @@
         .await;
     }
 
-    async fn answer(self: Arc<Self>, ask: Ask) -> Tell {
+    async fn answer(self: Arc<Self>, ask: PeerRequest) -> PeerResponse {
         match ask {
-            Ask::Beat(beat) => self.answer_beat(beat),
-            Ask::Delta(message) => self.answer_delta(message),
-            Ask::Update { shard, update } => {
+            PeerRequest::Heartbeat(beat) => self.answer_beat(beat),
+            PeerRequest::DeltaHeartbeat(message) => self.answer_delta(message),
+            PeerRequest::Update { shard, update } => {
                 let handle = self.open_shard(&shard);
                 let result = handle.shard().update(update);
-                Tell::Updated { by: self.me.clone(), result }
+                PeerResponse::Updated { by: self.me.clone(), result }
             }
-            Ask::Seal { shard, epoch } => {
+            PeerRequest::Seal { shard, epoch } => {
                 let handle = self.open_shard(&shard);
                 let sealed = handle.shard().seal(epoch);
                 let by = self.me.clone();
-                sealed.map_or(Tell::NotOwner, |state| Tell::Sealed { by, state })
+                sealed.map_or(PeerResponse::NotOwner, |state| PeerResponse::Sealed { by, state })
             }
-            Ask::Release { shard, epoch } => {
+            PeerRequest::Release { shard, epoch } => {
                 lock(&self.claimant).release(shard, epoch);
-                Tell::Done
+                PeerResponse::Done
             }
-            Ask::HandOver { shard, from, to, epoch, state } if to == self.me => {
+            PeerRequest::HandOver { shard, from, to, epoch, state } if to == self.me => {
                 self.take_hand_over(&shard, from, epoch, state)
             }
-            Ask::HandOver { .. } => Tell::NotOwner,
-            Ask::Owner { shard, ask } => match self.handle(&shard) {
-                Some(handle) => self.answer_owner(&handle, ask).await,
-                None => Tell::NotOwner,
+            PeerRequest::HandOver { .. } => PeerResponse::NotOwner,
+            PeerRequest::Owner { shard, request } => match self.handle(&shard) {
+                Some(handle) => self.answer_owner(&handle, request).await,
+                None => PeerResponse::NotOwner,
             },
-            Ask::Slots { shard, entry, uses, waiting } => self.lend(&shard, &entry, &uses, waiting),
-            Ask::Parts { home, question } => self.lend_parts(&home, &question),
-            Ask::Table => Tell::Table(lock(&self.fold).tables.current().cloned()),
-            Ask::List => Tell::List(lock(&self.lists).newest().clone()),
-            Ask::Forward(forward) => {
+            PeerRequest::LendSlots { shard, entry, uses, waiting } => {
+                self.lend(&shard, &entry, &uses, waiting)
+            }
+            PeerRequest::LendQuota { home, question } => self.lend_parts(&home, &question),
+            PeerRequest::Table => PeerResponse::Table(lock(&self.fold).tables.current().cloned()),
+            PeerRequest::VmList => PeerResponse::VmList(lock(&self.lists).newest().clone()),
+            PeerRequest::Forward(forward) => {
                 let exchange = Exchange::from_forward(*forward, self.now());
-                Tell::Forwarded(run_forwarded(self, exchange).await)
+                PeerResponse::Forwarded(run_forwarded(self, exchange).await)
             }
         }
     }
 
     /// Lends slots if this entry surely owned the shard a moment ago.
-    pub(super) fn lend(&self, shard: &Name, entry: &Name, uses: &[SlotUse], waiting: u32) -> Tell {
-        let Some(handle) = self.handle(shard) else { return Tell::NotOwner };
+    pub(super) fn lend(
+        &self,
+        shard: &Name,
+        entry: &Name,
+        uses: &[SlotUse],
+        waiting: u32,
+    ) -> PeerResponse {
+        let Some(handle) = self.handle(shard) else { return PeerResponse::NotOwner };
         let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else {
-            return Tell::NotOwner;
+            return PeerResponse::NotOwner;
         };
         if !self.is_owner_proven(shard, epoch) {
-            return Tell::NotOwner;
+            return PeerResponse::NotOwner;
         }
         let mut entries = lock(&self.peers).names_here();
         entries.insert(self.me.name.clone());
         let mut lender = handle.lender();
         lender.set_entries(entries);
-        Tell::Slots(lender.lend(self.now(), entry, uses, waiting))
+        PeerResponse::LentSlots(lender.lend(self.now(), entry, uses, waiting))
     }
 
     /// Whether, a moment ago, there was no later claim: the log was read to its end, or every
--- a/src/entry/share.rs
+++ b/src/entry/share.rs
@@ -6,7 +6,7 @@
 use crate::controller::shard::office::Event;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{Name, rendezvous};
-use crate::wire::msg::{Ask, Tell, V2};
+use crate::wire::msg::{PeerRequest, PeerResponse, VERSION_2};
 use futures_util::future::join_all;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -45,7 +45,7 @@
         };
         let questions = self.questions(&handle.id, epoch, asks);
         let answers = questions.into_iter().map(|(home, question)| async move {
-            if let Tell::Parts(parts) = self.ask_home(&home, question).await {
+            if let PeerResponse::LentQuota(parts) = self.ask_home(&home, question).await {
                 self.step(handle, Event::Parts { epoch, parts });
             }
         });
@@ -72,26 +72,27 @@
         questions
     }
 
-    async fn ask_home(&self, home: &Name, question: Question) -> Tell {
+    async fn ask_home(&self, home: &Name, question: Question) -> PeerResponse {
         match self.owner_of(home) {
             Some(owner) if owner == self.me.name => self.lend_parts(home, &question),
             Some(owner) => self.ask_home_at(owner, home.clone(), question).await,
-            None => Tell::NotOwner,
+            None => PeerResponse::NotOwner,
         }
     }
 
-    async fn ask_home_at(&self, owner: Name, home: Name, question: Question) -> Tell {
-        let Some(addr) = lock(&self.peers).addr(&owner) else { return Tell::NotOwner };
-        let ask = |version| (version >= V2).then_some(Ask::Parts { home, question });
-        let answer = self.quic.ask_by_version(&owner, addr, ask, HOME_LIMIT).await;
-        answer.unwrap_or(Tell::NotOwner)
+    async fn ask_home_at(&self, owner: Name, home: Name, question: Question) -> PeerResponse {
+        let Some(addr) = lock(&self.peers).addr(&owner) else { return PeerResponse::NotOwner };
+        let ask =
+            |version| (version >= VERSION_2).then_some(PeerRequest::LendQuota { home, question });
+        let answer = self.quic.request_by_version(&owner, addr, ask, HOME_LIMIT).await;
+        answer.unwrap_or(PeerResponse::NotOwner)
     }
 
     /// Lends parts of the limits that a shard owned here is home to.
-    pub(super) fn lend_parts(&self, home: &Name, question: &Question) -> Tell {
-        let Some(handle) = self.handle(home) else { return Tell::NotOwner };
+    pub(super) fn lend_parts(&self, home: &Name, question: &Question) -> PeerResponse {
+        let Some(handle) = self.handle(home) else { return PeerResponse::NotOwner };
         let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else {
-            return Tell::NotOwner;
+            return PeerResponse::NotOwner;
         };
         let (known, shards) = (self.known_shards(), self.holders());
         let table = self.table();
@@ -101,7 +102,8 @@
         };
         let mut pool = handle.pool();
         pool.renew(epoch);
-        pool.lend(question, known, &shards, whole).map_or(Tell::NotOwner, Tell::Parts)
+        pool.lend(question, known, &shards, whole)
+            .map_or(PeerResponse::NotOwner, PeerResponse::LentQuota)
     }
 
     /// The shards that may hold parts: not those whose workers and last owner are gone for good.
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -4,7 +4,7 @@
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{Name, rendezvous};
 use crate::trace::EventKind;
-use crate::wire::msg::Ask;
+use crate::wire::msg::PeerRequest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -72,8 +72,8 @@
         let here: BTreeMap<Name, SocketAddr> = here.map(|(name, _, addr)| (name, addr)).collect();
         let Some(name) = rendezvous(&handle.id, here.keys()) else { return };
         let addr = here[name];
-        let ask = Ask::Release { shard: handle.id.clone(), epoch };
-        let _ = self.quic.ask(name, addr, ask, PEER_LIMIT).await;
+        let ask = PeerRequest::Release { shard: handle.id.clone(), epoch };
+        let _ = self.quic.request(name, addr, ask, PEER_LIMIT).await;
     }
 }
 
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -174,7 +174,7 @@
         self.owner = state.owner.to_string();
         self.replicas = state.replicas.iter().map(ToString::to_string).collect();
         self.workers = state.workers.iter().map(room).collect();
-        self.aside = state.aside.iter().map(ToString::to_string).collect();
+        self.aside = state.set_aside.iter().map(ToString::to_string).collect();
         self.tasks = state.loads.iter().map(load).collect();
     }
 }
--- a/src/filter/admit.rs
+++ b/src/filter/admit.rs
@@ -2,13 +2,13 @@
 
 use crate::entry::Entry;
 use crate::filter::{Classified, not_run};
-use crate::wire::msg::{Reason, Refused};
+use crate::wire::msg::{Reason, RequestError};
 
 /// Checks the body's size and the time that is left.
 ///
 /// # Errors
 /// If the body is too large or the answer is due already.
-pub fn apply(entry: &Entry, classified: &Classified) -> Result<(), Refused> {
+pub fn apply(entry: &Entry, classified: &Classified) -> Result<(), RequestError> {
     match () {
         _ if classified.exchange.body.len() > entry.settings.max_body => {
             Err(not_run(Reason::TooLarge, None))
--- a/src/filter/classify.rs
+++ b/src/filter/classify.rs
@@ -5,7 +5,7 @@
 use crate::filter::{Classified, Exchange, not_run};
 use crate::table::WorkClass;
 use crate::trace::EventKind;
-use crate::wire::msg::{Reason, Refused};
+use crate::wire::msg::{Reason, RequestError};
 
 /// Callers come again after this long when no table is in force yet.
 const NO_TABLE_RETRY: Millis = Millis(1_000);
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// If there is no table, no such kind, or the row belongs to another team.
-pub fn apply(entry: &Entry, exchange: Exchange) -> Result<Classified, Refused> {
+pub fn apply(entry: &Entry, exchange: Exchange) -> Result<Classified, RequestError> {
     let table = entry.table();
     if table.rows.is_empty() {
         return Err(not_run(Reason::NoTable, Some(NO_TABLE_RETRY)));
--- a/src/filter/forward.rs
+++ b/src/filter/forward.rs
@@ -5,7 +5,7 @@
 use crate::platform::http::{HttpError, HttpResponse, uri};
 use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
 use crate::trace::EventKind;
-use crate::wire::msg::{Reason, Refused, Run};
+use crate::wire::msg::{Executed, Reason, RequestError};
 use http_body_util::Full;
 use hyper::{Method, Request};
 use std::sync::Arc;
@@ -22,10 +22,10 @@
     entry: &Arc<Entry>,
     classified: &Classified,
     slot: Slot,
-) -> Result<HttpResponse, Refused> {
+) -> Result<HttpResponse, RequestError> {
     entry.deposit_retry();
     let mut slot = slot;
-    let mut run = Run::No;
+    let mut run = Executed::No;
     for tried in 1.. {
         let err = match send(entry, classified, &mut slot).await {
             Ok(answer) => return Ok(answer),
@@ -33,16 +33,16 @@
         };
         drop(slot);
         if !err.is_unsent() {
-            run = Run::Unknown;
+            run = Executed::Unknown;
         }
-        let safe = run == Run::No || classified.repeatable();
+        let safe = run == Executed::No || classified.repeatable();
         let last = tried >= MAX_TRIES || entry.now() >= classified.due;
         if last || !safe || !entry.take_retry() {
             return Err(give_up(&err, run));
         }
         slot = match hold::apply(entry, classified).await {
             Ok(slot) => slot,
-            Err(refused) => return Err(Refused { run, ..refused }),
+            Err(refused) => return Err(RequestError { run, ..refused }),
         };
     }
     Err(not_run(Reason::NoUpstream, None))
@@ -73,7 +73,7 @@
     Ok(answer)
 }
 
-fn give_up(err: &HttpError, run: Run) -> Refused {
+fn give_up(err: &HttpError, run: Executed) -> RequestError {
     let reason = match err {
         HttpError::Connect(_) => Reason::NoUpstream,
         HttpError::Timeout(_) => Reason::Timeout,
@@ -81,5 +81,5 @@
             Reason::BrokenAnswer
         }
     };
-    Refused { reason, run, after: None }
+    RequestError { reason, run, after: None }
 }
--- a/src/filter/hold.rs
+++ b/src/filter/hold.rs
@@ -3,14 +3,14 @@
 use crate::controller::slots::Waiting;
 use crate::entry::{Entry, Slot};
 use crate::filter::{Classified, not_run};
-use crate::wire::msg::{Reason, Refused};
+use crate::wire::msg::{Reason, RequestError};
 use std::sync::Arc;
 
 /// Waits for a slot.
 ///
 /// # Errors
 /// At once if the queue is full or the turn would come too late; when it should come again.
-pub async fn apply(entry: &Arc<Entry>, classified: &Classified) -> Result<Slot, Refused> {
+pub async fn apply(entry: &Arc<Entry>, classified: &Classified) -> Result<Slot, RequestError> {
     let now = entry.now();
     let request = Waiting {
         id: entry.next(),
--- a/src/filter/identify.rs
+++ b/src/filter/identify.rs
@@ -3,7 +3,7 @@
 use crate::filter::not_run;
 use crate::id::Name;
 use crate::settings::Token;
-use crate::wire::msg::{Reason, Refused};
+use crate::wire::msg::{Reason, RequestError};
 
 /// Who calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// If the token is missing or unknown.
-pub fn apply(tokens: &[Token], given: Option<&str>) -> Result<Caller, Refused> {
+pub fn apply(tokens: &[Token], given: Option<&str>) -> Result<Caller, RequestError> {
     let given = given.ok_or_else(|| not_run(Reason::Unauthorized, None))?;
     let known = tokens.iter().find(|token| same(&token.token, given));
     let token = known.ok_or_else(|| not_run(Reason::Unauthorized, None))?;
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -16,7 +16,7 @@
 use crate::platform::http::HttpResponse;
 use crate::table::Row;
 use crate::trace::EventKind;
-use crate::wire::msg::{Forward, Forwarded, Reason, Refused, Run};
+use crate::wire::msg::{Executed, ForwardedRequest, ForwardedResponse, Reason, RequestError};
 use bytes::Bytes;
 use hyper::header::CONTENT_TYPE;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     /// Its idempotency key.
     pub key: Option<Name>,
     /// Whether its caller allows that it is run again.
-    pub repeat: bool,
+    pub may_repeat: bool,
     /// When it came.
     pub came: Millis,
     /// How long its caller waits, if it said so.
@@ -58,21 +58,21 @@
 impl Classified {
     /// Whether it may be run again after it may have run.
     pub fn repeatable(&self) -> bool {
-        self.row.repeat && self.exchange.repeat
+        self.row.repeat && self.exchange.may_repeat
     }
 }
 
 impl Exchange {
     /// A request that another failure domain sent here.
-    pub fn from_forward(forward: Forward, now: Millis) -> Self {
+    pub fn from_forward(forward: ForwardedRequest, now: Millis) -> Self {
         Self {
             id: forward.id,
             kind: forward.kind,
             team: Some(forward.team),
             key: forward.key,
-            repeat: forward.repeat,
+            may_repeat: forward.may_repeat,
             came: now,
-            wait: Some(forward.left),
+            wait: Some(forward.remaining),
             headers: forward.headers,
             body: forward.body.into(),
         }
@@ -80,22 +80,22 @@
 }
 
 /// The refusal of a request of which nothing was run.
-pub(crate) fn not_run(reason: Reason, after: Option<Millis>) -> Refused {
-    Refused { reason, run: Run::No, after }
+pub(crate) fn not_run(reason: Reason, after: Option<Millis>) -> RequestError {
+    RequestError { reason, run: Executed::No, after }
 }
 
 /// Takes a caller's request through the whole chain.
 ///
 /// # Errors
 /// The final refusal.
-pub async fn run(entry: Arc<Entry>, exchange: Exchange) -> Result<Forwarded, Refused> {
+pub async fn run(entry: Arc<Entry>, exchange: Exchange) -> Result<ForwardedResponse, RequestError> {
     let (id, kind, came) = (exchange.id.clone(), exchange.kind.clone(), exchange.came);
     let result = chain(&entry, exchange).await;
     report(&entry, id, kind, came, &result);
     result
 }
 
-async fn chain(entry: &Arc<Entry>, exchange: Exchange) -> Result<Forwarded, Refused> {
+async fn chain(entry: &Arc<Entry>, exchange: Exchange) -> Result<ForwardedResponse, RequestError> {
     let classified = classify::apply(entry, exchange)?;
     admit::apply(entry, &classified)?;
     match site::apply(entry, &classified).await? {
@@ -105,30 +105,33 @@
 }
 
 /// Takes a request of another failure domain through the rest of the chain.
-pub async fn run_forwarded(entry: Arc<Entry>, exchange: Exchange) -> Forwarded {
+pub async fn run_forwarded(entry: Arc<Entry>, exchange: Exchange) -> ForwardedResponse {
     let classified = classify::apply(&entry, exchange);
     let result = match &classified {
         Ok(classified) => serve_here(&entry, classified).await,
         Err(refused) => Err(refused.clone()),
     };
-    result.unwrap_or_else(Forwarded::Refused)
+    result.unwrap_or_else(ForwardedResponse::Refused)
 }
 
-async fn serve_here(entry: &Arc<Entry>, classified: &Classified) -> Result<Forwarded, Refused> {
+async fn serve_here(
+    entry: &Arc<Entry>,
+    classified: &Classified,
+) -> Result<ForwardedResponse, RequestError> {
     let slot = hold::apply(entry, classified).await?;
     let key = once::apply(entry, classified).await?;
     let result = forward::apply(entry, classified, slot).await;
-    if let (Some(key), Err(Refused { run: Run::No, .. })) = (key, &result) {
+    if let (Some(key), Err(RequestError { run: Executed::No, .. })) = (key, &result) {
         key.free(entry);
     }
     result.map(whole)
 }
 
-fn whole(answer: HttpResponse) -> Forwarded {
-    let content = answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    Forwarded::Whole {
+fn whole(answer: HttpResponse) -> ForwardedResponse {
+    let content_type = answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    ForwardedResponse::Complete {
         status: answer.status.as_u16(),
-        content: content.map(str::to_string),
+        content_type: content_type.map(str::to_string),
         body: answer.body.to_vec(),
     }
 }
@@ -138,11 +141,11 @@
     request: Name,
     kind: Name,
     came: Millis,
-    result: &Result<Forwarded, Refused>,
+    result: &Result<ForwardedResponse, RequestError>,
 ) {
     let (status, run) = match result {
-        Ok(Forwarded::Whole { status, .. }) => (*status, "yes"),
-        Ok(Forwarded::Refused(refused)) | Err(refused) => {
+        Ok(ForwardedResponse::Complete { status, .. }) => (*status, "yes"),
+        Ok(ForwardedResponse::Refused(refused)) | Err(refused) => {
             (problem::status(&refused.reason).as_u16(), problem::run_name(refused.run))
         }
     };
--- a/src/filter/once.rs
+++ b/src/filter/once.rs
@@ -5,7 +5,7 @@
 use crate::entry::Entry;
 use crate::filter::{Classified, not_run};
 use crate::id::Name;
-use crate::wire::msg::{OwnerAsk, Reason, Refused, Run, Tell};
+use crate::wire::msg::{Executed, OwnerRequest, PeerResponse, Reason, RequestError};
 use std::sync::Arc;
 
 /// A key that this request holds.
@@ -20,7 +20,10 @@
 ///
 /// # Errors
 /// If the key was used before, or nobody can say so.
-pub async fn apply(entry: &Arc<Entry>, classified: &Classified) -> Result<Option<Held>, Refused> {
+pub async fn apply(
+    entry: &Arc<Entry>,
+    classified: &Classified,
+) -> Result<Option<Held>, RequestError> {
     let exchange = &classified.exchange;
     let Some(given) = exchange.key.as_ref().filter(|_| !classified.repeatable()) else {
         return Ok(None);
@@ -29,13 +32,13 @@
     let holder = exchange.id.clone();
     let shard = entry.key_shard(&key).ok_or_else(|| not_run(Reason::NoOwner, None))?;
     let held = Held { shard: shard.clone(), key: key.clone(), holder: holder.clone() };
-    let ask = OwnerAsk::Key { key, holder: holder.clone() };
+    let ask = OwnerRequest::TakeKey { key, holder: holder.clone() };
     let left = classified.due.since(entry.now());
     match entry.ask_owner(&shard, ask, left).await {
-        Ok(Tell::Answer(Answer::KeyTaken)) => Ok(Some(held)),
-        Ok(Tell::Answer(Answer::KeyKnown(known))) if known == holder => Ok(Some(held)),
-        Ok(Tell::Answer(Answer::KeyKnown(_))) => {
-            Err(Refused { reason: Reason::KeyKnown, run: Run::Unknown, after: None })
+        Ok(PeerResponse::OwnerAnswer(Answer::KeyTaken)) => Ok(Some(held)),
+        Ok(PeerResponse::OwnerAnswer(Answer::KeyKnown(known))) if known == holder => Ok(Some(held)),
+        Ok(PeerResponse::OwnerAnswer(Answer::KeyKnown(_))) => {
+            Err(RequestError { reason: Reason::KeyKnown, run: Executed::Unknown, after: None })
         }
         other => {
             held.free(entry);
@@ -50,7 +53,7 @@
     pub fn free(self, entry: &Arc<Entry>) {
         let entry = entry.clone();
         tokio::spawn(async move {
-            let ask = OwnerAsk::FreeKey { key: self.key, holder: self.holder };
+            let ask = OwnerRequest::FreeKey { key: self.key, holder: self.holder };
             let _ = entry.ask_owner(&self.shard, ask, crate::clock::Millis(5_000)).await;
         });
     }
--- a/src/filter/problem.rs
+++ b/src/filter/problem.rs
@@ -1,7 +1,7 @@
 //! Refusals as `application/problem+json` (RFC 9457), with `run` and a reason of a fixed list.
 
 use crate::controller::shard::office::Refusal;
-use crate::wire::msg::{Reason, Refused, Run};
+use crate::wire::msg::{Executed, Reason, RequestError};
 use poem::Response;
 use poem::http::StatusCode;
 use poem::http::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -14,7 +14,7 @@
     kind: &'static str,
     title: String,
     status: u16,
-    run: Run,
+    run: Executed,
     reason: serde_json::Value,
 }
 
@@ -42,15 +42,15 @@
 }
 
 /// `run` as the time line has it.
-pub fn run_name(run: Run) -> &'static str {
+pub fn run_name(run: Executed) -> &'static str {
     match run {
-        Run::No => "no",
-        Run::Unknown => "unknown",
+        Executed::No => "no",
+        Executed::Unknown => "unknown",
     }
 }
 
 /// The answer for a refusal.
-pub fn response(refused: &Refused) -> Response {
+pub fn response(refused: &RequestError) -> Response {
     let status = status(&refused.reason);
     let reason = match refused.reason {
         Reason::Job(why) => serde_json::to_value(why),
@@ -72,6 +72,6 @@
 }
 
 /// A refusal as an error of an API call.
-pub fn error(refused: &Refused) -> poem::Error {
+pub fn error(refused: &RequestError) -> poem::Error {
     poem::Error::from_response(response(refused))
 }
--- a/src/filter/site.rs
+++ b/src/filter/site.rs
@@ -8,7 +8,9 @@
 use crate::filter::{Classified, not_run};
 use crate::id::{Name, hash};
 use crate::table::Row;
-use crate::wire::msg::{Ask, Forward, Forwarded, Reason, Refused, Run, Tell};
+use crate::wire::msg::{
+    Executed, ForwardedRequest, ForwardedResponse, PeerRequest, PeerResponse, Reason, RequestError,
+};
 use std::collections::BTreeSet;
 
 /// Callers come again after this long when no site can be reached.
@@ -52,7 +54,10 @@
 ///
 /// # Errors
 /// If none can, or the one chosen could not answer.
-pub async fn apply(entry: &Entry, classified: &Classified) -> Result<Option<Forwarded>, Refused> {
+pub async fn apply(
+    entry: &Entry,
+    classified: &Classified,
+) -> Result<Option<ForwardedResponse>, RequestError> {
     let seed = hash(&[classified.exchange.id.as_bytes()]);
     let others = entry.other_domains();
     match choose(&classified.row, &entry.settings.domain, &others, seed) {
@@ -67,25 +72,26 @@
     classified: &Classified,
     domain: &str,
     seed: u64,
-) -> Result<Forwarded, Refused> {
+) -> Result<ForwardedResponse, RequestError> {
     let nowhere = || not_run(Reason::NoSite, Some(NO_SITE_RETRY));
     let (name, addr) = entry.entry_of(domain, seed).ok_or_else(nowhere)?;
-    let left = classified.due.since(entry.now());
+    let remaining = classified.due.since(entry.now());
     let exchange = &classified.exchange;
-    let forward = Forward {
+    let forward = ForwardedRequest {
         id: exchange.id.clone(),
         kind: exchange.kind.clone(),
         team: classified.row.team.clone(),
         key: exchange.key.clone(),
-        repeat: exchange.repeat,
-        left,
+        may_repeat: exchange.may_repeat,
+        remaining,
         headers: exchange.headers.clone(),
         body: exchange.body.to_vec(),
     };
-    match entry.quic.ask(&name, addr, Ask::Forward(Box::new(forward)), left).await {
-        Ok(Tell::Forwarded(Forwarded::Refused(refused))) => Err(refused),
-        Ok(Tell::Forwarded(whole)) => Ok(whole),
+    match entry.quic.request(&name, addr, PeerRequest::Forward(Box::new(forward)), remaining).await
+    {
+        Ok(PeerResponse::Forwarded(ForwardedResponse::Refused(refused))) => Err(refused),
+        Ok(PeerResponse::Forwarded(whole)) => Ok(whole),
         Err(err) if err.is_unsent() => Err(nowhere()),
-        _ => Err(Refused { reason: Reason::Timeout, run: Run::Unknown, after: None }),
+        _ => Err(RequestError { reason: Reason::Timeout, run: Executed::Unknown, after: None }),
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::id::Name;
 use crate::table::is_name;
-use crate::wire::msg::{NEWEST, OLDEST};
+use crate::wire::msg::{NEWEST_VERSION, OLDEST_VERSION};
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
@@ -129,7 +129,7 @@
     ),
     field(
         "wire_version",
-        ValueKind::Count(OLDEST as u64, NEWEST as u64),
+        ValueKind::Count(OLDEST_VERSION as u64, NEWEST_VERSION as u64),
         Some("2"),
         "Newest version of messages between entries; two entries use the newest both know.",
     ),
--- a/src/wire/keys.rs
+++ b/src/wire/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::id::Name;
 use crate::settings::Keys;
-use crate::wire::msg::OLDEST;
+use crate::wire::msg::OLDEST_VERSION;
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use rcgen::{
     BasicConstraints, Certificate, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa,
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 /// The protocol's name in the handshake, before the version.
-const PROTOCOL: &str = "sprucerudder/";
+const ALPN_PREFIX: &str = "sprucerudder/";
 
 /// Keys that cannot be made or used.
 #[derive(Debug, Error)]
@@ -34,7 +34,7 @@
 /// A certificate authority.
 pub struct Authority {
     cert: Certificate,
-    pair: KeyPair,
+    key_pair: KeyPair,
     pem: String,
 }
 
@@ -44,14 +44,14 @@
     /// # Errors
     /// If keys cannot be made.
     pub fn new(cell: &str) -> Result<Self, KeyError> {
-        let pair = KeyPair::generate()?;
+        let key_pair = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
         params.distinguished_name.push(DnType::CommonName, cell);
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign];
-        let cert = params.self_signed(&pair)?;
+        let cert = params.self_signed(&key_pair)?;
         let pem = cert.pem();
-        Ok(Self { cert, pair, pem })
+        Ok(Self { cert, key_pair, pem })
     }
 
     /// An authority made earlier, from its certificate and private key.
@@ -59,9 +59,9 @@
     /// # Errors
     /// If the texts are not a certificate and its key.
     pub fn load(pem: &str, secret: &str) -> Result<Self, KeyError> {
-        let pair = KeyPair::from_pem(secret)?;
-        let cert = CertificateParams::from_ca_cert_pem(pem)?.self_signed(&pair)?;
-        Ok(Self { cert, pair, pem: pem.to_string() })
+        let key_pair = KeyPair::from_pem(secret)?;
+        let cert = CertificateParams::from_ca_cert_pem(pem)?.self_signed(&key_pair)?;
+        Ok(Self { cert, key_pair, pem: pem.to_string() })
     }
 
     /// The certificate, as PEM.
@@ -70,8 +70,8 @@
     }
 
     /// The private key, as PEM: whoever has it can make entries of the cell.
-    pub fn secret(&self) -> String {
-        self.pair.serialize_pem()
+    pub fn private_key(&self) -> String {
+        self.key_pair.serialize_pem()
     }
 
     /// Keys for the entry `name`.
@@ -79,32 +79,32 @@
     /// # Errors
     /// If keys cannot be made.
     pub fn issue(&self, name: &str) -> Result<Keys, KeyError> {
-        let pair = KeyPair::generate()?;
+        let key_pair = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![name.to_string()])?;
         params.distinguished_name.push(DnType::CommonName, name);
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
-        let cert = params.signed_by(&pair, &self.cert, &self.pair)?;
+        let cert = params.signed_by(&key_pair, &self.cert, &self.key_pair)?;
         Ok(Keys {
             authority: self.pem.as_str().into(),
             certificate: cert.pem().into(),
-            secret: pair.serialize_pem().into(),
+            secret: key_pair.serialize_pem().into(),
         })
     }
 }
 
-/// The names of all versions up to `newest` for the handshake, best first.
-fn protocols(newest: u8) -> Vec<Vec<u8>> {
-    let versions = (OLDEST..=newest).rev();
-    versions.map(|version| format!("{PROTOCOL}{version}").into_bytes()).collect()
+/// The names of all versions up to `newest_version` for the handshake, best first.
+fn alpn_protocols(newest_version: u8) -> Vec<Vec<u8>> {
+    let versions = (OLDEST_VERSION..=newest_version).rev();
+    versions.map(|version| format!("{ALPN_PREFIX}{version}").into_bytes()).collect()
 }
 
 /// The version that a handshake agreed on.
-pub fn version(protocol: &[u8]) -> Option<u8> {
-    std::str::from_utf8(protocol).ok()?.strip_prefix(PROTOCOL)?.parse().ok()
+pub fn version_from_alpn(protocol: &[u8]) -> Option<u8> {
+    std::str::from_utf8(protocol).ok()?.strip_prefix(ALPN_PREFIX)?.parse().ok()
 }
 
-fn certs(pem: &Name) -> Result<Vec<CertificateDer<'static>>, KeyError> {
+fn parse_certificates(pem: &Name) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let found: Result<Vec<_>, _> = rustls_pemfile::certs(&mut pem.as_bytes()).collect();
     match found {
         Ok(list) if !list.is_empty() => Ok(list),
@@ -113,7 +113,7 @@
     }
 }
 
-fn secret(pem: &Name) -> Result<PrivateKeyDer<'static>, KeyError> {
+fn parse_private_key(pem: &Name) -> Result<PrivateKeyDer<'static>, KeyError> {
     match rustls_pemfile::private_key(&mut pem.as_bytes()) {
         Ok(Some(key)) => Ok(key),
         Ok(None) => Err(KeyError::Pem("no private key".into())),
@@ -121,51 +121,54 @@
     }
 }
 
-fn roots(keys: &Keys) -> Result<Arc<RootCertStore>, KeyError> {
+fn root_store(keys: &Keys) -> Result<Arc<RootCertStore>, KeyError> {
     let mut store = RootCertStore::empty();
-    for cert in certs(&keys.authority)? {
-        store.add(cert).map_err(used)?;
+    for cert in parse_certificates(&keys.authority)? {
+        store.add(cert).map_err(use_error)?;
     }
     Ok(Arc::new(store))
 }
 
-fn used(err: impl std::fmt::Display) -> KeyError {
+fn use_error(err: impl std::fmt::Display) -> KeyError {
     KeyError::Use(err.to_string())
 }
 
 /// The server's side: only clients with a certificate of the cell are let in. Versions of messages
-/// up to `newest` are spoken.
+/// up to `newest_version` are spoken.
 ///
 /// # Errors
 /// If the keys cannot be used.
-pub fn server(keys: &Keys, newest: u8) -> Result<QuicServerConfig, KeyError> {
+pub fn server_config(keys: &Keys, newest_version: u8) -> Result<QuicServerConfig, KeyError> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let roots = roots(keys)?;
+    let roots = root_store(keys)?;
     let builder = WebPkiClientVerifier::builder_with_provider(roots, provider.clone());
-    let verifier = builder.build().map_err(used)?;
+    let verifier = builder.build().map_err(use_error)?;
     let mut config = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(used)?
+        .map_err(use_error)?
         .with_client_cert_verifier(verifier)
-        .with_single_cert(certs(&keys.certificate)?, secret(&keys.secret)?)
-        .map_err(used)?;
-    config.alpn_protocols = protocols(newest);
-    QuicServerConfig::try_from(config).map_err(used)
+        .with_single_cert(parse_certificates(&keys.certificate)?, parse_private_key(&keys.secret)?)
+        .map_err(use_error)?;
+    config.alpn_protocols = alpn_protocols(newest_version);
+    QuicServerConfig::try_from(config).map_err(use_error)
 }
 
 /// The client's side: only servers with a certificate of the cell for their name are used. Versions
-/// of messages up to `newest` are spoken.
+/// of messages up to `newest_version` are spoken.
 ///
 /// # Errors
 /// If the keys cannot be used.
-pub fn client(keys: &Keys, newest: u8) -> Result<QuicClientConfig, KeyError> {
+pub fn client_config(keys: &Keys, newest_version: u8) -> Result<QuicClientConfig, KeyError> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut config = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(used)?
-        .with_root_certificates(roots(keys)?)
-        .with_client_auth_cert(certs(&keys.certificate)?, secret(&keys.secret)?)
-        .map_err(used)?;
-    config.alpn_protocols = protocols(newest);
-    QuicClientConfig::try_from(config).map_err(used)
+        .map_err(use_error)?
+        .with_root_certificates(root_store(keys)?)
+        .with_client_auth_cert(
+            parse_certificates(&keys.certificate)?,
+            parse_private_key(&keys.secret)?,
+        )
+        .map_err(use_error)?;
+    config.alpn_protocols = alpn_protocols(newest_version);
+    QuicClientConfig::try_from(config).map_err(use_error)
 }
--- a/src/wire/msg.rs
+++ b/src/wire/msg.rs
@@ -1,7 +1,7 @@
 //! The messages between entries, encoded by postcard behind one byte with their version.
 //!
 //! Two entries use the highest version that both speak; the handshake agrees on it. A version only
-//! ever adds variants at the end of [`Ask`] and [`Tell`]: what earlier versions have keeps its bytes.
+//! ever adds variants at the end of [`PeerRequest`] and [`PeerResponse`]: what earlier versions have keeps its bytes.
 //! Version 2 added heartbeats with only what changed, parts of limits, and hand-overs.
 
 use crate::clock::Millis;
@@ -22,11 +22,11 @@
 use thiserror::Error;
 
 /// The oldest version of the messages that is still spoken.
-pub const OLDEST: u8 = 1;
+pub const OLDEST_VERSION: u8 = 1;
 /// The newest version of the messages.
-pub const NEWEST: u8 = 2;
-/// The first version with [`Ask::Delta`], [`Ask::Parts`] and [`Ask::HandOver`].
-pub const V2: u8 = 2;
+pub const NEWEST_VERSION: u8 = 2;
+/// The first version with [`PeerRequest::DeltaHeartbeat`], [`PeerRequest::LendQuota`] and [`PeerRequest::HandOver`].
+pub const VERSION_2: u8 = 2;
 
 /// A message with its sender's clock.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -39,9 +39,9 @@
 
 /// A question to another entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// I live.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Hold this for a shard.
     Update { shard: Name, update: Update },
     /// Refuse earlier epochs of a shard and say what you hold.
@@ -49,19 +49,19 @@
     /// I give up a shard that I own in this epoch: claim it.
     Release { shard: Name, epoch: u64 },
     /// Something for the owner of a shard.
-    Owner { shard: Name, ask: OwnerAsk },
+    Owner { shard: Name, request: OwnerRequest },
     /// Lend me slots of a shard's runners.
-    Slots { shard: Name, entry: Name, uses: Vec<SlotUse>, waiting: u32 },
+    LendSlots { shard: Name, entry: Name, uses: Vec<SlotUse>, waiting: u32 },
     /// What table is in force?
     Table,
     /// What VM list do you have?
-    List,
+    VmList,
     /// Serve this request in your failure domain.
-    Forward(Box<Forward>),
+    Forward(Box<ForwardedRequest>),
     /// I live; of the shards only what changed. Since version 2.
-    Delta(DeltaBeat),
+    DeltaHeartbeat(DeltaHeartbeat),
     /// Lend a shard parts of the limits that this shard is home to. Since version 2.
-    Parts { home: Name, question: Question },
+    LendQuota { home: Name, question: Question },
     /// I gave up a shard that I owned in this epoch: you, and nobody else, go on from this state.
     /// Since version 2.
     HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: State },
@@ -69,28 +69,28 @@
 
 /// A question to the owner of a shard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum OwnerAsk {
+pub enum OwnerRequest {
     /// Accept a job.
     Submit { job: JobId, spec: JobSpec },
     /// Withdraw a job.
     Cancel { job: JobId },
     /// Take an idempotency key.
-    Key { key: Name, holder: Name },
+    TakeKey { key: Name, holder: Name },
     /// Give a key back: surely nothing was run under it.
     FreeKey { key: Name, holder: Name },
     /// The state of a job.
-    Status { job: JobId },
+    JobStatus { job: JobId },
     /// The jobs of one team, or of all.
-    Jobs { team: Option<Name> },
+    ListJobs { team: Option<Name> },
     /// The state of the shard.
-    State,
+    ShardStatus,
 }
 
 /// An answer from another entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Tell {
+pub enum PeerResponse {
     /// I live too.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// The last note that this run of an entry holds.
     Updated { by: EntryId, result: Result<u64, ReplicaError> },
     /// What this run of an entry holds.
@@ -102,30 +102,30 @@
     /// I own that shard, but the answer is not certain yet.
     Pending,
     /// The owner's answer.
-    Answer(Answer),
+    OwnerAnswer(Answer),
     /// A job's state.
-    Status(Option<JobStatus>),
+    JobStatus(Option<JobStatus>),
     /// Jobs.
     Jobs(Vec<JobStatus>),
     /// A shard's state.
-    Shard(ShardStatus),
+    ShardStatus(ShardStatus),
     /// Slots of each runner.
-    Slots(Vec<(Name, u32)>),
+    LentSlots(Vec<(Name, u32)>),
     /// The table in force.
     Table(Option<Revision>),
     /// The VM list.
-    List(VmList),
+    VmList(VmList),
     /// The request's answer.
-    Forwarded(Forwarded),
+    Forwarded(ForwardedResponse),
     /// I live too; of the shards only what changed. Since version 2.
-    Delta(DeltaBeat),
+    DeltaHeartbeat(DeltaHeartbeat),
     /// Parts of limits. Since version 2.
-    Parts(Vec<(Limit, u64)>),
+    LentQuota(Vec<(Limit, u64)>),
 }
 
 /// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub from: EntryId,
     /// Its failure domain.
@@ -133,35 +133,35 @@
     /// Its address for other entries.
     pub addr: SocketAddr,
     /// Whether it is stopping.
-    pub leaving: bool,
+    pub is_stopping: bool,
     /// The revision of its table.
-    pub rev: u64,
+    pub table_rev: u64,
     /// The version of its VM list.
-    pub list: u64,
+    pub list_rev: u64,
     /// The shards of its failure domain.
-    pub shards: Vec<ShardBeat>,
+    pub shards: Vec<ShardHeartbeat>,
 }
 
 /// A heartbeat with only the shards that changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DeltaBeat {
+pub struct DeltaHeartbeat {
     /// The heartbeat, without shards.
-    pub beat: Beat,
+    pub heartbeat: Heartbeat,
     /// The shards that changed.
     pub delta: Delta,
 }
 
 /// One shard in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ShardBeat {
+pub struct ShardHeartbeat {
     /// The shard.
     pub shard: Name,
     /// The newest epoch that the sender knows.
     pub epoch: u64,
     /// Whether the sender owns it in that epoch.
-    pub owner: bool,
+    pub is_owner: bool,
     /// Whether a start that the sender sent may still arrive.
-    pub flying: bool,
+    pub start_pending: bool,
     /// What the owner could take, from the owner only.
     pub room: Option<Room>,
 }
@@ -180,14 +180,14 @@
     /// Workers: what they have and what is set aside.
     pub workers: Vec<(Name, Size, Size)>,
     /// Workers set aside because they fail their tasks.
-    pub aside: Vec<Name>,
+    pub set_aside: Vec<Name>,
     /// Tasks by kind.
     pub loads: Vec<(Name, Load)>,
 }
 
 /// A request on its way to another failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its id.
     pub id: Name,
     /// The kind of work.
@@ -197,9 +197,9 @@
     /// Its idempotency key.
     pub key: Option<Name>,
     /// Whether its caller allows that it is run again.
-    pub repeat: bool,
+    pub may_repeat: bool,
     /// How long its answer may take from now on.
-    pub left: Millis,
+    pub remaining: Millis,
     /// Headers that go to the runner.
     pub headers: Vec<(String, Vec<u8>)>,
     /// The body.
@@ -208,28 +208,28 @@
 
 /// The answer to a forwarded request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Forwarded {
+pub enum ForwardedResponse {
     /// The runner's whole answer.
-    Whole {
+    Complete {
         /// Its status.
         status: u16,
         /// Its content type.
-        content: Option<String>,
+        content_type: Option<String>,
         /// Its body.
         body: Vec<u8>,
     },
     /// It was given up.
-    Refused(Refused),
+    Refused(RequestError),
 }
 
 /// Why a request got no answer from a runner.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{reason:?}, run: {run:?}")]
-pub struct Refused {
+pub struct RequestError {
     /// Why.
     pub reason: Reason,
     /// Whether any of it may have run.
-    pub run: Run,
+    pub run: Executed,
     /// When to come again, if that helps.
     pub after: Option<Millis>,
 }
@@ -237,7 +237,7 @@
 /// Whether a request that failed was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Run {
+pub enum Executed {
     /// Surely not.
     No,
     /// Perhaps.
--- a/src/wire/quic.rs
+++ b/src/wire/quic.rs
@@ -5,7 +5,7 @@
 use crate::settings::Keys;
 use crate::trace::{EventKind, Trace};
 use crate::wire::keys::{self, KeyError};
-use crate::wire::msg::{Ask, CodecError, Envelope, Tell, decode, encode};
+use crate::wire::msg::{CodecError, Envelope, PeerRequest, PeerResponse, decode, encode};
 use quinn::crypto::rustls::HandshakeData;
 use quinn::{
     ClientConfig, Connection, Endpoint, IdleTimeout, ServerConfig, TransportConfig, VarInt,
@@ -19,11 +19,11 @@
 use thiserror::Error;
 
 /// The largest message, in bytes: a whole shard's state at the first contact of an epoch.
-const MAX_MESSAGE: usize = 64 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 /// A connection without traffic is closed after this long.
-const IDLE: u32 = 10_000;
+const IDLE_TIMEOUT_MS: u32 = 10_000;
 /// Exchanges at once on one connection.
-const MAX_STREAMS: u32 = 4_096;
+const MAX_CONCURRENT_STREAMS: u32 = 4_096;
 
 /// Why an exchange with another entry failed.
 #[derive(Debug, Error)]
@@ -39,7 +39,7 @@
     Timeout(Name),
     /// The peer's version has no such question: nothing was sent.
     #[error("{0} is too old")]
-    TooOld(Name),
+    PeerTooOld(Name),
     /// A message cannot be read.
     #[error(transparent)]
     Codec(#[from] CodecError),
@@ -54,7 +54,7 @@
 impl WireError {
     /// Whether surely nothing reached the other entry.
     pub fn is_unsent(&self) -> bool {
-        matches!(self, Self::Connect(_) | Self::TooOld(_))
+        matches!(self, Self::Connect(_) | Self::PeerTooOld(_))
     }
 }
 
@@ -62,22 +62,22 @@
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Questions sent.
-    pub asks: AtomicU64,
+    pub requests: AtomicU64,
     /// Bytes sent and received in messages.
     pub bytes: AtomicU64,
 }
 
 /// This entry's end of all connections.
 #[derive(Debug)]
-pub struct Quic {
+pub struct QuicTransport {
     endpoint: Endpoint,
-    open: Mutex<HashMap<(Name, SocketAddr), Connection>>,
+    connections: Mutex<HashMap<(Name, SocketAddr), Connection>>,
     trace: Arc<Trace>,
     /// What passed.
     pub traffic: Traffic,
 }
 
-impl Quic {
+impl QuicTransport {
     /// Binds `addr` with these keys; speaks versions of messages up to `newest`.
     ///
     /// # Errors
@@ -89,17 +89,17 @@
         trace: Arc<Trace>,
     ) -> Result<Arc<Self>, WireError> {
         let mut transport = TransportConfig::default();
-        transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE))));
-        transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
+        transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))));
+        transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_CONCURRENT_STREAMS));
         let transport = Arc::new(transport);
-        let mut server = ServerConfig::with_crypto(Arc::new(keys::server(keys, newest)?));
+        let mut server = ServerConfig::with_crypto(Arc::new(keys::server_config(keys, newest)?));
         server.transport_config(transport.clone());
-        let mut client = ClientConfig::new(Arc::new(keys::client(keys, newest)?));
+        let mut client = ClientConfig::new(Arc::new(keys::client_config(keys, newest)?));
         client.transport_config(transport);
         let mut endpoint = Endpoint::server(server, addr)?;
         endpoint.set_default_client_config(client);
-        let (open, traffic) = (Mutex::default(), Traffic::default());
-        Ok(Arc::new(Self { endpoint, open, trace, traffic }))
+        let (connections, traffic) = (Mutex::default(), Traffic::default());
+        Ok(Arc::new(Self { endpoint, connections, trace, traffic }))
     }
 
     /// The address that it is bound to.
@@ -114,31 +114,31 @@
     ///
     /// # Errors
     /// [`WireError::Connect`] only if nothing was sent.
-    pub async fn ask(
+    pub async fn request(
         &self,
         name: &Name,
         addr: SocketAddr,
-        ask: Ask,
+        request: PeerRequest,
         limit: Millis,
-    ) -> Result<Tell, WireError> {
-        let exchange = self.exchange(name, addr, |_| Some(ask));
-        self.within(name, addr, limit, exchange).await
+    ) -> Result<PeerResponse, WireError> {
+        let exchange = self.exchange(name, addr, |_| Some(request));
+        self.with_timeout(name, addr, limit, exchange).await
     }
 
-    /// As [`Quic::ask`], with a question that depends on the version that the peer speaks; `None`
+    /// As [`QuicTransport::request`], with a question that depends on the version that the peer speaks; `None`
     /// if that version has no such question.
     ///
     /// # Errors
-    /// As [`Quic::ask`], and [`WireError::TooOld`].
-    pub async fn ask_by_version(
+    /// As [`QuicTransport::request`], and [`WireError::PeerTooOld`].
+    pub async fn request_by_version(
         &self,
         name: &Name,
         addr: SocketAddr,
-        ask: impl FnOnce(u8) -> Option<Ask>,
+        request: impl FnOnce(u8) -> Option<PeerRequest>,
         limit: Millis,
-    ) -> Result<Tell, WireError> {
-        let exchange = self.exchange(name, addr, ask);
-        self.within(name, addr, limit, exchange).await
+    ) -> Result<PeerResponse, WireError> {
+        let exchange = self.exchange(name, addr, request);
+        self.with_timeout(name, addr, limit, exchange).await
     }
 
     /// The version of messages that a peer and this entry speak.
@@ -153,16 +153,16 @@
     ) -> Result<u8, WireError> {
         let connecting = tokio::time::timeout(limit.duration(), self.connect(name, addr));
         let connection = connecting.await.map_err(|_| WireError::Connect(name.clone()))??;
-        agreed(&connection).ok_or_else(|| WireError::Connect(name.clone()))
+        negotiated_version(&connection).ok_or_else(|| WireError::Connect(name.clone()))
     }
 
-    async fn within(
+    async fn with_timeout(
         &self,
         name: &Name,
         addr: SocketAddr,
         limit: Millis,
-        exchange: impl Future<Output = Result<Tell, WireError>>,
-    ) -> Result<Tell, WireError> {
+        exchange: impl Future<Output = Result<PeerResponse, WireError>>,
+    ) -> Result<PeerResponse, WireError> {
         match tokio::time::timeout(limit.duration(), exchange).await {
             Ok(result) => result,
             Err(_) => {
@@ -172,8 +172,8 @@
         }
     }
 
-    fn count(&self, bytes: usize) {
-        self.traffic.asks.fetch_add(1, Ordering::Relaxed);
+    fn count_exchange(&self, bytes: usize) {
+        self.traffic.requests.fetch_add(1, Ordering::Relaxed);
         self.traffic.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
@@ -181,21 +181,22 @@
         &self,
         name: &Name,
         addr: SocketAddr,
-        ask: impl FnOnce(u8) -> Option<Ask>,
-    ) -> Result<Tell, WireError> {
+        request: impl FnOnce(u8) -> Option<PeerRequest>,
+    ) -> Result<PeerResponse, WireError> {
         let connection = self.connect(name, addr).await?;
-        let version = agreed(&connection).ok_or_else(|| WireError::Connect(name.clone()))?;
-        let body = ask(version).ok_or_else(|| WireError::TooOld(name.clone()))?;
+        let version =
+            negotiated_version(&connection).ok_or_else(|| WireError::Connect(name.clone()))?;
+        let body = request(version).ok_or_else(|| WireError::PeerTooOld(name.clone()))?;
         let message = encode(version, &Envelope { stamp: self.trace.stamp(), body })?;
-        let bytes = self.swap(name, addr, &connection, &message).await?;
-        self.count(message.len() + bytes.len());
-        let envelope: Envelope<Tell> = decode(version, &bytes)?;
+        let bytes = self.send_and_receive(name, addr, &connection, &message).await?;
+        self.count_exchange(message.len() + bytes.len());
+        let envelope: Envelope<PeerResponse> = decode(version, &bytes)?;
         self.trace.observe(envelope.stamp);
         Ok(envelope.body)
     }
 
     /// Sends a message and reads the answer.
-    async fn swap(
+    async fn send_and_receive(
         &self,
         name: &Name,
         addr: SocketAddr,
@@ -212,68 +213,70 @@
         })?;
         send.write_all(message).await.map_err(|_| broken())?;
         send.finish().map_err(|_| broken())?;
-        recv.read_to_end(MAX_MESSAGE).await.map_err(|_| broken())
+        recv.read_to_end(MAX_MESSAGE_BYTES).await.map_err(|_| broken())
     }
 
-    fn connections(&self) -> std::sync::MutexGuard<'_, HashMap<(Name, SocketAddr), Connection>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_connections(
+        &self,
+    ) -> std::sync::MutexGuard<'_, HashMap<(Name, SocketAddr), Connection>> {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn drop_connection(&self, name: &Name, addr: SocketAddr) {
-        self.connections().remove(&(name.clone(), addr));
+        self.lock_connections().remove(&(name.clone(), addr));
     }
 
     async fn connect(&self, name: &Name, addr: SocketAddr) -> Result<Connection, WireError> {
         let key = (name.clone(), addr);
-        let known = self.connections().get(&key).cloned();
+        let known = self.lock_connections().get(&key).cloned();
         if let Some(connection) = known.filter(|known| known.close_reason().is_none()) {
             return Ok(connection);
         }
         let failed = || WireError::Connect(name.clone());
         let connecting = self.endpoint.connect(addr, name).map_err(|_| failed())?;
         let connection = connecting.await.map_err(|_| failed())?;
-        self.connections().insert(key, connection.clone());
-        if let Some(version) = agreed(&connection) {
+        self.lock_connections().insert(key, connection.clone());
+        if let Some(version) = negotiated_version(&connection) {
             self.trace.record(EventKind::PeerConnected { peer: name.clone(), version });
         }
         Ok(connection)
     }
 
     /// Answers other entries until the endpoint is closed.
-    pub async fn serve<F, A>(self: Arc<Self>, answer: F)
+    pub async fn serve<F, R>(self: Arc<Self>, handler: F)
     where
-        F: Fn(Ask) -> A + Clone + Send + Sync + 'static,
-        A: Future<Output = Tell> + Send + 'static,
+        F: Fn(PeerRequest) -> R + Clone + Send + Sync + 'static,
+        R: Future<Output = PeerResponse> + Send + 'static,
     {
         while let Some(incoming) = self.endpoint.accept().await {
-            let (quic, answer) = (self.clone(), answer.clone());
+            let (quic, handler) = (self.clone(), handler.clone());
             tokio::spawn(async move {
                 if let Ok(connection) = incoming.await {
-                    quic.serve_connection(connection, answer).await;
+                    quic.serve_connection(connection, handler).await;
                 }
             });
         }
     }
 
-    async fn serve_connection<F, A>(self: Arc<Self>, connection: Connection, answer: F)
+    async fn serve_connection<F, R>(self: Arc<Self>, connection: Connection, handler: F)
     where
-        F: Fn(Ask) -> A + Clone + Send + Sync + 'static,
-        A: Future<Output = Tell> + Send + 'static,
+        F: Fn(PeerRequest) -> R + Clone + Send + Sync + 'static,
+        R: Future<Output = PeerResponse> + Send + 'static,
     {
-        let Some(version) = agreed(&connection) else { return };
+        let Some(version) = negotiated_version(&connection) else { return };
         while let Ok((mut send, mut recv)) = connection.accept_bi().await {
-            let (quic, answer) = (self.clone(), answer.clone());
+            let (quic, handler) = (self.clone(), handler.clone());
             tokio::spawn(async move {
-                let Ok(bytes) = recv.read_to_end(MAX_MESSAGE).await else { return };
-                let envelope: Envelope<Ask> = match decode(version, &bytes) {
+                let Ok(bytes) = recv.read_to_end(MAX_MESSAGE_BYTES).await else { return };
+                let envelope: Envelope<PeerRequest> = match decode(version, &bytes) {
                     Ok(envelope) => envelope,
                     Err(err) => return log::warn!("event=message-refused error={err:?}"),
                 };
                 quic.trace.observe(envelope.stamp);
-                let body = answer(envelope.body).await;
+                let body = handler(envelope.body).await;
                 let reply = encode(version, &Envelope { stamp: quic.trace.stamp(), body });
                 let Ok(reply) = reply else { return };
-                quic.count(bytes.len() + reply.len());
+                quic.count_exchange(bytes.len() + reply.len());
                 if send.write_all(&reply).await.is_ok() {
                     let _ = send.finish();
                 }
@@ -289,7 +292,7 @@
 }
 
 /// The version of messages that both sides of a connection agreed on.
-fn agreed(connection: &Connection) -> Option<u8> {
+fn negotiated_version(connection: &Connection) -> Option<u8> {
     let data = connection.handshake_data()?.downcast::<HandshakeData>().ok()?;
-    keys::version(&data.protocol?)
+    keys::version_from_alpn(&data.protocol?)
 }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -6,7 +6,7 @@
 use proptest::test_runner::RngSeed;
 use sprucerudder::controller::gossip::{Delta, Inbox, Outbox, Taken};
 use sprucerudder::id::{EntryId, Name};
-use sprucerudder::wire::msg::ShardBeat;
+use sprucerudder::wire::msg::ShardHeartbeat;
 use std::collections::BTreeMap;
 
 const SHARDS: usize = 3;
@@ -43,9 +43,9 @@
     EntryId { name: name.into(), incarnation }
 }
 
-fn beat(shard: usize, epoch: u64) -> ShardBeat {
+fn beat(shard: usize, epoch: u64) -> ShardHeartbeat {
     let shard: Name = format!("rack{shard}").into();
-    ShardBeat { shard, epoch, owner: false, flying: false, room: None }
+    ShardHeartbeat { shard, epoch, is_owner: false, start_pending: false, room: None }
 }
 
 /// One direction: a sender, a receiver, and all that was ever under way.
@@ -57,7 +57,7 @@
     sent: Vec<Delta>,
     answers: Vec<(EntryId, u64)>,
     /// The sender's state by number.
-    past: BTreeMap<u64, Vec<ShardBeat>>,
+    past: BTreeMap<u64, Vec<ShardHeartbeat>>,
 }
 
 impl Pair {
@@ -73,7 +73,7 @@
         }
     }
 
-    fn state(&self) -> Vec<ShardBeat> {
+    fn state(&self) -> Vec<ShardHeartbeat> {
         (0..SHARDS).map(|shard| beat(shard, self.now[shard])).collect()
     }
 
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -10,7 +10,8 @@
 use sprucerudder::table::Table;
 use sprucerudder::trace::{Event, EventKind, Stamp};
 use sprucerudder::wire::msg::{
-    Ask, Beat, CodecError, Envelope, NEWEST, OLDEST, ShardBeat, Tell, decode, encode,
+    CodecError, Envelope, Heartbeat, NEWEST_VERSION, OLDEST_VERSION, PeerRequest, PeerResponse,
+    ShardHeartbeat, decode, encode,
 };
 
 const HEAD: &str =
@@ -157,12 +158,12 @@
 
 #[test]
 fn messages_of_another_version_are_refused_by_name() {
-    let envelope = Envelope { stamp: Stamp(1), body: Ask::Table };
-    let bytes = encode(NEWEST, &envelope).expect("bytes");
-    assert_eq!(decode::<Ask>(NEWEST, &bytes).expect("message"), envelope);
-    let older = decode::<Ask>(OLDEST, &bytes);
-    assert!(matches!(older, Err(CodecError::Version(NEWEST, OLDEST))), "{older:?}");
-    assert!(matches!(decode::<Ask>(NEWEST, &[]), Err(CodecError::Empty)));
+    let envelope = Envelope { stamp: Stamp(1), body: PeerRequest::Table };
+    let bytes = encode(NEWEST_VERSION, &envelope).expect("bytes");
+    assert_eq!(decode::<PeerRequest>(NEWEST_VERSION, &bytes).expect("message"), envelope);
+    let older = decode::<PeerRequest>(OLDEST_VERSION, &bytes);
+    assert!(matches!(older, Err(CodecError::Version(NEWEST_VERSION, OLDEST_VERSION))), "{older:?}");
+    assert!(matches!(decode::<PeerRequest>(NEWEST_VERSION, &[]), Err(CodecError::Empty)));
 }
 
 /// The bytes of version 1 as entries of that version write them: they must never change.
@@ -170,38 +171,46 @@
 fn version_1_keeps_its_bytes() {
     let from = EntryId { name: "e1".into(), incarnation: 300 };
     let room = Room { urgent: 9, backlog: 5, ..Room::default() };
-    let shard =
-        ShardBeat { shard: "r".into(), epoch: 2, owner: true, flying: false, room: Some(room) };
-    let beat = Beat {
+    let shard = ShardHeartbeat {
+        shard: "r".into(),
+        epoch: 2,
+        is_owner: true,
+        start_pending: false,
+        room: Some(room),
+    };
+    let beat = Heartbeat {
         from,
         domain: "d".into(),
         addr: "10.0.0.1:80".parse().expect("addr"),
-        leaving: false,
-        rev: 7,
-        list: 1,
+        is_stopping: false,
+        table_rev: 7,
+        list_rev: 1,
         shards: vec![shard],
     };
     let uses = vec![SlotUse { runner: "x".into(), held: 2, used: 1 }];
     let asks = [
         (
-            Ask::Beat(beat),
+            PeerRequest::Heartbeat(beat),
             "010500026531ac020164000a0000015000070101017202010001000000000000000000\
              0509",
         ),
-        (Ask::Seal { shard: "r".into(), epoch: 3 }, "010502017203"),
+        (PeerRequest::Seal { shard: "r".into(), epoch: 3 }, "010502017203"),
         (
-            Ask::Slots { shard: "r".into(), entry: "e".into(), uses, waiting: 4 },
+            PeerRequest::LendSlots { shard: "r".into(), entry: "e".into(), uses, waiting: 4 },
             "01050501720165010178020104",
         ),
-        (Ask::List, "010507"),
+        (PeerRequest::VmList, "010507"),
     ];
     for (ask, want) in asks {
         let bytes = encode(1, &Envelope { stamp: Stamp(5), body: ask.clone() }).expect("bytes");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         assert_eq!(hex, want, "{ask:?}");
     }
-    let tells =
-        [(Tell::Done, "010503"), (Tell::NotOwner, "010504"), (Tell::Table(None), "01050b00")];
+    let tells = [
+        (PeerResponse::Done, "010503"),
+        (PeerResponse::NotOwner, "010504"),
+        (PeerResponse::Table(None), "01050b00"),
+    ];
     for (tell, want) in tells {
         let bytes = encode(1, &Envelope { stamp: Stamp(5), body: tell.clone() }).expect("bytes");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -238,7 +247,7 @@
 
     #[test]
     fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = decode::<Ask>(NEWEST, &bytes);
+        let _ = decode::<PeerRequest>(NEWEST_VERSION, &bytes);
     }
 
     #[test]
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -11,7 +11,7 @@
 use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::size::Size;
 use sprucerudder::trace::Stamp;
-use sprucerudder::wire::msg::{Ask, Envelope, NEWEST, ShardBeat, encode};
+use sprucerudder::wire::msg::{Envelope, NEWEST_VERSION, PeerRequest, ShardHeartbeat, encode};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
@@ -126,8 +126,10 @@
     assert!(large * 10 <= small * 12, "{small} and {large} allocations a shard");
 }
 
-fn bytes(ask: Ask) -> usize {
-    encode(NEWEST, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask }).expect("bytes").len()
+fn bytes(ask: PeerRequest) -> usize {
+    encode(NEWEST_VERSION, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask })
+        .expect("bytes")
+        .len()
 }
 
 #[test]
@@ -146,17 +148,17 @@
     let notes: Vec<StateChange> = (0..100).map(bind).collect();
     let update =
         sprucerudder::controller::replica::Update { epoch: 9, base: None, first: 1, notes };
-    let size = bytes(Ask::Update { shard: "nasr-hall-rack-12".into(), update });
+    let size = bytes(PeerRequest::Update { shard: "nasr-hall-rack-12".into(), update });
     assert!(size <= BINDINGS, "{size} bytes for 100 bindings");
 }
 
 #[test]
 fn heartbeats_grow_with_what_changed_only() {
-    let shard = |index: u32, epoch| ShardBeat {
+    let shard = |index: u32, epoch| ShardHeartbeat {
         shard: format!("nasr-hall-rack-{index}").into(),
         epoch,
-        owner: false,
-        flying: false,
+        is_owner: false,
+        start_pending: false,
         room: None,
     };
     let me = EntryId { name: "a".into(), incarnation: 1 };
