--- a/src/platform/front.rs
+++ b/src/platform/front.rs
@@ -85,24 +85,17 @@
             Self::NoJob => (StatusCode::GONE, error_body("there is no such job")),
             Self::NoQueue => (StatusCode::NOT_FOUND, error_body("there is no such queue")),
             Self::Malformed(why) => (StatusCode::BAD_REQUEST, error_body(why)),
-            Self::NoMethod => (
-                StatusCode::METHOD_NOT_ALLOWED,
-                error_body("only GET, POST and DELETE are supported"),
-            ),
-            Self::InvalidKey => {
-                (StatusCode::UNAUTHORIZED, error_body("missing or invalid API key"))
+            Self::NoMethod => {
+                (StatusCode::METHOD_NOT_ALLOWED, error_body("only GET, POST and DELETE"))
             }
+            Self::InvalidKey => (StatusCode::UNAUTHORIZED, error_body("this key is not in force")),
             Self::OtherWorkspace => {
-                (StatusCode::FORBIDDEN, error_body("the job belongs to another workspace"))
+                (StatusCode::FORBIDDEN, error_body("the job is another workspace's"))
+            }
+            Self::Busy { .. } => {
+                (StatusCode::SERVICE_UNAVAILABLE, error_body("not taken: come back"))
             }
-            Self::Busy { .. } => (
-                StatusCode::SERVICE_UNAVAILABLE,
-                error_body("the request was not carried out; retry later"),
-            ),
-            Self::Unconfirmed => (
-                StatusCode::GATEWAY_TIMEOUT,
-                error_body("the outcome is unknown; retry with the same key"),
-            ),
+            Self::Unconfirmed => (StatusCode::GATEWAY_TIMEOUT, error_body("in doubt: ask again")),
         };
         let is_empty = body.is_empty();
         let mut response = Response::new(Full::from(body));
