--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -8,8 +8,8 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Cleared;
-use crate::workload::{Advice, Step, StepKey};
+use crate::order::ClearedWorkers;
+use crate::workload::{AdviceConfig, Step, StepKey};
 use std::collections::BTreeSet;
 
 /// The remaining validity that a ticket needs to be used. An order takes a few milliseconds, and
@@ -33,20 +33,21 @@
         now: Millis,
         key: StepKey,
         spec: &Step,
-        advice: Advice,
+        advice: AdviceConfig,
         remaining: usize,
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
-        let advised = &step.clearances;
-        if advised.request_pending || now < advised.retry_at {
+        let clearances = &step.clearances;
+        if clearances.request_pending || now < clearances.retry_at {
             return;
         }
         let workers = self.select_workers(now, key, job, spec, remaining);
         if workers.is_empty() {
             return;
         }
-        let cost = Millis(advice.base.0 + advice.each * workers.len() as u64 / 1_000);
+        let cost =
+            Millis(advice.base_latency.0 + advice.worker_micros * workers.len() as u64 / 1_000);
         let request = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
         self.advice_queue.push(request);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
@@ -70,20 +71,20 @@
         let (Some(step), Some(advice)) = (job.step(key), job.queue.advice) else {
             return Vec::new();
         };
-        let charge = spec.charge();
-        let advised = &step.clearances;
+        let charge = spec.charged_resources();
+        let clearances = &step.clearances;
         let includes_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open_candidates(now, key, job, spec).into_iter();
         let is_answered = |candidate: &Candidate| {
-            advised.denied.contains(&candidate.name)
-                || advised.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
+            clearances.denied.contains(&candidate.name)
+                || clearances.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
         };
         let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
             .filter(|candidate| {
                 !is_answered(candidate) && (includes_busy || candidate.has_room(spec, &charge))
             })
-            .partition(|candidate| advised.cleared.contains_key(&candidate.name));
-        if spec.gang
+            .partition(|candidate| clearances.cleared.contains_key(&candidate.name));
+        if spec.is_gang
             && let Some(selected) = self.select_gang_workers(now, key, spec, remaining)
         {
             return selected;
@@ -94,12 +95,12 @@
         let known: Vec<Candidate> = known.into_iter().filter(fits_after_preemption).collect();
         let renewed = remaining.max(MIN_RENEWED_WORKERS);
         let asked = (remaining * WORKERS_PER_CLEARANCE).max(balanced_size(advice));
-        let suffices = |known: &[Candidate]| !spec.gang && known.iter().any(has_room);
+        let suffices = |known: &[Candidate]| !spec.is_gang && known.iter().any(has_room);
         let (mut selected, limit) = match () {
             () if suffices(&known) => (known, renewed),
-            () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, asked),
+            () if unknown.iter().any(has_room) || clearances.has_no_answer() => (unknown, asked),
             // New tickets would not help, as these workers do not have room for the whole gang.
-            () if spec.gang && known.iter().all(has_room) => (Vec::new(), 0),
+            () if spec.is_gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made on some of them.
             () => (known, renewed),
         };
@@ -124,7 +125,7 @@
         spec: &Step,
         remaining: usize,
     ) -> Option<Vec<Name>> {
-        let charge = spec.charge();
+        let charge = spec.charged_resources();
         let mut candidates = self.cleared_candidates(now, key, spec);
         candidates.retain(|candidate| candidate.has_room(spec, &charge));
         candidates.sort_by_cached_key(|candidate| {
@@ -167,7 +168,7 @@
         entry: &Name,
         key: StepKey,
         named: &[Name],
-        answer: Option<Cleared>,
+        answer: Option<ClearedWorkers>,
     ) {
         self.advice_queue.complete(entry, key);
         match answer {
@@ -178,10 +179,10 @@
     }
 
     /// Stores the tickets and denials of an answer in the step.
-    fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: Cleared) {
+    fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: ClearedWorkers) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
-        let default = job.queue.advice.map(|advice| advice.valid).unwrap_or_default();
-        let expires_at = now + cleared.valid.unwrap_or(default);
+        let default = job.queue.advice.map(|advice| advice.ticket_validity).unwrap_or_default();
+        let expires_at = now + cleared.valid_for.unwrap_or(default);
         let Some(step) = job.step_mut(key) else { return };
         // Workers that restarted since the request was queued are left out, because the answer may
         // be about their previous process.
@@ -192,20 +193,21 @@
         log::info!(
             "event=advice-received step={key} named={} cleared={}",
             named.len(),
-            cleared.rows.len()
+            cleared.tickets.len()
         );
-        let advised = &mut step.clearances;
-        advised.request_pending = false;
-        advised.retry_at = now + REQUEST_INTERVAL;
-        let allowed: BTreeSet<Name> = cleared.rows.iter().map(|(name, _)| name.clone()).collect();
+        let clearances = &mut step.clearances;
+        clearances.request_pending = false;
+        clearances.retry_at = now + REQUEST_INTERVAL;
+        let allowed: BTreeSet<Name> =
+            cleared.tickets.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
-        advised.denied.extend(denied.cloned());
-        for (name, text) in cleared.rows.into_iter().filter(|(name, _)| is_same(name)) {
-            advised.cleared.insert(name, Ticket { text, expires_at });
+        clearances.denied.extend(denied.cloned());
+        for (name, text) in cleared.tickets.into_iter().filter(|(name, _)| is_same(name)) {
+            clearances.cleared.insert(name, Ticket { text, expires_at });
         }
         if allowed.is_empty() {
             // All workers were denied, so the next request may follow at once.
-            advised.retry_at = now;
+            clearances.retry_at = now;
         }
     }
 
@@ -253,9 +255,9 @@
 }
 
 /// The number of workers for which the per-worker time of a request is half of its base time.
-fn balanced_size(advice: Advice) -> usize {
-    match advice.each {
+fn balanced_size(advice: AdviceConfig) -> usize {
+    match advice.worker_micros {
         0 => MAX_REQUEST_WORKERS,
-        each => (advice.base.0 * 1_000 / each / 2) as usize,
+        each => (advice.base_latency.0 * 1_000 / each / 2) as usize,
     }
 }
--- a/src/cell/placing/relaxation.rs
+++ b/src/cell/placing/relaxation.rs
@@ -1,14 +1,14 @@
 //! Relaxed placement for steps that have waited for long although enough resources are free.
 //!
 //! Resources are reserved again and again for a gang that doesn't find enough, and then for the steps that wait behind
-//! it; workers are set aside, or quarantined for one job. Each of these is right for a while, but together they can leave
+//! it; workers are sidelined, or quarantined for one job. Each of these is right for a while, but together they can leave
 //! workers idle while there are tasks that fit on them. So a step that has waited for long ignores some or all of them.
 
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, StepKey};
+use crate::workload::{Resources, StepKey};
 
 /// How long a step waits without any of its tasks being placed before its placement is relaxed, if half of the cores
 /// are free. By the platform's contract a task for which there is room waits for at most 3 s.
@@ -23,7 +23,7 @@
 pub(in crate::cell) enum Relaxation {
     /// None: the step hasn't waited for long, or it isn't long-running and at least half of the cores are in use.
     None,
-    /// Workers that are set aside, which lasts for at most 16 s; workers that are quarantined for another job, which lasts
+    /// Workers that are sidelined, which lasts for at most 16 s; workers that are quarantined for another job, which lasts
     /// for as long as its task runs; reservations for a gang that aren't all free yet.
     Partial,
     /// All reservations, too: at least half of all resources are free, or the step is long-running, since the bound on
@@ -47,18 +47,18 @@
         let (used, total) = self.service_usage(&job.queue.service);
         match used.plus(&used) {
             doubled if doubled.cpu >= total.cpu => Relaxation::None,
-            doubled if total.holds(&doubled) => Relaxation::Full,
+            doubled if total.can_fit(&doubled) => Relaxation::Full,
             _ => Relaxation::Partial,
         }
     }
 
     /// The resources in use and the total resources of the workers of a service that currently report.
-    fn service_usage(&self, service: &Name) -> (Room, Room) {
+    fn service_usage(&self, service: &Name) -> (Resources, Resources) {
         let heard = self.workers.values().filter(|worker| worker.is_reachable);
         let of_service = heard.filter(|worker| worker.listed.service == *service);
-        let zero = (Room::default(), Room::default());
+        let zero = (Resources::default(), Resources::default());
         of_service.fold(zero, |(used, total), worker| {
-            (used.plus(&worker.used), total.plus(&worker.listed.room))
+            (used.plus(&worker.used), total.plus(&worker.listed.capacity))
         })
     }
 }
--- a/src/cell/placing/usage.rs
+++ b/src/cell/placing/usage.rs
@@ -9,32 +9,32 @@
 use crate::cell::Cell;
 use crate::cell::jobs::job::Job;
 use crate::id::Name;
-use crate::workload::{Room, Step};
+use crate::workload::{Resources, Step};
 use crate::workspace::{Workspace, Workspaces};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// The resources that one workspace has in use. Clones share one counter.
 #[derive(Debug, Clone, Default)]
-struct Usage(Arc<Mutex<Room>>);
+struct Usage(Arc<Mutex<Resources>>);
 
 impl Usage {
-    fn lock(&self) -> MutexGuard<'_, Room> {
+    fn lock(&self) -> MutexGuard<'_, Resources> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The share of a run in its workspace's usage; subtracted again when dropped.
+/// The resources that a run adds to its workspace's usage. They are subtracted again when the guard is dropped.
 #[derive(Debug)]
 pub struct UsageGuard {
     usage: Usage,
-    room: Room,
+    room: Resources,
 }
 
 impl Drop for UsageGuard {
     fn drop(&mut self) {
         let mut used = self.usage.lock();
-        *used = used.less(&self.room);
+        *used = used.saturating_sub(&self.room);
     }
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// Adds the resources of a run to its workspace's usage until the guard is dropped.
-    pub fn acquire(&mut self, workspace: &Name, room: Room) -> UsageGuard {
+    pub fn acquire(&mut self, workspace: &Name, room: Resources) -> UsageGuard {
         let usage = self.by_workspace.entry(workspace.clone()).or_default().clone();
         let now = usage.lock().plus(&room);
         *usage.lock() = now;
@@ -61,19 +61,19 @@
     }
 
     /// The resources that a workspace has in use in this cell.
-    pub fn used(&self, workspace: &Name) -> Room {
+    pub fn used(&self, workspace: &Name) -> Resources {
         match self.by_workspace.get(workspace) {
             Some(usage) => *usage.lock(),
             // No run of the workspace has been counted yet.
-            None => Room::default(),
+            None => Resources::default(),
         }
     }
 
     /// The number of tasks of a size that a workspace may start, at most `max`. A single task that exceeds the limit may
     /// start if the workspace has nothing else running: it would never run otherwise.
-    pub fn allowed_tasks(&self, workspace: &Workspace, room: &Room, max: usize) -> usize {
+    pub fn allowed_tasks(&self, workspace: &Workspace, room: &Resources, max: usize) -> usize {
         let used = self.used(&workspace.name);
-        let left = workspace.limit.less(&used);
+        let left = workspace.limit.saturating_sub(&used);
         let quotient = |left: u64, per_task: u64| match per_task {
             // The task uses none of this resource.
             0 => u64::MAX,
@@ -82,7 +82,7 @@
         let count = quotient(left.cpu, room.cpu).min(quotient(left.mem, room.mem));
         let count = count.min(quotient(left.gpu, room.gpu)).min(max as u64) as usize;
         match count {
-            0 if used == Room::default() => max.min(1),
+            0 if used == Resources::default() => max.min(1),
             count => count,
         }
     }
@@ -99,8 +99,8 @@
     pub(in crate::cell) fn allowed_starts(&self, job: &Job, spec: &Step, max: usize) -> usize {
         let workspace = job.workspace.as_ref().and_then(|name| self.usages.workspace(name));
         let Some(workspace) = workspace else { return max };
-        match self.usages.allowed_tasks(workspace, &spec.room, max) {
-            count if spec.gang && count < spec.count as usize => 0,
+        match self.usages.allowed_tasks(workspace, &spec.resources, max) {
+            count if spec.is_gang && count < spec.count as usize => 0,
             count => count,
         }
     }
--- a/src/cell/workers/orders.rs
+++ b/src/cell/workers/orders.rs
@@ -5,7 +5,7 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Outcome, Refusal};
+use crate::order::{OrderOutcome, Refusal};
 use crate::workload::{JobKey, TaskKey};
 
 impl Cell {
@@ -16,41 +16,41 @@
         name: &Name,
         task: TaskKey,
         run: u64,
-        outcome: Outcome,
+        outcome: OrderOutcome,
     ) {
-        if !matches!(outcome, Outcome::Done(_)) {
+        if !matches!(outcome, OrderOutcome::Done(_)) {
             log::info!(
                 "event=start-failed task={task} run={run} worker={name} outcome={outcome:?}"
             );
         }
         match outcome {
-            Outcome::Done(_) => self.confirm_start(now, name, task, run),
-            Outcome::Unknown => {
+            OrderOutcome::Done(_) => self.confirm_start(now, name, task, run),
+            OrderOutcome::Unknown => {
                 self.stop_run(name, task, run);
                 self.suspect_worker(now, name);
             }
-            Outcome::Withheld => self.abandon_run(name, task, run),
-            Outcome::Unsent => {
+            OrderOutcome::Withheld => self.abandon_run(name, task, run),
+            OrderOutcome::Unsent => {
                 self.abandon_run(name, task, run);
                 self.mark_unreachable(now, name);
             }
-            Outcome::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
-            Outcome::Refused(Refusal::OtherLife) => {
+            OrderOutcome::Refused(Refusal::StaleFence) => self.actions.push(Action::Deposed),
+            OrderOutcome::Refused(Refusal::OtherIncarnation) => {
                 // The incarnation that ended never received this run, so it is not counted as a
                 // crash for its task.
                 self.abandon_run(name, task, run);
                 self.remove_worker(now, name, RemovalReason::Replaced);
             }
-            Outcome::Refused(Refusal::Late) => {
+            OrderOutcome::Refused(Refusal::LeaseExpired) => {
                 self.abandon_run(name, task, run);
                 self.mark_unreachable(now, name);
             }
-            Outcome::Refused(Refusal::Ticket) => {
+            OrderOutcome::Refused(Refusal::InvalidTicket) => {
                 self.invalidate_ticket(task.step, name);
                 self.abandon_run(name, task, run);
             }
-            Outcome::Refused(
-                Refusal::Unwell | Refusal::Room | Refusal::Malformed | Refusal::Old,
+            OrderOutcome::Refused(
+                Refusal::Unhealthy | Refusal::NoCapacity | Refusal::Malformed | Refusal::StaleRun,
             ) => {
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.exclude(now);
@@ -85,11 +85,13 @@
         name: &Name,
         task: TaskKey,
         run: u64,
-        outcome: Outcome,
+        outcome: OrderOutcome,
     ) {
         match outcome {
-            Outcome::Refused(Refusal::Fence) => return self.actions.push(Action::Deposed),
-            Outcome::Refused(Refusal::OtherLife) => {
+            OrderOutcome::Refused(Refusal::StaleFence) => {
+                return self.actions.push(Action::Deposed);
+            }
+            OrderOutcome::Refused(Refusal::OtherIncarnation) => {
                 return self.remove_worker(now, name, RemovalReason::Replaced);
             }
             _ => {}
@@ -98,7 +100,7 @@
         let Some(known) = worker.runs.get_mut(&(task, run)) else { return };
         known.stop_pending = false;
         match outcome {
-            Outcome::Done(_) | Outcome::Refused(Refusal::Old) => {
+            OrderOutcome::Done(_) | OrderOutcome::Refused(Refusal::StaleRun) => {
                 known.phase = Phase::Stopping(Some(now));
                 if !known.has_started {
                     // The run may never have started. Then the worker reports no end of it, and
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -8,8 +8,8 @@
 use crate::cell::{Action, Cell, ReportCall};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{End, EndedRow, HoldError, Refusal, Report, RunningRow};
-use crate::workload::{Room, Step, TaskKey};
+use crate::order::{EndReason, EndedTask, Refusal, ReportError, RunningTask, WorkerReport};
+use crate::workload::{Resources, Step, TaskKey};
 use std::collections::BTreeSet;
 
 /// Filler tasks are slowed down when a tail latency on their worker reaches this percentage of its
@@ -55,14 +55,14 @@
     ///
     /// A single report may be lost on the network, so a worker is considered unreachable only when
     /// the next one is missing too.
-    pub fn on_missing_report(&mut self, now: Millis, name: &Name, error: &HoldError) -> bool {
+    pub fn on_missing_report(&mut self, now: Millis, name: &Name, error: &ReportError) -> bool {
         match error {
-            HoldError::Refused(Refusal::Fence) => self.actions.push(Action::Deposed),
-            HoldError::Refused(Refusal::OtherLife) => {
+            ReportError::Refused(Refusal::StaleFence) => self.actions.push(Action::Deposed),
+            ReportError::Refused(Refusal::OtherIncarnation) => {
                 self.remove_worker(now, name, RemovalReason::Replaced)
             }
-            HoldError::Refused(_) => self.mark_unreachable(now, name),
-            HoldError::Silent(err) => {
+            ReportError::Refused(_) => self.mark_unreachable(now, name),
+            ReportError::NoReply(err) => {
                 log::debug!("event=report-call-failed worker={name} error={err:?}");
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.suspect_restart();
@@ -82,8 +82,12 @@
     }
 
     /// Handles the report of a worker to a call that was sent at `sent`.
-    pub fn on_report(&mut self, now: Millis, sent: Millis, name: &Name, report: &Report) {
-        if self.workers.get(name).is_some_and(|worker| worker.is_other_incarnation(report.born)) {
+    pub fn on_report(&mut self, now: Millis, sent: Millis, name: &Name, report: &WorkerReport) {
+        if self
+            .workers
+            .get(name)
+            .is_some_and(|worker| worker.is_other_incarnation(report.started_at))
+        {
             self.on_worker_restart(now, sent, name, report);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -92,8 +96,8 @@
             log::info!(
                 "event=worker-reachable worker={name} born={:?} listed_born={:?} clock={} confirmed={} \
                  running={running} ended={ended}",
-                report.born,
-                worker.listed.born,
+                report.started_at,
+                worker.listed.started_at,
                 report.clock,
                 worker.confirmed_end()
             );
@@ -108,12 +112,14 @@
         worker.has_reported = true;
         for row in &report.ended {
             let Some(worker) = self.workers.get_mut(name) else { return };
-            if worker.has_recorded_end(row.no) {
+            if worker.has_recorded_end(row.seq) {
                 continue;
             }
             let run = worker.remove_run(row.task, row.run);
             self.needs_placement = true;
-            if let Some(run) = run.filter(|run| row.end == End::Done && run.started_at.0 > 0) {
+            if let Some(run) =
+                run.filter(|run| row.reason == EndReason::Done && run.started_at.0 > 0)
+            {
                 self.record_run_time(row.task, now.since(run.started_at));
             }
             self.on_run_end(now, name, row);
@@ -123,7 +129,7 @@
                 if self.dirty_jobs.is_empty() { self.open_batch - 1 } else { self.open_batch };
             let stored_batch = self.stored_batch;
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.record_end(row.no, batch);
+                worker.record_end(row.seq, batch);
                 worker.mark_stored(stored_batch);
             }
         }
@@ -148,32 +154,36 @@
     /// Adds the time that a completed run took to the statistics of its queue.
     fn record_run_time(&mut self, task: TaskKey, run_time: Millis) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
-        let Some(spec) = job.spec(task.step.step).filter(|spec| !spec.lasting) else { return };
+        let Some(spec) = job.spec(task.step.step).filter(|spec| !spec.long_running) else { return };
         self.run_times.entry(job.queue.name.clone()).or_default().add(spec.estimate, run_time);
     }
 
     /// Handles the end of a run.
-    fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedRow) {
+    fn on_run_end(&mut self, now: Millis, name: &Name, row: &EndedTask) {
         let task = row.task;
-        log::info!("event=run-ended task={task} run={} worker={name} end={:?}", row.run, row.end);
+        log::info!(
+            "event=run-ended task={task} run={} worker={name} end={:?}",
+            row.run,
+            row.reason
+        );
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
         let Some(spec) = job.spec(task.step.step) else { return };
-        let (lasting, gang, copies) = (spec.lasting, spec.gang, spec.copies);
+        let (lasting, gang, copies) = (spec.long_running, spec.is_gang, spec.allow_copies);
         (job.was_placed, job.has_run) = (true, true);
-        let attempts = job.queue.attempts;
+        let attempts = job.queue.max_attempts;
         let Some(step) = job.step_mut(task.step) else { return };
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
         if state.status == TaskStatus::Done || state.failed_runs.contains(&row.run) {
             return;
         }
-        if !row.saved.is_empty() {
-            state.checkpoint = row.saved.clone();
+        if !row.checkpoint.is_empty() {
+            state.checkpoint = row.checkpoint.clone();
         }
         self.dirty_jobs.insert(task.step.job);
-        match row.end {
-            End::Done if !lasting => {
+        match row.reason {
+            EndReason::Done if !lasting => {
                 let other = other_run(&state.status, row.run);
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.record_success();
@@ -185,7 +195,7 @@
                 }
                 self.finish_task(now, task);
             }
-            End::Failed => {
+            EndReason::Failed => {
                 state.failed_workers.push(name.clone());
                 if !lasting {
                     state.failed_runs.push(row.run);
@@ -204,11 +214,15 @@
                     false => self.requeue_task(task, row.run),
                 }
             }
-            End::Done | End::Stopped | End::Lapsed | End::Broken | End::Alone => {
+            EndReason::Done
+            | EndReason::Stopped
+            | EndReason::LeaseExpired
+            | EndReason::GangBroken
+            | EndReason::GangIncomplete => {
                 log::info!(
                     "event=run-cut-short task={task} run={} worker={name} end={:?}",
                     row.run,
-                    row.end
+                    row.reason
                 );
                 self.requeue_task(task, row.run);
             }
@@ -224,14 +238,14 @@
     }
 
     /// Updates a run that goes on, or adopts it if it is not known.
-    fn update_run(&mut self, now: Millis, name: &Name, row: &RunningRow) {
+    fn update_run(&mut self, now: Millis, name: &Name, row: &RunningTask) {
         let task = row.task;
-        let has_progressed = !row.saved.is_empty() && self.save_checkpoint(task, row);
+        let has_progressed = !row.checkpoint.is_empty() && self.save_checkpoint(task, row);
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(run) = worker.runs.get_mut(&(task, row.run)) else {
             return self.adopt_run(now, name, row);
         };
-        run.percent = row.percent;
+        run.percent = row.pace_percent;
         let is_new = !std::mem::replace(&mut run.has_started, true);
         if run.phase == Phase::Starting {
             run.mark_started(now);
@@ -245,29 +259,31 @@
     }
 
     /// Saves the checkpoint of a run for its task. Returns whether it is new.
-    fn save_checkpoint(&mut self, task: TaskKey, row: &RunningRow) -> bool {
+    fn save_checkpoint(&mut self, task: TaskKey, row: &RunningTask) -> bool {
         let job = self.jobs.get_mut(&task.step.job);
         let step = job.and_then(|job| job.step_mut(task.step));
         let state = step.and_then(|step| step.tasks.get_mut(task.index as usize));
-        let Some(state) = state.filter(|state| state.checkpoint != row.saved) else { return false };
-        state.checkpoint = row.saved.clone();
+        let Some(state) = state.filter(|state| state.checkpoint != row.checkpoint) else {
+            return false;
+        };
+        state.checkpoint = row.checkpoint.clone();
         true
     }
 
     /// Takes over a run that an earlier owner started, or stops it if its task needs no run.
-    fn adopt_run(&mut self, now: Millis, name: &Name, row: &RunningRow) {
+    fn adopt_run(&mut self, now: Millis, name: &Name, row: &RunningTask) {
         let task = row.task;
         let job = self.jobs.get_mut(&task.step.job);
         let spec = job.as_ref().and_then(|job| job.spec(task.step.step)).cloned();
         let owner = job.as_ref().and_then(|job| job.workspace.as_ref());
         // The resources of a run whose job was closed are not known. It may fill the worker, whose
         // resources may have been larger when it started.
-        let unknown = Step { room: Room::UNKNOWN, ..Step::default() };
+        let unknown = Step { resources: Resources::UNKNOWN, ..Step::default() };
         let spec = spec.unwrap_or(unknown);
         let mut run = Run::new(row.run, &spec, Phase::Running(now));
-        run.usage_guard = owner.map(|owner| self.usages.acquire(owner, spec.room));
+        run.usage_guard = owner.map(|owner| self.usages.acquire(owner, spec.resources));
         (run.has_started, run.is_sent, run.percent, run.known_since) =
-            (true, true, row.percent, now);
+            (true, true, row.pace_percent, now);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.add_run(task, run);
         }
@@ -284,7 +300,7 @@
             Some(step) => {
                 step.place(task.index, name.clone(), row.run);
                 if let Some(state) = step.tasks.get_mut(task.index as usize) {
-                    state.checkpoint = row.saved.clone();
+                    state.checkpoint = row.checkpoint.clone();
                 }
                 log::info!("event=run-adopted task={task} run={} worker={name}", row.run);
                 // The older run ended before this one started, or may be a copy of the task.
@@ -300,7 +316,7 @@
     }
 
     /// Abandons runs that should have been in a report and were not.
-    fn drop_vanished_runs(&mut self, sent: Millis, name: &Name, report: &Report) {
+    fn drop_vanished_runs(&mut self, sent: Millis, name: &Name, report: &WorkerReport) {
         let listed: BTreeSet<(TaskKey, u64)> =
             report.running.iter().map(|row| (row.task, row.run)).collect();
         let Some(worker) = self.workers.get(name) else { return };
@@ -317,7 +333,7 @@
             if matches!(phase, Phase::Running(_)) {
                 log::info!(
                     "event=run-vanished task={task} run={run} worker={name} born={:?} confirmed={confirmed}",
-                    report.born
+                    report.started_at
                 );
             }
             self.abandon_run(name, task, run);
@@ -326,7 +342,7 @@
 
     /// Slows down filler tasks while a task that serves requests on the worker is close to its tail
     /// latency limit, and speeds them up again afterwards.
-    fn throttle_fillers(&mut self, now: Millis, name: &Name, report: &Report) {
+    fn throttle_fillers(&mut self, now: Millis, name: &Name, report: &WorkerReport) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let fillers: Vec<(TaskKey, u64, u32)> = worker
             .runs
@@ -337,7 +353,7 @@
         if fillers.is_empty() || now.since(worker.throttled_at) < THROTTLE_INTERVAL {
             return;
         }
-        let used_percent = |row: &RunningRow| {
+        let used_percent = |row: &RunningTask| {
             let run = worker.runs.get(&(row.task, row.run)).filter(|run| run.tail_limit.0 > 0)?;
             row.gauge.map(|gauge| gauge * 100.0 / run.tail_limit.0 as f64)
         };
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -6,7 +6,7 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed};
+use crate::order::{Incarnation, WorkerInfo};
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
@@ -100,7 +100,7 @@
             return;
         }
         let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-        if spec.is_some_and(|spec| spec.copies && !spec.gang)
+        if spec.is_some_and(|spec| spec.allow_copies && !spec.is_gang)
             && !self.may_have_crashed_workers(task, run)
         {
             self.record_possible_crash(now, name, task);
@@ -132,7 +132,7 @@
             self.resolve_crash(&incarnation, CrashResolution::Ended);
             self.ended_lives.insert(incarnation, now);
         }
-        let (why, is_leaving) = (reason.name(), worker.listed.leaving.is_some());
+        let (why, is_leaving) = (reason.name(), worker.listed.leaves_in.is_some());
         log::info!(
             "event=worker-removed worker={name} why={why} leaving={is_leaving} runs={}",
             worker.runs.len()
@@ -147,9 +147,10 @@
     }
 
     /// Takes the current list of workers, of all services.
-    pub fn set_workers(&mut self, now: Millis, listed: Vec<Listed>) {
+    pub fn set_workers(&mut self, now: Millis, listed: Vec<WorkerInfo>) {
         let ids: BTreeSet<Name> = listed.iter().map(|entry| entry.id.clone()).collect();
-        let incarnations: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
+        let incarnations: BTreeSet<Incarnation> =
+            listed.iter().map(WorkerInfo::incarnation).collect();
         self.ended_lives.retain(|incarnation, _| incarnations.contains(incarnation));
         for worker in self.workers.values_mut() {
             worker.is_listed = ids.contains(&worker.listed.id);
@@ -162,8 +163,8 @@
     }
 
     /// Adds or updates a worker from its entry in the list.
-    fn update_listing(&mut self, now: Millis, listed: Listed) {
-        let (name, incarnation) = (listed.id.clone(), listed.life());
+    fn update_listing(&mut self, now: Millis, listed: WorkerInfo) {
+        let (name, incarnation) = (listed.id.clone(), listed.incarnation());
         if self.ended_lives.contains_key(&incarnation) {
             return;
         }
@@ -171,7 +172,8 @@
         self.expect_new_incarnation(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
-                let starts_leaving = listed.leaving.is_some() && worker.listed.leaving.is_none();
+                let starts_leaving =
+                    listed.leaves_in.is_some() && worker.listed.leaves_in.is_none();
                 worker.listed = listed;
                 if starts_leaving {
                     self.evacuate(&name);
@@ -182,7 +184,7 @@
                     "event=worker-listed worker={name} service={} addr={} cpu={} labels={}",
                     listed.service,
                     listed.addr,
-                    listed.room.cpu,
+                    listed.capacity.cpu,
                     listed.labels.join(",")
                 );
                 self.actions.push(Action::Watch(listed.clone()));
@@ -196,14 +198,14 @@
     /// elsewhere.
     fn evacuate(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else { return };
-        let time_left = worker.listed.leaving.unwrap_or_default();
+        let time_left = worker.listed.leaves_in.unwrap_or_default();
         log::info!(
             "event=worker-leaving worker={name} left_ms={time_left} runs={}",
             worker.runs.len()
         );
         let ends_in_time = |task: &TaskKey| {
             let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-            spec.is_some_and(|spec| !spec.lasting && spec.estimate < time_left)
+            spec.is_some_and(|spec| !spec.long_running && spec.estimate < time_left)
         };
         let stopped: Vec<(TaskKey, u64)> =
             worker.runs.keys().filter(|(task, _)| !ends_in_time(task)).copied().collect();
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::mechanism::DisabledMechanisms;
 use crate::cell::owner::cell_map::MIN_CELL_WORKERS;
-use crate::cmd::{Refusal, Run};
+use crate::cmd::{RefusedError, Run};
 use crate::logs;
 use crate::node::Node;
 use crate::platform::settings::{SETTINGS_VARIABLE, Settings};
@@ -48,8 +48,8 @@
         };
         let text = std::fs::read_to_string(&path)
             .with_context(|| format!("cannot read {}", path.display()))?;
-        let mut settings =
-            Settings::parse(&text).map_err(|err| Refusal(format!("{}: {err}", path.display())))?;
+        let mut settings = Settings::parse(&text)
+            .map_err(|err| RefusedError(format!("{}: {err}", path.display())))?;
         if let Some(port) = self.metrics {
             settings.metrics_addr = format!("{}:{port}", settings.ip).into();
         }
@@ -74,29 +74,29 @@
 
 /// Serves until a planned stop is done: SIGTERM or SIGINT begins one.
 async fn serve(settings: Settings, path: PathBuf) -> Result<()> {
-    let mut term = signal(SignalKind::terminate())?;
-    let mut int = signal(SignalKind::interrupt())?;
-    let mut hup = signal(SignalKind::hangup())?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     let (stop, stopped) = watch::channel(false);
     tokio::spawn(async move {
         loop {
             tokio::select! {
-                _ = term.recv() => drop(stop.send_replace(true)),
-                _ = int.recv() => drop(stop.send_replace(true)),
-                _ = hup.recv() => reload(&path),
+                _ = terminate.recv() => drop(stop.send_replace(true)),
+                _ = interrupt.recv() => drop(stop.send_replace(true)),
+                _ = hangup.recv() => check_changed_settings(&path),
             }
         }
     });
     let result = Node::run(settings, stopped).await;
-    logs::settle();
+    logs::wait_for_writes();
     Ok(result?)
 }
 
 /// Checks changed settings. Addresses and bounds hold for the life of a process.
-fn reload(path: &std::path::Path) {
+fn check_changed_settings(path: &std::path::Path) {
     let text = std::fs::read_to_string(path).map_err(|err| err.to_string());
-    let checked = text.and_then(|text| Settings::parse(&text).map_err(|err| err.to_string()));
-    match checked {
+    let result = text.and_then(|text| Settings::parse(&text).map_err(|err| err.to_string()));
+    match result {
         Ok(_) => log::info!("event=reload outcome=unchanged"),
         Err(err) => log::warn!("event=reload outcome=refused error={err:?}"),
     }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -17,17 +17,17 @@
 pub async fn run(length: Millis) -> Result<()> {
     let cell = Arc::new(Cell::start().await?);
     println!("cell up: 2 failure domains, 4 entries, 8 workers, 4 runners, 1 platform");
-    let before = report::Cost::now(&cell);
+    let before = report::ControlCost::now(&cell);
     load::run(cell.clone(), length).await?;
-    let after = report::Cost::now(&cell);
+    let after = report::ControlCost::now(&cell);
     let events = cell.events();
     report::print(&events, &before, &after);
-    let broken = check::check(&events);
+    let broken = check::find_violations(&events);
     broken.iter().for_each(|broken| println!("{broken}"));
     println!("promises: events={} broken={}", events.len(), broken.len());
     cell.stop().await;
     match broken.is_empty() {
         true => Ok(()),
-        false => Err(crate::cmd::Refusal("a promise was broken".into()).into()),
+        false => Err(crate::cmd::RefusedError("a promise was broken".into()).into()),
     }
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Advice, Queue, Room};
+use crate::workload::{AdviceConfig, Queue, Resources};
 use crate::workspace::{Workspace, Workspaces};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -186,16 +186,16 @@
     }
 
     fn add_route(&mut self, raw: RawRoute) {
-        let advice = raw.advice.map(|advice| Advice {
-            base: Millis(advice.decide_ms.max(0.0) as u64),
-            each: (advice.period_ms.max(0.0) * 1_000.0) as u64,
-            valid: Millis(advice.valid_ms.max(0.0) as u64),
+        let advice = raw.advice.map(|advice| AdviceConfig {
+            base_latency: Millis(advice.decide_ms.max(0.0) as u64),
+            worker_micros: (advice.period_ms.max(0.0) * 1_000.0) as u64,
+            ticket_validity: Millis(advice.valid_ms.max(0.0) as u64),
         });
         let queue = Arc::new(Queue {
             name: raw.name.clone(),
             service: raw.service,
             priority: raw.priority,
-            attempts: raw.max_attempts.max(1),
+            max_attempts: raw.max_attempts.max(1),
             stretch: (raw.extension.max(1.0) * 1_000.0) as u64,
             target: Millis(raw.target_latency_ms.max(0.0) as u64),
             advice,
@@ -222,12 +222,12 @@
 
 fn parse_workspaces(raw: Vec<RawTenant>) -> Workspaces {
     let or_unlimited = |limit: u64, unlimited: u64| if limit == 0 { unlimited } else { limit };
-    let unlimited = Room::UNLIMITED;
+    let unlimited = Resources::UNLIMITED;
     let mut result = Workspaces::default();
     for RawTenant { name, api_keys, weight, upper_bound: RawResourceLimit { cpu, mem_mb, gpu } } in
         raw
     {
-        let limit = Room {
+        let limit = Resources {
             cpu: or_unlimited(cpu, unlimited.cpu),
             mem: or_unlimited(mem_mb, unlimited.mem),
             gpu: or_unlimited(gpu, unlimited.gpu),
--- a/src/workspace.rs
+++ b/src/workspace.rs
@@ -1,7 +1,7 @@
 //! Workspaces: the teams that callers belong to, each with keys, a share, and a bound on what it runs.
 
 use crate::id::Name;
-use crate::workload::Room;
+use crate::workload::Resources;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
     /// Its share when everything is full, as jobs a second.
     pub weight: u32,
     /// The most that it may have running over all workers.
-    pub limit: Room,
+    pub limit: Resources,
 }
 
 impl Workspace {
     /// Whether there is a bound on what it has running.
     pub fn is_bounded(&self) -> bool {
-        self.limit != Room::UNLIMITED
+        self.limit != Resources::UNLIMITED
     }
 }
 
@@ -27,20 +27,20 @@
 #[derive(Debug, Clone, Default)]
 pub struct Workspaces {
     by_name: HashMap<Name, Arc<Workspace>>,
-    by_key: HashMap<Name, Arc<Workspace>>,
+    by_api_key: HashMap<Name, Arc<Workspace>>,
 }
 
 impl Workspaces {
     /// Adds a workspace with its callers' keys.
     pub fn add(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = Name>) {
         let workspace = Arc::new(workspace);
-        self.by_key.extend(keys.into_iter().map(|key| (key, workspace.clone())));
+        self.by_api_key.extend(keys.into_iter().map(|key| (key, workspace.clone())));
         self.by_name.insert(workspace.name.clone(), workspace);
     }
 
     /// The workspace of a caller's key.
-    pub fn of_key(&self, key: &str) -> Option<&Arc<Workspace>> {
-        self.by_key.get(key)
+    pub fn by_api_key(&self, key: &str) -> Option<&Arc<Workspace>> {
+        self.by_api_key.get(key)
     }
 
     /// A workspace by its name.
