--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -104,7 +104,7 @@
         if worker.listed.leaves_in.is_some() || sent.is_empty() {
             return;
         }
-        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.incarnation(), worker.listed.addr.clone());
         let is_next = |other: &Worker| {
             other.is_reachable && other.listed.addr == addr && other.listed.id != *name
         };
@@ -140,7 +140,7 @@
         if worker.listed.leaves_in.is_some() {
             return;
         }
-        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.incarnation(), worker.listed.addr.clone());
         let crash =
             Crash { worker: incarnation, addr, evidence: run.evidence, is_confirmed: false };
         self.add_task_crash(now, task, &crash, now.since(run.since));
@@ -212,7 +212,7 @@
             return;
         }
         let Some(worker) = self.workers.get(name) else { return };
-        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.incarnation(), worker.listed.addr.clone());
         // Includes records by the id alone, which were written before the worker told when it
         // started.
         for same in self.unconfirmed_crashes.find(|other, _| !other.differs_from(&incarnation)) {
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -231,8 +231,8 @@
     }
 
     /// The position in `steps` of a step in a repetition.
-    fn step_position(&self, time: u32, step: u16) -> usize {
-        time as usize * self.work.steps.len() + usize::from(step)
+    fn step_position(&self, repetition: u32, step: u16) -> usize {
+        repetition as usize * self.work.steps.len() + usize::from(step)
     }
 
     /// The specification of a step.
@@ -271,9 +271,9 @@
     /// Whether all steps that a step depends on are done.
     pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(spec) = self.spec(key.step) else { return false };
-        spec.dependencies.iter().all(|after| {
+        spec.dependencies.iter().all(|dependency| {
             self.steps
-                .get(self.step_position(key.repetition, *after))
+                .get(self.step_position(key.repetition, *dependency))
                 .is_some_and(|step| step.unfinished == 0)
         })
     }
@@ -302,8 +302,8 @@
     /// The keys of every step in every repetition.
     pub fn step_keys(&self, job: JobKey) -> Vec<StepKey> {
         let steps = self.work.steps.len() as u16;
-        let times = 0..self.work.repetitions;
-        times
+        let repetitions = 0..self.work.repetitions;
+        repetitions
             .flat_map(|repetition| (0..steps).map(move |step| StepKey { job, repetition, step }))
             .collect()
     }
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -24,13 +24,14 @@
         let start_times = snapshot.worker_starts;
         self.stored_workspaces = snapshot.workspaces.keys().copied().collect();
         for record in snapshot.workers {
-            let born = start_times.get(&record.id).copied();
+            let started_at = start_times.get(&record.id).copied();
             // A worker that may have restarted with the same id may have been given a lease end by
             // the clock of its previous incarnation, which it shortens to the longest lease. Its
             // task may then run on behind a network partition after the usual lease has expired.
-            let lease = if born.is_some() { self.config.max_lease } else { self.config.lease };
+            let lease =
+                if started_at.is_some() { self.config.max_lease } else { self.config.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
-            let mut worker = Worker::new(placeholder_listing(record, born), 0, lease_end);
+            let mut worker = Worker::new(placeholder_listing(record, started_at), 0, lease_end);
             worker.is_listed = false;
             self.actions.push(Action::Watch(worker.listed.clone()));
             self.workers.insert(worker.listed.id.clone(), worker);
@@ -177,9 +178,9 @@
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
         };
-        let gang = job.spec(task.step.step).is_some_and(|spec| spec.is_gang);
+        let is_gang = job.spec(task.step.step).is_some_and(|spec| spec.is_gang);
         let Some(step) = job.step_mut(task.step) else { return };
-        let is_new = match gang {
+        let is_new = match is_gang {
             true => (0..step.tasks.len() as u32).filter(|index| step.finish(*index)).count() > 0,
             false => step.finish(task.index),
         };
@@ -330,7 +331,7 @@
         self.check_unknown_runs(now);
         self.expire_unconfirmed(now);
         self.check_stability(now);
-        self.ended_lives.retain(|_, since| now.since(*since) < ENDED_INCARNATION_RETENTION);
+        self.ended_incarnations.retain(|_, since| now.since(*since) < ENDED_INCARNATION_RETENTION);
         self.forget_closed_jobs(now);
         if self.reservations.expire(now) {
             self.needs_placement = true;
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -125,7 +125,7 @@
     /// Worker processes that may have crashed.
     unconfirmed_crashes: jobs::crash::UnconfirmedCrashes,
     /// Worker processes that have ended but may still be listed, with when the end was noticed.
-    ended_lives: BTreeMap<Incarnation, Millis>,
+    ended_incarnations: BTreeMap<Incarnation, Millis>,
     /// Jobs whose counts of crashes have changed.
     recount_jobs: BTreeSet<JobKey>,
     /// Counts of worker crashes by their outcome, since the takeover.
@@ -187,7 +187,7 @@
             usages: WorkspaceUsages::default(),
             shares: ShareLimits::default(),
             unconfirmed_crashes: jobs::crash::UnconfirmedCrashes::default(),
-            ended_lives: BTreeMap::new(),
+            ended_incarnations: BTreeMap::new(),
             recount_jobs: BTreeSet::new(),
             crash_counts: jobs::crash::CrashCounts::default(),
             expired_waits: 0,
@@ -221,7 +221,7 @@
 
     /// The current process of a worker, if the worker is known.
     pub fn worker_life(&self, worker: &Name) -> Option<Incarnation> {
-        self.workers.get(worker).map(Worker::life)
+        self.workers.get(worker).map(Worker::incarnation)
     }
 
     /// Whether a worker is known to have restarted since `life`. Returns false if either start time
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -168,7 +168,7 @@
 
     /// The start times of the workers in use, as far as they are known.
     fn worker_starts(&self) -> BTreeMap<Name, Millis> {
-        let lives = self.workers.values().map(Worker::life);
+        let lives = self.workers.values().map(Worker::incarnation);
         lives.filter_map(|life| Some((life.id, life.started_at?))).collect()
     }
 
--- a/src/cell/workers/report.rs
+++ b/src/cell/workers/report.rs
@@ -170,9 +170,10 @@
             return;
         };
         let Some(spec) = job.spec(task.step.step) else { return };
-        let (lasting, gang, copies) = (spec.long_running, spec.is_gang, spec.allow_copies);
+        let (is_long_running, is_gang, allow_copies) =
+            (spec.long_running, spec.is_gang, spec.allow_copies);
         (job.was_placed, job.has_run) = (true, true);
-        let attempts = job.queue.max_attempts;
+        let max_attempts = job.queue.max_attempts;
         let Some(step) = job.step_mut(task.step) else { return };
         let Some(state) = step.tasks.get_mut(task.index as usize) else { return };
         if state.status == TaskStatus::Done || state.failed_runs.contains(&row.run) {
@@ -183,13 +184,13 @@
         }
         self.dirty_jobs.insert(task.step.job);
         match row.reason {
-            EndReason::Done if !lasting => {
+            EndReason::Done if !is_long_running => {
                 let other = other_run(&state.status, row.run);
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.record_success();
                 }
                 match other {
-                    _ if copies => self.stop_all_runs(task),
+                    _ if allow_copies => self.stop_all_runs(task),
                     Some((worker, run)) => self.stop_run(&worker, task, run),
                     None => {}
                 }
@@ -197,10 +198,10 @@
             }
             EndReason::Failed => {
                 state.failed_workers.push(name.clone());
-                if !lasting {
+                if !is_long_running {
                     state.failed_runs.push(row.run);
                 }
-                let failed = match gang {
+                let failed = match is_gang {
                     true => step.tasks.iter().map(|task| task.failed_runs.len()).sum(),
                     false => state.failed_runs.len(),
                 };
@@ -209,7 +210,7 @@
                     row.run
                 );
                 self.record_worker_failure(now, name, task);
-                match !lasting && failed >= attempts as usize {
+                match !is_long_running && failed >= max_attempts as usize {
                     true => self.close_job(now, task.step.job, JobOutcome::Failed),
                     false => self.requeue_task(task, row.run),
                 }
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -41,7 +41,7 @@
             (*key, run_after_restart(run, sent, reported.contains(key)))
         };
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let ended = worker.life();
+        let ended = worker.incarnation();
         let all: Vec<((TaskKey, u64), RunAfterRestart)> =
             worker.runs.iter().map(classify).collect();
         let mut kept = Vec::new();
@@ -60,7 +60,7 @@
         let mut previous = worker.restart(now, report.started_at, batch, lease_end);
         log::info!(
             "event=worker-restarted worker={name} life={} was={ended} runs={} kept={}",
-            worker.life(),
+            worker.incarnation(),
             all.len(),
             kept.len()
         );
@@ -68,7 +68,7 @@
             worker.add_run(task, run);
         }
         self.crash_counts.restarted += 1;
-        self.ended_lives.insert(ended, now);
+        self.ended_incarnations.insert(ended, now);
         (self.workers_dirty, self.needs_placement) = (true, true);
         for ((task, run), outcome) in all {
             match outcome {
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -128,9 +128,9 @@
         self.record_worker_crash(now, name, has_ended);
         let Some(worker) = self.workers.remove(name) else { return };
         if has_ended {
-            let incarnation = worker.life();
+            let incarnation = worker.incarnation();
             self.resolve_crash(&incarnation, CrashResolution::Ended);
-            self.ended_lives.insert(incarnation, now);
+            self.ended_incarnations.insert(incarnation, now);
         }
         let (why, is_leaving) = (reason.name(), worker.listed.leaves_in.is_some());
         log::info!(
@@ -151,7 +151,7 @@
         let ids: BTreeSet<Name> = listed.iter().map(|entry| entry.id.clone()).collect();
         let incarnations: BTreeSet<Incarnation> =
             listed.iter().map(WorkerInfo::incarnation).collect();
-        self.ended_lives.retain(|incarnation, _| incarnations.contains(incarnation));
+        self.ended_incarnations.retain(|incarnation, _| incarnations.contains(incarnation));
         for worker in self.workers.values_mut() {
             worker.is_listed = ids.contains(&worker.listed.id);
         }
@@ -165,7 +165,7 @@
     /// Adds or updates a worker from its entry in the list.
     fn update_listing(&mut self, now: Millis, listed: WorkerInfo) {
         let (name, incarnation) = (listed.id.clone(), listed.incarnation());
-        if self.ended_lives.contains_key(&incarnation) {
+        if self.ended_incarnations.contains_key(&incarnation) {
             return;
         }
         self.confirm_earlier_crashes(&incarnation, &listed.addr);
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -132,7 +132,7 @@
     pub listed: WorkerInfo,
     /// When the current incarnation started: the one that reports, or on which an earlier owner
     /// left runs.
-    born: Option<Millis>,
+    started_at: Option<Millis>,
     /// When a restart of the worker was last noticed.
     pub restarted_at: Millis,
     /// A message to it was not answered since its last report, so it may have restarted.
@@ -189,7 +189,7 @@
     /// Creates a worker that has not reported yet.
     pub fn new(listed: WorkerInfo, roster_batch: u64, lease_end: Millis) -> Self {
         Self {
-            born: listed.started_at,
+            started_at: listed.started_at,
             restarted_at: Millis(0),
             maybe_restarted: false,
             listed,
@@ -218,13 +218,13 @@
     }
 
     /// The incarnation that is known here.
-    pub fn life(&self) -> Incarnation {
-        Incarnation { id: self.listed.id.clone(), started_at: self.born }
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { id: self.listed.id.clone(), started_at: self.started_at }
     }
 
-    /// Whether a process that started at `born` is another incarnation than the one known here.
-    pub fn is_other_incarnation(&self, born: Option<Millis>) -> bool {
-        start_times_differ(self.born, born)
+    /// Whether a process that started at `started_at` is another incarnation than the one known here.
+    pub fn is_other_incarnation(&self, started_at: Option<Millis>) -> bool {
+        start_times_differ(self.started_at, started_at)
     }
 
     /// Resets the state to that of a new incarnation and returns the state of the previous one.
@@ -235,12 +235,12 @@
     pub fn restart(
         &mut self,
         now: Millis,
-        born: Option<Millis>,
+        started_at: Option<Millis>,
         batch: u64,
         lease_end: Millis,
     ) -> Self {
         let next = Self::new(self.listed.clone(), batch, lease_end);
-        let next = Self { born, restarted_at: now, is_listed: self.is_listed, ..next };
+        let next = Self { started_at, restarted_at: now, is_listed: self.is_listed, ..next };
         std::mem::replace(self, next)
     }
 
@@ -315,8 +315,8 @@
         self.is_reachable = true;
         self.first_report.get_or_insert(now);
         self.missed_reports = 0;
-        let is_first_start_time = self.born.is_none() && report.started_at.is_some();
-        self.born = self.born.or(report.started_at);
+        let is_first_start_time = self.started_at.is_none() && report.started_at.is_some();
+        self.started_at = self.started_at.or(report.started_at);
         is_first_start_time
     }
 
