--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -222,7 +222,8 @@
         Incarnation { id: self.listed.id.clone(), started_at: self.started_at }
     }
 
-    /// Whether a process that started at `started_at` is another incarnation than the one known here.
+    /// Whether a process that started at `started_at` is another incarnation than the one known
+    /// here.
     pub fn is_other_incarnation(&self, started_at: Option<Millis>) -> bool {
         start_times_differ(self.started_at, started_at)
     }
