--- a/src/check.rs
+++ b/src/check.rs
@@ -70,76 +70,80 @@
 
 impl State {
     fn apply(&mut self, event: &Event) -> Vec<Invariant> {
-        let who = &event.process;
+        let process = &event.process;
         match &event.kind {
             EventKind::WorkerRestarted { .. } => {
-                self.worker_up(who);
+                self.worker_restarted(process);
                 Vec::new()
             }
-            EventKind::WorkerStarted { task, size, total, repeat } => {
-                self.worker_started(who, task, size, total, *repeat)
+            EventKind::WorkerStartedTask { task, size, total, repeat } => {
+                self.worker_started(process, task, size, total, *repeat)
             }
-            EventKind::WorkerEnded { task, .. } => {
-                self.worker_ended(who, task);
+            EventKind::WorkerEndedTask { task, .. } => {
+                self.worker_ended(process, task);
                 Vec::new()
             }
-            EventKind::Ended { task, outcome: TaskOutcome::Cancelled } => {
+            EventKind::TaskEnded { task, outcome: TaskOutcome::Cancelled } => {
                 let ran = self.started_tasks.contains(&(task.job.clone(), task.index));
                 violated_if(ran && task.attempt == 0, Invariant::NotRun)
             }
-            EventKind::RequestIn { request, repeat: false, .. } => {
+            EventKind::RequestReceived { request, repeat: false, .. } => {
                 self.non_repeatable.insert(request.clone());
                 Vec::new()
             }
             EventKind::RunnerRan { request } => self.runner_ran(request),
-            EventKind::RequestOut { request, run, .. } => self.request_out(request, run),
-            EventKind::TableInForce { rev, .. } => {
-                let last = self.table_revisions.insert(who.clone(), *rev);
-                violated_if(last.is_some_and(|last| last >= *rev), Invariant::NoOlderTable)
+            EventKind::RequestAnswered { request, run, .. } => self.request_out(request, run),
+            EventKind::TableActivated { rev, .. } => {
+                let previous = self.table_revisions.insert(process.clone(), *rev);
+                violated_if(
+                    previous.is_some_and(|previous| previous >= *rev),
+                    Invariant::NoOlderTable,
+                )
             }
             EventKind::ProcessStarted { .. } => {
-                self.table_revisions.remove(who);
+                self.table_revisions.remove(process);
                 Vec::new()
             }
             EventKind::OwnershipTaken { shard, epoch, .. } => {
-                let first = self.shard_owners.entry((shard.clone(), *epoch)).or_insert(who.clone());
-                violated_if(first != who, Invariant::OneOwner)
+                let epoch_owner =
+                    self.shard_owners.entry((shard.clone(), *epoch)).or_insert(process.clone());
+                violated_if(epoch_owner != process, Invariant::OneOwner)
             }
-            EventKind::HandedOver { shard, epoch, to } => {
+            EventKind::OwnershipHandedOver { shard, epoch, to } => {
                 let owner = self.shard_owners.insert((shard.clone(), *epoch), to.clone());
-                violated_if(owner.is_some_and(|owner| owner != *who), Invariant::OneOwner)
+                violated_if(owner.is_some_and(|owner| owner != *process), Invariant::OneOwner)
             }
             EventKind::OwnershipContinued { shard, epoch, from } => {
-                let owner = self.shard_owners.insert((shard.clone(), *epoch), who.clone());
-                let is_allowed = owner.is_none_or(|owner| owner == *who || owner == *from);
+                let owner = self.shard_owners.insert((shard.clone(), *epoch), process.clone());
+                let is_allowed = owner.is_none_or(|owner| owner == *process || owner == *from);
                 violated_if(!is_allowed, Invariant::OneOwner)
             }
             _ => Vec::new(),
         }
     }
 
-    fn worker_up(&mut self, who: &Name) {
-        let tasks = self.tasks_by_worker.remove(who).unwrap_or_default();
+    fn worker_restarted(&mut self, process: &Name) {
+        let tasks = self.tasks_by_worker.remove(process).unwrap_or_default();
         for task in tasks.into_keys() {
-            self.remove_placement(who, &task);
+            self.remove_placement(process, &task);
         }
     }
 
-    fn remove_placement(&mut self, who: &Name, task: &TaskId) {
+    fn remove_placement(&mut self, process: &Name, task: &TaskId) {
         if let Some(workers) = self.workers_by_task.get_mut(&(task.job.clone(), task.index)) {
-            workers.remove(who);
+            workers.remove(process);
         }
     }
 
     fn worker_started(
         &mut self,
-        who: &Name,
+        process: &Name,
         task: &TaskId,
         size: &Size,
         total: &Size,
         repeat: bool,
     ) -> Vec<Invariant> {
-        let tasks = self.tasks_by_worker.entry(who.clone()).or_default();
+        let tasks = self.tasks_by_worker.entry(process.clone()).or_default();
         tasks.insert(task.clone(), *size);
         let sum = tasks.values().try_fold(Size::default(), |sum, size| sum.checked_add(size));
         let is_over = sum.is_none_or(|sum| !total.can_fit(&sum));
@@ -147,26 +151,26 @@
         let was_started = !self.started_tasks.insert(task_key.clone());
         let workers = self.workers_by_task.entry(task_key).or_default();
         let is_elsewhere = !workers.is_empty();
-        workers.insert(who.clone());
+        workers.insert(process.clone());
         let mut violations = violated_if(is_over, Invariant::Capacity);
         violations.extend(violated_if(is_elsewhere, Invariant::OnePlace));
         violations.extend(violated_if(was_started && !repeat, Invariant::AtMostOnce));
         violations
     }
 
-    fn worker_ended(&mut self, who: &Name, task: &TaskId) {
-        if let Some(tasks) = self.tasks_by_worker.get_mut(who) {
+    fn worker_ended(&mut self, process: &Name, task: &TaskId) {
+        if let Some(tasks) = self.tasks_by_worker.get_mut(process) {
             tasks.remove(task);
         }
-        self.remove_placement(who, task);
+        self.remove_placement(process, task);
     }
 
     fn runner_ran(&mut self, request: &Name) -> Vec<Invariant> {
-        let runs = self.request_runs.entry(request.clone()).or_insert(0);
-        *runs += 1;
+        let run_count = self.request_runs.entry(request.clone()).or_insert(0);
+        *run_count += 1;
         let mut violations = violated_if(self.reported_unrun.contains(request), Invariant::NotRun);
         violations.extend(violated_if(
-            *runs > 1 && self.non_repeatable.contains(request),
+            *run_count > 1 && self.non_repeatable.contains(request),
             Invariant::AtMostOnce,
         ));
         violations
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -87,10 +87,10 @@
     pub fn now(&self) -> Millis {
         let now = (self.source)().since(self.origin) + Millis(1);
         let last = Millis(self.last_reading.fetch_max(now.0, Ordering::Relaxed));
-        let length = now.since(last);
-        if last.0 > 0 && length >= MIN_PAUSE {
+        let pause = now.since(last);
+        if last.0 > 0 && pause >= MIN_PAUSE {
             self.pause_count.fetch_add(1, Ordering::Relaxed);
-            log::warn!("event=process-paused ms={length}");
+            log::warn!("event=process-paused ms={pause}");
         }
         now
     }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -30,10 +30,10 @@
     fn run(self) -> Result<()>;
 }
 
-/// A scheduler for unlike workloads on one cluster, driven by one table.
+/// A scheduler for mixed workloads on one cluster, configured by one table.
 ///
 ///
-/// Exit codes: 0 done; 1 failed; 2 wrong use; 3 refused by the system, or a check found faults.
+/// Exit codes: 0 success; 1 failure; 2 wrong usage; 3 refused by the system, or a check found faults.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
--- a/src/controller/shard/call.rs
+++ b/src/controller/shard/call.rs
@@ -16,7 +16,7 @@
         if !self.book.jobs.contains_key(&job) {
             if let Err(why) = self.check(&spec) {
                 let reason = refusal_name(why);
-                self.out.push(Action::Trace(EventKind::Refused { job, reason }));
+                self.out.push(Action::Trace(EventKind::JobRefused { job, reason }));
                 self.out.push(Action::Reply { token, answer: Answer::Refused(why) });
                 return;
             }
@@ -32,7 +32,7 @@
         self.queue.add_all(shape(spec), now, job.clone(), spec.tasks);
         self.dirty = true;
         let (job, spec) = (job.clone(), spec.clone());
-        self.out.push(Action::Trace(EventKind::Submitted {
+        self.out.push(Action::Trace(EventKind::JobSubmitted {
             job: job.clone(),
             kind: spec.kind.clone(),
             tasks: spec.tasks,
@@ -74,7 +74,7 @@
             if !self.undoing.contains(&id) {
                 self.load(&kind).dequeue(queued, cpu);
             }
-            self.out.push(Action::Trace(EventKind::Cancelled { job: id.clone() }));
+            self.out.push(Action::Trace(EventKind::JobCancelled { job: id.clone() }));
             self.note(StateChange::Cancel { job: id.clone() }, None);
             for index in bound {
                 self.stop_task(now, &id, index, StopWhy::Cancel);
--- a/src/controller/shard/life.rs
+++ b/src/controller/shard/life.rs
@@ -138,7 +138,7 @@
     fn finish(&mut self, now: Millis, task: &TaskId, outcome: TaskOutcome) {
         self.release(task);
         self.note(StateChange::Finish { task: task.clone(), outcome }, None);
-        self.out.push(Action::Trace(EventKind::Ended { task: task.clone(), outcome }));
+        self.out.push(Action::Trace(EventKind::TaskEnded { task: task.clone(), outcome }));
         let (job, index) = (task.job.clone(), task.index);
         self.out.push(Action::Append(Record::Ended { job, index, outcome }));
         self.settle_gang(now, &task.job);
@@ -148,7 +148,7 @@
     fn requeue(&mut self, now: Millis, task: &TaskId) {
         self.release(task);
         self.note(StateChange::Requeue { task: task.clone() }, None);
-        self.out.push(Action::Trace(EventKind::Requeued { task: task.clone() }));
+        self.out.push(Action::Trace(EventKind::TaskRequeued { task: task.clone() }));
         let Some(job) = self.book.jobs.get(&task.job) else { return };
         let (at, shape, cancelled) = (job.at, shape(&job.spec), job.cancelled);
         match job.spec.gang {
--- a/src/controller/shard/plan.rs
+++ b/src/controller/shard/plan.rs
@@ -167,7 +167,8 @@
         };
         self.live.insert(task.clone(), live);
         let (worker, owner, epoch) = (name.clone(), self.me.clone(), self.epoch());
-        let what = EventKind::Bound { task: task.clone(), worker: worker.clone(), epoch, waited };
+        let what =
+            EventKind::TaskBound { task: task.clone(), worker: worker.clone(), epoch, waited };
         self.out.push(Action::Trace(what));
         let note = StateChange::Bind { task: task.clone(), worker, incarnation, owner };
         self.note(note, Some(Effect::Start(task)));
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -82,10 +82,10 @@
     let mut refused: BTreeMap<(Name, u16), u32> = BTreeMap::new();
     for event in events {
         match &event.kind {
-            EventKind::RequestIn { request, kind, .. } => {
+            EventKind::RequestReceived { request, kind, .. } => {
                 kinds.insert(request.clone(), kind.clone());
             }
-            EventKind::RequestOut { request, status, waited, .. } => {
+            EventKind::RequestAnswered { request, status, waited, .. } => {
                 let Some(kind) = kinds.get(request) else { continue };
                 match status {
                     200 => waits.entry(kind.clone()).or_default().0.push(waited.0),
@@ -115,8 +115,10 @@
     let mut waits: BTreeMap<Name, Waits> = BTreeMap::new();
     for event in events {
         match &event.kind {
-            EventKind::Submitted { job, kind, .. } => drop(kinds.insert(job.clone(), kind.clone())),
-            EventKind::Bound { task, waited, .. } => {
+            EventKind::JobSubmitted { job, kind, .. } => {
+                drop(kinds.insert(job.clone(), kind.clone()))
+            }
+            EventKind::TaskBound { task, waited, .. } => {
                 let kind = kinds.get(&task.job).cloned().unwrap_or_else(|| "?".into());
                 waits.entry(kind).or_default().0.push(waited.0);
             }
@@ -136,11 +138,11 @@
         area += used * now.since(last).0;
         last = now;
         match &event.kind {
-            EventKind::WorkerStarted { task, size, .. } => {
+            EventKind::WorkerStartedTask { task, size, .. } => {
                 used += size.cpu as u64;
                 running.insert(task.clone(), size.cpu as u64);
             }
-            EventKind::WorkerEnded { task, .. } => used -= running.remove(task).unwrap_or(0),
+            EventKind::WorkerEndedTask { task, .. } => used -= running.remove(task).unwrap_or(0),
             _ => {}
         }
         most = most.max(used);
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -177,7 +177,7 @@
             gang: job.gang,
             size: Size::new(job.cpu, job.mem, job.acc),
             run_time: Millis(job.run),
-            repeatable: job.repeat && row.repeat,
+            repeatable: job.repeat && row.repeatable,
         };
         self.submit(spec, key.as_deref()).await.map(Json)
     }
--- a/src/entry/beat.rs
+++ b/src/entry/beat.rs
@@ -172,7 +172,7 @@
             let list = self.http.post_json(me, addr, "/list", &ask, LIST_LIMIT).await;
             if list.is_ok() != up {
                 up = !up;
-                self.trace.record(EventKind::Platform { part: "list".into(), up });
+                self.trace.record(EventKind::PlatformStatus { part: "list".into(), up });
             }
             if let Ok(list) = list {
                 self.take_list(list);
@@ -189,7 +189,7 @@
         let gone = |name: &str| lock(&self.lists).is_gone(name);
         lock(&self.peers).set_list(&list, gone);
         for vm in self.leaving_vms().into_iter().filter(|vm| !before.contains(vm)) {
-            self.trace.record(EventKind::Leaving { vm });
+            self.trace.record(EventKind::VmLeaving { vm });
         }
         let here = list.vms.iter().filter(|vm| vm.domain == self.settings.domain);
         for vm in here.filter(|vm| vm.role != Role::Entry) {
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -24,7 +24,11 @@
         let Some((to, addr)) = self.successor(handle).await else { return };
         let Some((epoch, state)) = handle.shard().hand_over() else { return };
         let (shard, name) = (handle.id.clone(), to.name.clone());
-        self.trace.record(EventKind::HandedOver { shard: shard.clone(), epoch, to: name.clone() });
+        self.trace.record(EventKind::OwnershipHandedOver {
+            shard: shard.clone(),
+            epoch,
+            to: name.clone(),
+        });
         self.news.notify_one();
         let from = self.me.clone();
         let ask = Ask::HandOver { shard, from, to, epoch, state };
--- a/src/entry/log.rs
+++ b/src/entry/log.rs
@@ -205,7 +205,7 @@
             let reply = self.read(&ask).await;
             if reply.is_ok() != up {
                 up = !up;
-                self.trace.record(EventKind::Platform { part: "log".into(), up });
+                self.trace.record(EventKind::PlatformStatus { part: "log".into(), up });
             }
             match reply {
                 Ok(reply) => self.take_read(from, begun, reply),
@@ -273,7 +273,7 @@
         };
         self.set_table(table.clone());
         self.metrics.revision.set(rev as i64);
-        self.trace.record(EventKind::TableInForce { rev, by });
+        self.trace.record(EventKind::TableActivated { rev, by });
         self.set_policy(&table);
         self.update_runners();
         self.news.notify_one();
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -107,7 +107,9 @@
         let (shard, epoch) = (claim.shard.clone(), claim.epoch);
         match () {
             _ if deposed => self.trace.record(EventKind::OwnershipLost { shard, epoch }),
-            _ if claim.owner == self.me => self.trace.record(EventKind::Elected { shard, epoch }),
+            _ if claim.owner == self.me => {
+                self.trace.record(EventKind::ElectionWon { shard, epoch })
+            }
             _ => self.trace.record(EventKind::EpochSealed { shard, epoch }),
         }
         handle.kick.notify_one();
@@ -281,9 +283,9 @@
     /// Adds an owner's event to the time line and the metrics.
     fn record(&self, what: EventKind) {
         match &what {
-            EventKind::Bound { waited, .. } => self.metrics.waited(waited.0),
+            EventKind::TaskBound { waited, .. } => self.metrics.waited(waited.0),
             EventKind::StartSent { .. } => self.metrics.starts.inc(),
-            EventKind::Ended { .. } => self.metrics.ended.inc(),
+            EventKind::TaskEnded { .. } => self.metrics.ended.inc(),
             _ => {}
         }
         self.trace.record(what);
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -26,7 +26,7 @@
             return self.drained().await;
         }
         let begun = self.now();
-        self.trace.record(EventKind::Stopping);
+        self.trace.record(EventKind::ProcessStopping);
         self.news.notify_one();
         while self.owned() > 0 && self.now().since(begun) < HANDOVER {
             for handle in self.shards() {
--- a/src/filter/classify.rs
+++ b/src/filter/classify.rs
@@ -27,7 +27,7 @@
     let wait = exchange.wait.map_or(row.deadline, |wait| wait.min(row.deadline));
     let due = exchange.came + wait;
     let classified = Classified { exchange, row, due };
-    entry.trace.record(EventKind::RequestIn {
+    entry.trace.record(EventKind::RequestReceived {
         request: classified.exchange.id.clone(),
         kind: classified.exchange.kind.clone(),
         repeat: classified.repeatable(),
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -58,7 +58,7 @@
 impl Classified {
     /// Whether it may be run again after it may have run.
     pub fn repeatable(&self) -> bool {
-        self.row.repeat && self.exchange.repeat
+        self.row.repeatable && self.exchange.repeat
     }
 }
 
@@ -148,5 +148,5 @@
     };
     entry.metrics.requests.with_label_values(&[&*kind, &status.to_string()]).inc();
     let waited = entry.now().since(came);
-    entry.trace.record(EventKind::RequestOut { request, status, run: run.into(), waited });
+    entry.trace.record(EventKind::RequestAnswered { request, status, run: run.into(), waited });
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -79,13 +79,13 @@
     type Err = ParseJobIdError;
 
     fn from_str(s: &str) -> Result<Self, ParseJobIdError> {
-        let bad = || ParseJobIdError(s.to_string());
-        let (shard, hex) = s.rsplit_once('.').ok_or_else(bad)?;
+        let error = || ParseJobIdError(s.to_string());
+        let (shard, hex) = s.rsplit_once('.').ok_or_else(error)?;
         match u64::from_str_radix(hex, 16) {
             Ok(number) if !shard.is_empty() && hex.len() == 16 => {
                 Ok(Self { shard: shard.into(), number })
             }
-            _ => Err(bad()),
+            _ => Err(error()),
         }
     }
 }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -46,12 +46,12 @@
         let mut line = std::mem::take(&mut self.line);
         line.pop();
         self.count += 1;
-        let is_cut = line.len() > MAX_LINE_BYTES - LINE_NUMBER_BYTES;
-        if is_cut {
+        let is_truncated = line.len() > MAX_LINE_BYTES - LINE_NUMBER_BYTES;
+        if is_truncated {
             line.truncate(MAX_LINE_BYTES - LINE_NUMBER_BYTES);
         }
-        let cut = if is_cut { " cut=true" } else { "" };
-        line.extend_from_slice(format!("{cut} line={}\n", self.count).as_bytes());
+        let truncation_mark = if is_truncated { " cut=true" } else { "" };
+        line.extend_from_slice(format!("{truncation_mark} line={}\n", self.count).as_bytes());
         Some(line)
     }
 }
@@ -80,8 +80,8 @@
 
 impl Write for QueueWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let sent = self.lines.add(bytes).map(|line| self.queue.try_send(line));
-        if let Some(Err(TrySendError::Full(_) | TrySendError::Disconnected(_))) = sent {
+        let queued = self.lines.add(bytes).map(|line| self.queue.try_send(line));
+        if let Some(Err(TrySendError::Full(_) | TrySendError::Disconnected(_))) = queued {
             DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(bytes.len())
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -45,8 +45,8 @@
     /// # Errors
     /// The name is already registered.
     pub fn histogram(&self, name: &str, help: &str, buckets: &[f64]) -> Result<Histogram> {
-        let opts = HistogramOpts::new(name, help).buckets(buckets.to_vec());
-        let histogram = Histogram::with_opts(opts)?;
+        let options = HistogramOpts::new(name, help).buckets(buckets.to_vec());
+        let histogram = Histogram::with_opts(options)?;
         self.0.register(Box::new(histogram.clone()))?;
         Ok(histogram)
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -260,24 +260,24 @@
     }
 
     fn check_object(&mut self, object: &Object<'_>, fields: &[SettingField], path: &str) {
-        let inner =
+        let nested =
             |name: &str| if path.is_empty() { name.into() } else { format!("{path}.{name}") };
         let mut seen = Vec::new();
-        for prop in &object.properties {
-            let name = prop.name.as_str();
-            let at = prop.range().start;
+        for property in &object.properties {
+            let name = property.name.as_str();
+            let at = property.range().start;
             match fields.iter().find(|field| field.name == name) {
-                _ if seen.contains(&name) => self.add_fault(at, &inner(name), "each setting once"),
-                Some(field) => self.check_value(&prop.value, field, &inner(name)),
+                _ if seen.contains(&name) => self.add_fault(at, &nested(name), "each setting once"),
+                Some(field) => self.check_value(&property.value, field, &nested(name)),
                 None => {
-                    self.add_fault(at, &inner(name), &format!("one of {}", field_names(fields)))
+                    self.add_fault(at, &nested(name), &format!("one of {}", field_names(fields)))
                 }
             }
             seen.push(name);
         }
         for field in fields {
             if field.default.is_none() && !seen.contains(&field.name) {
-                self.add_fault(object.range().start, &inner(field.name), &expected(field.kind));
+                self.add_fault(object.range().start, &nested(field.name), &expected(field.kind));
             }
         }
     }
@@ -412,14 +412,14 @@
     for field in fields {
         text.push_str(&format!("{indent}// {}\n", field.help));
         match (field.kind, field.default) {
-            (ValueKind::Group(inner), _) => {
+            (ValueKind::Group(nested), _) => {
                 text.push_str(&format!("{indent}\"{}\": {{\n", field.name));
-                write_fields(text, inner, &format!("{indent}  "));
+                write_fields(text, nested, &format!("{indent}  "));
                 text.push_str(&format!("{indent}}},\n"));
             }
-            (ValueKind::List(inner), _) => {
+            (ValueKind::List(nested), _) => {
                 text.push_str(&format!("{indent}\"{}\": [{{\n", field.name));
-                write_fields(text, inner, &format!("{indent}  "));
+                write_fields(text, nested, &format!("{indent}  "));
                 text.push_str(&format!("{indent}}}],\n"));
             }
             (_, Some(default)) => {
--- a/src/size.rs
+++ b/src/size.rs
@@ -58,14 +58,18 @@
 
     /// How many copies of `need` fit into `self`; `u32::MAX` if `need` is zero.
     pub fn max_copies(&self, need: &Self) -> u32 {
-        let per = |have: u32, want: u32| have.checked_div(want).unwrap_or(u32::MAX);
-        per(self.cpu, need.cpu).min(per(self.mem, need.mem)).min(per(self.acc, need.acc))
+        let copies =
+            |available: u32, needed: u32| available.checked_div(needed).unwrap_or(u32::MAX);
+        copies(self.cpu, need.cpu).min(copies(self.mem, need.mem)).min(copies(self.acc, need.acc))
     }
 
     /// Dominant share: the largest fraction of `self` that `used` takes in any dimension, in thousandths.
     pub fn dominant_share(&self, used: &Self) -> u32 {
-        let part = |used: u32, all: u32| (used as u64 * 1000).checked_div(all as u64).unwrap_or(0);
-        part(used.cpu, self.cpu).max(part(used.mem, self.mem)).max(part(used.acc, self.acc)) as u32
+        let fraction =
+            |used: u32, total: u32| (used as u64 * 1000).checked_div(total as u64).unwrap_or(0);
+        fraction(used.cpu, self.cpu)
+            .max(fraction(used.mem, self.mem))
+            .max(fraction(used.acc, self.acc)) as u32
     }
 }
 
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -83,7 +83,7 @@
 
     /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
-        self.trace.record(EventKind::Platform { part: "log".into(), up: !faults.log_down });
+        self.trace.record(EventKind::PlatformStatus { part: "log".into(), up: !faults.log_down });
         *lock(&self.faults) = faults;
     }
 
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -87,7 +87,7 @@
                 _ if ends.is_some_and(|ends| ends <= now) => TaskOutcome::Done,
                 _ => continue,
             };
-            self.trace.record(EventKind::WorkerEnded { task: id.clone(), outcome });
+            self.trace.record(EventKind::WorkerEndedTask { task: id.clone(), outcome });
             *task = Task::Ended(outcome);
         }
     }
@@ -107,7 +107,7 @@
         let run = Millis(order.run.0 * stretch / 100);
         let ends = (order.run > Millis(0)).then(|| now + run);
         let (task, size, repeat) = (order.task.clone(), order.size, order.repeat);
-        self.trace.record(EventKind::WorkerStarted {
+        self.trace.record(EventKind::WorkerStartedTask {
             task: task.clone(),
             size,
             total: self.size,
@@ -124,7 +124,7 @@
             Some(Task::Ended(outcome)) => return TaskReply::Ended(*outcome),
             Some(Task::Running { .. }) => {
                 let outcome = TaskOutcome::Stopped;
-                self.trace.record(EventKind::WorkerEnded { task: id.clone(), outcome });
+                self.trace.record(EventKind::WorkerEndedTask { task: id.clone(), outcome });
                 outcome
             }
             None => TaskOutcome::Cancelled,
--- a/src/table.rs
+++ b/src/table.rs
@@ -51,7 +51,8 @@
     /// Maximum time that a request may take, or a task may wait.
     pub deadline: Millis,
     /// Whether the work may be run more than once.
-    pub repeat: bool,
+    #[serde(rename = "repeat")]
+    pub repeatable: bool,
     /// How often a failed task is retried.
     pub retries: u32,
     /// Placement weight for packing tasks onto few workers.
@@ -125,8 +126,8 @@
 
 /// Whether `s` is a valid name of a kind of work, team, VM, shard or failure domain.
 pub fn is_name(s: &str) -> bool {
-    let ok = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    !s.is_empty() && s.len() <= 64 && s.chars().all(ok)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    !s.is_empty() && s.len() <= 64 && s.chars().all(is_allowed)
 }
 
 /// A line of the file with its headings and the faults found in it so far.
@@ -139,7 +140,7 @@
 
 impl TableLine<'_> {
     fn cell(&self, column: &str) -> &str {
-        let at = self.headings.iter().position(|head| head == column);
+        let at = self.headings.iter().position(|heading| heading == column);
         at.and_then(|i| self.cells.get(i)).unwrap_or("").trim()
     }
 
@@ -155,11 +156,11 @@
     }
 
     fn parse_cell<T>(&mut self, column: &str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
-        let got = parse(self.cell(column));
-        if got.is_none() {
+        let value = parse(self.cell(column));
+        if value.is_none() {
             self.add_fault(column, expected_value(column));
         }
-        got
+        value
     }
 
     fn number(&mut self, column: &str, min: u64, max: u64) -> Option<u64> {
@@ -176,15 +177,15 @@
 
     fn domain_weights(&mut self) -> BTreeMap<Name, u32> {
         let mut weights = BTreeMap::new();
-        for head in self.headings.iter().filter(|head| head.starts_with(DOMAIN_PREFIX)) {
-            let weight = match self.cell(head) {
+        for heading in self.headings.iter().filter(|heading| heading.starts_with(DOMAIN_PREFIX)) {
+            let weight = match self.cell(heading) {
                 "" => Some(0),
                 s => s.parse().ok().filter(|n| *n <= MAX_WEIGHT),
             };
             match weight {
                 Some(0) => {}
-                Some(n) => drop(weights.insert(head[DOMAIN_PREFIX.len()..].into(), n)),
-                None => self.add_fault(head, DOMAIN_WEIGHT_HELP),
+                Some(n) => drop(weights.insert(heading[DOMAIN_PREFIX.len()..].into(), n)),
+                None => self.add_fault(heading, DOMAIN_WEIGHT_HELP),
             }
         }
         weights
@@ -198,13 +199,13 @@
         let limit = self.number_u32("limit", 1, 1_000_000);
         let queue = self.number_u32("queue", 0, 1_000_000);
         let deadline = self.number("deadline", 1, MAX_DEADLINE_MS);
-        let repeat = self.parse_cell("repeat", parse_yes_no);
+        let repeatable = self.parse_cell("repeat", parse_yes_no);
         let retries = self.number_u32("retries", 0, MAX_RETRIES);
         let pack = self.number_u32("pack", 0, MAX_WEIGHT);
         let spread = self.number_u32("spread", 0, MAX_WEIGHT);
         let quota = self.number_u32("quota", 0, 4_000_000_000);
         let domain_weights = self.domain_weights();
-        if repeat == Some(false) && retries.is_some_and(|n| n > 0) {
+        if repeatable == Some(false) && retries.is_some_and(|n| n > 0) {
             self.add_fault("retries", expected_value("retries"));
         }
         Some(Row {
@@ -215,7 +216,7 @@
             limit: limit?,
             queue: queue?,
             deadline: Millis(deadline?),
-            repeat: repeat?,
+            repeatable: repeatable?,
             retries: retries?,
             pack: pack?,
             spread: spread?,
@@ -254,7 +255,7 @@
 fn check_headings(headings: &[String]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (name, expected) in COLUMNS {
-        if !headings.iter().any(|head| head == name) {
+        if !headings.iter().any(|heading| heading == name) {
             faults.push(file_fault(
                 1,
                 name,
@@ -264,13 +265,13 @@
         }
     }
     let mut seen = BTreeSet::new();
-    for head in headings {
-        let known = COLUMNS.iter().any(|(name, _)| name == head);
-        let is_domain = head.strip_prefix(DOMAIN_PREFIX).is_some_and(is_name);
-        match seen.insert(head) {
+    for heading in headings {
+        let known = COLUMNS.iter().any(|(name, _)| name == heading);
+        let is_domain = heading.strip_prefix(DOMAIN_PREFIX).is_some_and(is_name);
+        match seen.insert(heading) {
             true if known || is_domain => {}
-            true => faults.push(file_fault(1, head, head, "a known heading or site:DOMAIN")),
-            false => faults.push(file_fault(1, head, head, "each heading once")),
+            true => faults.push(file_fault(1, heading, heading, "a known heading or site:DOMAIN")),
+            false => faults.push(file_fault(1, heading, heading, "each heading once")),
         }
     }
     faults
@@ -383,7 +384,7 @@
                 ("limit", row.limit.to_string()),
                 ("queue", row.queue.to_string()),
                 ("deadline", row.deadline.to_string()),
-                ("repeat", row.repeat.to_string()),
+                ("repeat", row.repeatable.to_string()),
                 ("retries", row.retries.to_string()),
                 ("pack", row.pack.to_string()),
                 ("spread", row.spread.to_string()),
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -36,17 +36,21 @@
     #[serde(rename = "up")]
     ProcessStarted { role: Name },
     /// A process began its planned shutdown.
-    Stopping,
+    #[serde(rename = "stopping")]
+    ProcessStopping,
     /// The process activated a table.
-    TableInForce { rev: u64, by: Name },
+    #[serde(rename = "table-in-force")]
+    TableActivated { rev: u64, by: Name },
     /// The process read its claim on a shard back from the log as the first of the epoch, and so won the
     /// election.
-    Elected { shard: Name, epoch: u64 },
+    #[serde(rename = "elected")]
+    ElectionWon { shard: Name, epoch: u64 },
     /// An owner has the complete state of the shard and starts to schedule.
     #[serde(rename = "took-office")]
     OwnershipTaken { shard: Name, epoch: u64, from: Name },
     /// An owner handed a shard over to a replica for the rest of the epoch.
-    HandedOver { shard: Name, epoch: u64, to: Name },
+    #[serde(rename = "handed-over")]
+    OwnershipHandedOver { shard: Name, epoch: u64, to: Name },
     /// A replica continues as the owner for the rest of an epoch that `from` handed over.
     #[serde(rename = "succeeded")]
     OwnershipContinued { shard: Name, epoch: u64, from: Name },
@@ -57,43 +61,55 @@
     #[serde(rename = "sealed")]
     EpochSealed { shard: Name, epoch: u64 },
     /// A job was accepted.
-    Submitted { job: JobId, kind: Name, tasks: u32, repeat: bool },
+    #[serde(rename = "submitted")]
+    JobSubmitted { job: JobId, kind: Name, tasks: u32, repeat: bool },
     /// A job was refused.
-    Refused { job: JobId, reason: Name },
+    #[serde(rename = "refused")]
+    JobRefused { job: JobId, reason: Name },
     /// A job was cancelled by its caller.
-    Cancelled { job: JobId },
+    #[serde(rename = "cancelled")]
+    JobCancelled { job: JobId },
     /// A task was bound to a worker.
-    Bound { task: TaskId, worker: Name, epoch: u64, waited: Millis },
+    #[serde(rename = "bound")]
+    TaskBound { task: TaskId, worker: Name, epoch: u64, waited: Millis },
     /// A start order was sent to a worker.
     StartSent { task: TaskId, worker: Name, owner: EntryId },
     /// The owner recorded the end of a task.
-    Ended { task: TaskId, outcome: TaskOutcome },
+    #[serde(rename = "ended")]
+    TaskEnded { task: TaskId, outcome: TaskOutcome },
     /// A task was queued again with its next attempt.
-    Requeued { task: TaskId },
+    #[serde(rename = "requeued")]
+    TaskRequeued { task: TaskId },
     /// A worker started a task.
-    WorkerStarted { task: TaskId, size: Size, total: Size, repeat: bool },
+    #[serde(rename = "worker-started")]
+    WorkerStartedTask { task: TaskId, size: Size, total: Size, repeat: bool },
     /// A worker stopped running a task.
-    WorkerEnded { task: TaskId, outcome: TaskOutcome },
+    #[serde(rename = "worker-ended")]
+    WorkerEndedTask { task: TaskId, outcome: TaskOutcome },
     /// A worker process started, and tasks of an earlier process are gone.
     #[serde(rename = "worker-up")]
     WorkerRestarted { total: Size },
     /// A request was received.
-    RequestIn { request: Name, kind: Name, repeat: bool },
+    #[serde(rename = "request-in")]
+    RequestReceived { request: Name, kind: Name, repeat: bool },
     /// A request was sent to a runner.
     RequestSent { request: Name, runner: Name },
     /// A request got its final response, with its status and whether the request may have run.
-    RequestOut { request: Name, status: u16, run: Name, waited: Millis },
+    #[serde(rename = "request-out")]
+    RequestAnswered { request: Name, status: u16, run: Name, waited: Millis },
     /// A runner ran a request.
     RunnerRan { request: Name },
     /// A connection to another entry was opened, with the negotiated message version.
     PeerConnected { peer: Name, version: u8 },
     /// The process learned that a VM is leaving.
-    Leaving { vm: Name },
+    #[serde(rename = "leaving")]
+    VmLeaving { vm: Name },
     /// A worker gets no new tasks because its tasks keep failing.
     #[serde(rename = "set-aside")]
     WorkerSetAside { worker: Name },
     /// The platform's log or VM list became unreachable, or reachable again.
-    Platform { part: Name, up: bool },
+    #[serde(rename = "platform")]
+    PlatformStatus { part: Name, up: bool },
     /// An event kind of a newer version, unknown to this one.
     #[serde(other)]
     Other,
@@ -105,18 +121,18 @@
         match self {
             Self::OwnershipLost { .. }
             | Self::WorkerSetAside { .. }
-            | Self::Platform { up: false, .. } => log::Level::Warn,
+            | Self::PlatformStatus { up: false, .. } => log::Level::Warn,
             Self::ProcessStarted { .. }
-            | Self::Stopping
-            | Self::TableInForce { .. }
-            | Self::Elected { .. }
+            | Self::ProcessStopping
+            | Self::TableActivated { .. }
+            | Self::ElectionWon { .. }
             | Self::OwnershipTaken { .. }
-            | Self::HandedOver { .. }
+            | Self::OwnershipHandedOver { .. }
             | Self::OwnershipContinued { .. }
             | Self::EpochSealed { .. }
-            | Self::Leaving { .. }
+            | Self::VmLeaving { .. }
             | Self::PeerConnected { .. }
-            | Self::Platform { .. } => log::Level::Info,
+            | Self::PlatformStatus { .. } => log::Level::Info,
             _ => log::Level::Debug,
         }
     }
--- a/src/workload.rs
+++ b/src/workload.rs
@@ -80,16 +80,16 @@
     type Err = ParseKeyError;
 
     fn from_str(s: &str) -> Result<Self, ParseKeyError> {
-        let bad = || ParseKeyError(s.to_string());
+        let error = || ParseKeyError(s.to_string());
         let mut parts = s.split('.');
-        let mut next = || parts.next().ok_or_else(bad);
+        let mut next = || parts.next().ok_or_else(error);
         let job = next()?.parse()?;
-        let repetition = next()?.parse().map_err(|_| bad())?;
-        let step = next()?.parse().map_err(|_| bad())?;
-        let index = next()?.parse().map_err(|_| bad())?;
+        let repetition = next()?.parse().map_err(|_| error())?;
+        let step = next()?.parse().map_err(|_| error())?;
+        let index = next()?.parse().map_err(|_| error())?;
         match parts.next() {
             None => Ok(Self { step: StepKey { job, repetition, step }, index }),
-            Some(_) => Err(bad()),
+            Some(_) => Err(error()),
         }
     }
 }
@@ -231,17 +231,19 @@
         if self.steps.is_empty() {
             return Err(JobDefinitionError::NoSteps);
         }
-        for (no, step) in self.steps.iter().enumerate() {
+        for (number, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
-                return Err(JobDefinitionError::EmptyStep(no));
+                return Err(JobDefinitionError::EmptyStep(number));
             }
-            if let Some(later) = step.dependencies.iter().find(|other| usize::from(**other) >= no) {
-                return Err(JobDefinitionError::DependencyOrder(no, *later));
+            if let Some(later) =
+                step.dependencies.iter().find(|other| usize::from(**other) >= number)
+            {
+                return Err(JobDefinitionError::DependencyOrder(number, *later));
             }
         }
-        let each: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        match each.saturating_mul(u64::from(self.repetitions)) {
-            all if all > MAX_TASKS => Err(JobDefinitionError::TooManyTasks(all)),
+        let task_count: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
+        match task_count.saturating_mul(u64::from(self.repetitions)) {
+            total if total > MAX_TASKS => Err(JobDefinitionError::TooManyTasks(total)),
             _ => Ok(()),
         }
     }
@@ -255,12 +257,16 @@
 
     /// Estimated run time of the critical path, the longest chain of dependent steps.
     pub fn critical_path(&self) -> Millis {
-        let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
+        let mut finish_times: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.dependencies.iter().filter_map(|no| ends.get(usize::from(*no))).max();
-            ends.push(before.copied().unwrap_or(0) + step.estimate.0);
+            let ready_at = step
+                .dependencies
+                .iter()
+                .filter_map(|number| finish_times.get(usize::from(*number)))
+                .max();
+            finish_times.push(ready_at.copied().unwrap_or(0) + step.estimate.0);
         }
-        Millis(ends.into_iter().max().unwrap_or(0))
+        Millis(finish_times.into_iter().max().unwrap_or(0))
     }
 }
 
--- a/tests/failure.rs
+++ b/tests/failure.rs
@@ -376,10 +376,12 @@
     let (mut now, mut most) = (0_usize, 0);
     for event in cell.timeline().await {
         match event.kind {
-            EventKind::WorkerStarted { task, .. } if jobs.contains(&task.job.to_string()) => {
+            EventKind::WorkerStartedTask { task, .. } if jobs.contains(&task.job.to_string()) => {
                 now += 1
             }
-            EventKind::WorkerEnded { task, .. } if jobs.contains(&task.job.to_string()) => now -= 1,
+            EventKind::WorkerEndedTask { task, .. } if jobs.contains(&task.job.to_string()) => {
+                now -= 1
+            }
             _ => {}
         }
         most = most.max(now);
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -214,7 +214,7 @@
     let text = r#"[{"at": 1, "who": "e1", "event": "stopping"},
         {"at": 2, "who": "e1", "event": "from-the-future", "what": {"ever": [1]}}]"#;
     let events: Vec<Event> = serde_json::from_str(text).expect("events");
-    assert_eq!(events[0].kind, EventKind::Stopping);
+    assert_eq!(events[0].kind, EventKind::ProcessStopping);
     assert_eq!(events[1].to_string(), "at=2 who=e1 event=other");
 }
 
