--- a/src/cell/advice/request.rs
+++ b/src/cell/advice/request.rs
@@ -38,8 +38,8 @@
     ) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key) else { return };
-        let advised = &step.clearances;
-        if advised.is_asking || now < advised.retry_at {
+        let clearances = &step.clearances;
+        if clearances.request_pending || now < clearances.retry_at {
             return;
         }
         let workers = self.select_workers(now, key, job, spec, remaining);
@@ -51,7 +51,7 @@
         let request = AdviceRequest { step: key, workers, cost, rank: queue_rank(job) };
         self.advice_queue.push(request);
         if let Some(step) = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key)) {
-            (step.clearances.is_asking, step.clearances.asked_at) = (true, now);
+            (step.clearances.request_pending, step.clearances.requested_at) = (true, now);
         }
     }
 
@@ -72,18 +72,18 @@
             return Vec::new();
         };
         let charge = spec.charged_resources();
-        let advised = &step.clearances;
+        let clearances = &step.clearances;
         let includes_busy = !self.config.disabled.contains(Mechanism::RequestBusyWorkers);
         let open = self.open_candidates(now, key, job, spec).into_iter();
         let is_answered = |candidate: &Candidate| {
-            advised.denied.contains(&candidate.name)
-                || advised.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
+            clearances.denied.contains(&candidate.name)
+                || clearances.has_ticket_for(&candidate.name, now + MIN_TICKET_VALIDITY)
         };
         let (known, unknown): (Vec<Candidate>, Vec<Candidate>) = open
             .filter(|candidate| {
                 !is_answered(candidate) && (includes_busy || candidate.has_room(spec, &charge))
             })
-            .partition(|candidate| advised.cleared.contains_key(&candidate.name));
+            .partition(|candidate| clearances.cleared.contains_key(&candidate.name));
         if spec.is_gang
             && let Some(selected) = self.select_gang_workers(now, key, spec, remaining)
         {
@@ -98,7 +98,7 @@
         let suffices = |known: &[Candidate]| !spec.is_gang && known.iter().any(has_room);
         let (mut selected, limit) = match () {
             () if suffices(&known) => (known, renewed),
-            () if unknown.iter().any(has_room) || advised.has_no_answer() => (unknown, asked),
+            () if unknown.iter().any(has_room) || clearances.has_no_answer() => (unknown, asked),
             // New tickets would not help, as these workers do not have room for the whole gang.
             () if spec.is_gang && known.iter().all(has_room) => (Vec::new(), 0),
             // Room can be made on some of them.
@@ -149,7 +149,7 @@
         while let Some((entry, request)) = self.advice_queue.assign_next(now) {
             let job = self.jobs.get(&request.step.job);
             let since =
-                job.and_then(|job| job.step(request.step)).map(|step| step.clearances.asked_at);
+                job.and_then(|job| job.step(request.step)).map(|step| step.clearances.requested_at);
             log::info!(
                 "event=advice-requested step={} entry={entry} workers={} cost_ms={} queued_ms={}",
                 request.step,
@@ -182,12 +182,12 @@
     fn apply_advice(&mut self, now: Millis, key: StepKey, named: &[Name], cleared: ClearedWorkers) {
         let Some(job) = self.jobs.get_mut(&key.job).filter(|job| job.is_open()) else { return };
         let default = job.queue.advice.map(|advice| advice.ticket_validity).unwrap_or_default();
-        let until = now + cleared.valid_for.unwrap_or(default);
+        let expires_at = now + cleared.valid_for.unwrap_or(default);
         let Some(step) = job.step_mut(key) else { return };
         // Workers that restarted since the request was queued are left out, because the answer may
         // be about their previous process.
         let workers = &self.workers;
-        let since = step.clearances.asked_at;
+        let since = step.clearances.requested_at;
         let is_same =
             |name: &Name| workers.get(name).is_some_and(|worker| worker.restarted_at <= since);
         log::info!(
@@ -195,19 +195,19 @@
             named.len(),
             cleared.tickets.len()
         );
-        let advised = &mut step.clearances;
-        advised.is_asking = false;
-        advised.retry_at = now + REQUEST_INTERVAL;
+        let clearances = &mut step.clearances;
+        clearances.request_pending = false;
+        clearances.retry_at = now + REQUEST_INTERVAL;
         let allowed: BTreeSet<Name> =
             cleared.tickets.iter().map(|(name, _)| name.clone()).collect();
         let denied = named.iter().filter(|name| !allowed.contains(*name) && is_same(name));
-        advised.denied.extend(denied.cloned());
+        clearances.denied.extend(denied.cloned());
         for (name, text) in cleared.tickets.into_iter().filter(|(name, _)| is_same(name)) {
-            advised.cleared.insert(name, Ticket { text, until });
+            clearances.cleared.insert(name, Ticket { text, expires_at });
         }
         if allowed.is_empty() {
             // All workers were denied, so the next request may follow at once.
-            advised.retry_at = now;
+            clearances.retry_at = now;
         }
     }
 
@@ -221,7 +221,7 @@
     pub(in crate::cell) fn clear_request(&mut self, key: StepKey) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(step) = step {
-            step.clearances.is_asking = false;
+            step.clearances.request_pending = false;
             self.needs_placement = true;
         }
     }
@@ -230,7 +230,7 @@
     pub(in crate::cell) fn invalidate_ticket(&mut self, key: StepKey, name: &Name) {
         let step = self.jobs.get_mut(&key.job).and_then(|job| job.step_mut(key));
         if let Some(ticket) = step.and_then(|step| step.clearances.cleared.get_mut(name)) {
-            ticket.until = Millis(0);
+            ticket.expires_at = Millis(0);
         }
     }
 
@@ -240,7 +240,8 @@
         // Without this, a step whose answer was lost would wait forever.
         for step in self.advice_queue.take_overdue(now) {
             let job = self.jobs.get(&step.job);
-            let since = job.and_then(|job| job.step(step)).map(|state| state.clearances.asked_at);
+            let since =
+                job.and_then(|job| job.step(step)).map(|state| state.clearances.requested_at);
             log::info!(
                 "event=wait-expired step={step} queue={} for=lost-answer ms={}",
                 job.map(|job| &*job.queue.name).unwrap_or_default(),
--- a/src/cell/jobs/lifecycle.rs
+++ b/src/cell/jobs/lifecycle.rs
@@ -1,4 +1,5 @@
-//! State changes of jobs and of their runs: restored, opened, stopped, abandoned, closed, forgotten.
+//! State changes of jobs and of their runs: restored, opened, stopped, abandoned, closed,
+//! forgotten.
 
 use crate::cell::jobs::job::{Job, TaskStatus};
 use crate::cell::records::journal::{JobOutcome, JobRecord, Progress, Snapshot, WorkerRecord};
@@ -11,8 +12,8 @@
 use crate::workload::{JobKey, Queue, Resources, StepKey, TaskKey};
 use std::sync::Arc;
 
-/// The interval between calls of [`Cell::tick`], which sends unanswered stops again and expires leases. It is a tenth of
-/// the longest time that a caller waits for an answer.
+/// The interval between calls of [`Cell::tick`], which sends unanswered stops again and expires
+/// leases. It is a tenth of the longest time that a caller waits for an answer.
 pub const TICK_INTERVAL: Millis = Millis(100);
 /// How much longer than promised a closed job can be asked for.
 const RETENTION_MARGIN: Millis = Millis(10_000);
@@ -22,14 +23,14 @@
     pub(in crate::cell) fn restore_snapshot(&mut self, snapshot: Snapshot, now: Millis) {
         let start_times = snapshot.worker_starts;
         self.stored_workspaces = snapshot.workspaces.keys().copied().collect();
-        for member in snapshot.workers {
-            let born = start_times.get(&member.id).copied();
-            // A worker that may have restarted with the same id may have been given a lease end by the clock of its previous
-            // incarnation, which it shortens to the longest lease. Its task may then run on behind a network partition after
-            // the usual lease has expired.
+        for record in snapshot.workers {
+            let born = start_times.get(&record.id).copied();
+            // A worker that may have restarted with the same id may have been given a lease end by
+            // the clock of its previous incarnation, which it shortens to the longest lease. Its
+            // task may then run on behind a network partition after the usual lease has expired.
             let lease = if born.is_some() { self.config.max_lease } else { self.config.lease };
             let lease_end = now + Millis(lease.0 * 1_050 / 1_000);
-            let mut worker = Worker::new(placeholder_listing(member, born), 0, lease_end);
+            let mut worker = Worker::new(placeholder_listing(record, born), 0, lease_end);
             worker.is_listed = false;
             self.actions.push(Action::Watch(worker.listed.clone()));
             self.workers.insert(worker.listed.id.clone(), worker);
@@ -53,11 +54,11 @@
                     if let Some(crashes) = snapshot.crashes.get(&key) {
                         job.restore_crashes(crashes);
                         self.recount_jobs.insert(key);
-                        for note in crashes {
-                            let (repetition, step) = note.step_index;
+                        for record in crashes {
+                            let (repetition, step) = record.step_index;
                             let step = StepKey { job: key, repetition, step };
-                            let task = TaskKey { step, index: note.index };
-                            self.unconfirmed_crashes.add(now, task, &note.crashes);
+                            let task = TaskKey { step, index: record.index };
+                            self.unconfirmed_crashes.add(now, task, &record.crashes);
                         }
                     }
                     let done = job.is_done();
@@ -77,25 +78,25 @@
         }
     }
 
-    /// Restores the runs that an earlier owner assigned to workers. They are kept until the worker reports them or is
-    /// removed, or its leases expire.
+    /// Restores the runs that an earlier owner assigned to workers. They are kept until the worker
+    /// reports them or is removed, or its leases expire.
     fn restore_runs(&mut self, now: Millis, key: JobKey, progress: &Progress) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let owner = job.workspace.clone();
-        for note in &progress.steps {
+        for record in &progress.steps {
             let step_key =
-                StepKey { job: key, repetition: note.step_index.0, step: note.step_index.1 };
+                StepKey { job: key, repetition: record.step_index.0, step: record.step_index.1 };
             let Some(spec) = job.spec(step_key.step).cloned() else { continue };
             let Some(step) = job.step_mut(step_key) else { continue };
-            for task in &note.tasks {
-                let Some((no, name)) = &task.assignment else { continue };
+            for task in &record.tasks {
+                let Some((number, name)) = &task.assignment else { continue };
                 let Some(worker) = self.workers.get_mut(name) else { continue };
                 if !step.waiting.contains(&task.index) {
                     continue;
                 }
-                step.place(task.index, name.clone(), *no);
+                step.place(task.index, name.clone(), *number);
                 // The run is considered over unless the first report of the worker names it.
-                let mut run = Run::new(*no, &spec, Phase::Running(Millis(0)));
+                let mut run = Run::new(*number, &spec, Phase::Running(Millis(0)));
                 run.usage_guard =
                     owner.as_ref().map(|owner| self.usages.acquire(owner, spec.resources));
                 // The earlier owner may have sent the start.
@@ -121,17 +122,19 @@
         self.queues.get(&name).cloned().unwrap_or_else(unknown)
     }
 
-    /// Opens a new or restored job: steps without dependencies are opened, or scheduled for when they are due. Their tasks
-    /// can be assigned to workers at once, and start once the job is in the store.
+    /// Opens a new or restored job: steps without dependencies are opened, or scheduled for when
+    /// they are due. Their tasks can be assigned to workers at once, and start once the job is in
+    /// the store.
     pub(in crate::cell) fn open_job(&mut self, now: Millis, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_open()) else { return };
-        let scheduled = job.work.first_due.0 > 0;
+        let is_scheduled = job.work.first_due.0 > 0;
         let keys = job.step_keys(key);
-        let free: Vec<StepKey> =
+        let unblocked: Vec<StepKey> =
             keys.into_iter().filter(|step| job.dependencies_done(*step)).collect();
-        let due: Vec<Millis> = free.iter().map(|step| job.work.due_at(step.repetition)).collect();
-        for (step, due) in free.into_iter().zip(due) {
-            match scheduled {
+        let due: Vec<Millis> =
+            unblocked.iter().map(|step| job.work.due_at(step.repetition)).collect();
+        for (step, due) in unblocked.into_iter().zip(due) {
+            match is_scheduled {
                 true => drop(self.start_timers.insert((due, step))),
                 false => self.open_step(now, step),
             }
@@ -158,7 +161,8 @@
         self.needs_placement = true;
     }
 
-    /// Sorts the steps to be placed again, because a new policy may have changed the ranks of their jobs.
+    /// Sorts the steps to be placed again, because a new policy may have changed the ranks of their
+    /// jobs.
     pub(in crate::cell) fn rebuild_ready(&mut self) {
         let keys: Vec<StepKey> = self.ready_steps.iter().map(|(_, _, key)| *key).collect();
         self.ready_steps.clear();
@@ -167,7 +171,8 @@
         }
     }
 
-    /// Marks a task as done, or the whole gang if it belongs to one, and finishes the step with its last task.
+    /// Marks a task as done, or the whole gang if it belongs to one, and finishes the step with its
+    /// last task.
     pub(in crate::cell) fn finish_task(&mut self, now: Millis, task: TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
@@ -195,22 +200,22 @@
             return self.close_job(now, key.job, JobOutcome::Completed);
         }
         let next: Vec<StepKey> =
-            job.dependents(key).into_iter().filter(|f| job.dependencies_done(*f)).collect();
+            job.dependents(key).into_iter().filter(|step| job.dependencies_done(*step)).collect();
         for step in next {
             self.open_step(now, step);
         }
     }
 
     /// Closes a job: none of its tasks is started any more, and its runs are stopped.
-    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, fate: JobOutcome) {
+    pub(in crate::cell) fn close_job(&mut self, now: Millis, key: JobKey, outcome: JobOutcome) {
         let batch = self.open_batch;
         let Some(job) = self.jobs.get_mut(&key).filter(|job| job.is_open()) else { return };
         log::info!(
-            "event=closed job={key} fate={fate:?} queue={} age_ms={} batch={batch}",
+            "event=job-closed job={key} fate={outcome:?} queue={} age_ms={} batch={batch}",
             job.queue.name,
             now.since(job.known_since)
         );
-        job.closed = Some((fate, batch, now));
+        job.closed = Some((outcome, batch, now));
         let (priority, due) = queue_rank(job);
         let steps = job.step_keys(key);
         let placed = job.placed_runs(key);
@@ -227,7 +232,8 @@
         }
     }
 
-    /// Discards a job that was not accepted. None of its starts was sent, so no run has to be stopped.
+    /// Discards a job that was not accepted. None of its starts was sent, so no run has to be
+    /// stopped.
     pub(in crate::cell) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(&key) else { return };
         let (priority, due) = queue_rank(&job);
@@ -256,7 +262,8 @@
         self.actions.push(Action::Stop { worker: name.clone(), task, run });
     }
 
-    /// Removes a run that ended without success or never started, and lets its task wait for a worker again.
+    /// Removes a run that ended without success or never started, and lets its task wait for a
+    /// worker again.
     pub(in crate::cell) fn abandon_run(&mut self, name: &Name, task: TaskKey, run: u64) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.remove_run(task, run);
@@ -265,7 +272,8 @@
         self.requeue_task(task, run);
     }
 
-    /// Lets the task of an ended run wait for a worker again, unless the task is assigned as another run.
+    /// Lets the task of an ended run wait for a worker again, unless the task is assigned as
+    /// another run.
     pub(in crate::cell) fn requeue_task(&mut self, task: TaskKey, run: u64) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| job.is_open()) else {
             return;
@@ -282,7 +290,8 @@
         }
     }
 
-    /// Stops the remaining runs of a gang in which a task has no run, because its tasks work only together.
+    /// Stops the remaining runs of a gang in which a task has no run, because its tasks work only
+    /// together.
     pub(in crate::cell) fn stop_incomplete_gang(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job).filter(|job| job.is_open()) else { return };
         let (Some(spec), Some(step)) = (job.spec(key.step), job.step(key)) else { return };
@@ -305,8 +314,8 @@
         }
     }
 
-    /// Does what depends on time: opens scheduled steps, expires leases and unconfirmed crashes, forgets old jobs. `wall` is
-    /// the time of day.
+    /// Does what depends on time: opens scheduled steps, expires leases and unconfirmed crashes,
+    /// forgets old jobs. `wall` is the time of day.
     pub fn tick(&mut self, now: Millis, wall: Millis) {
         while let Some((due, step)) = self.start_timers.first().copied()
             && due <= wall
@@ -329,18 +338,18 @@
         self.expire_requests(now);
     }
 
-    /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its leases have expired:
-    /// until then an earlier owner may have started them without a record.
+    /// Lets inherited tasks start once every worker that an earlier owner used has reported, or its
+    /// leases have expired: until then an earlier owner may have started them without a record.
     fn check_unknown_runs(&mut self, now: Millis) {
-        let Some(doubt) = self.unrecorded_starts.as_mut() else { return };
+        let Some(log_timer) = self.unrecorded_starts.as_mut() else { return };
         let is_pending = |worker: &&Worker| !worker.has_reported && now < worker.lease_end;
         let mut unknown = self.workers.values().filter(is_pending);
         if let Some(first) = unknown.next() {
-            let left = first.lease_end - now;
+            let time_left = first.lease_end - now;
             let (first, others) = (first.listed.id.clone(), unknown.count());
-            if doubt.is_due(now) {
+            if log_timer.is_due(now) {
                 log::info!(
-                    "event=runs-unknown epoch={} worker={first} others={others} left_ms={left}",
+                    "event=runs-unknown epoch={} worker={first} others={others} left_ms={time_left}",
                     self.epoch
                 );
             }
@@ -350,14 +359,14 @@
         self.release_inherited_tasks();
     }
 
-    /// Notes that no start was sent without a record in the store, so inherited tasks need not wait for workers to report.
-    /// Returns whether that was unknown before.
+    /// Notes that no start was sent without a record in the store, so inherited tasks need not wait
+    /// for workers to report. Returns whether that was unknown before.
     pub fn trust_records(&mut self) -> bool {
-        let was_doubtful = self.unrecorded_starts.is_some();
-        if was_doubtful {
+        let was_uncertain = self.unrecorded_starts.is_some();
+        if was_uncertain {
             self.release_inherited_tasks();
         }
-        was_doubtful
+        was_uncertain
     }
 
     /// Lets inherited tasks start, and stops gangs of which not all tasks run.
@@ -391,18 +400,20 @@
     }
 }
 
-/// The sort key of a job among the jobs that wait, lower ones first: its priority, and when it should be completed.
+/// The sort key of a job among the jobs that wait, lower ones first: its priority, and when it
+/// should be completed.
 pub(in crate::cell) fn queue_rank(job: &Job) -> (u32, Millis) {
     (job.priority(), job.known_since + job.queue.objective(&job.work))
 }
 
-/// A list entry for a worker that is only known from the store, without resources until it is listed.
-fn placeholder_listing(member: WorkerRecord, started_at: Option<Millis>) -> WorkerInfo {
+/// A list entry for a worker that is only known from the store, without resources until it is
+/// listed.
+fn placeholder_listing(record: WorkerRecord, started_at: Option<Millis>) -> WorkerInfo {
     WorkerInfo {
-        id: member.id,
+        id: record.id,
         started_at,
-        service: member.service,
-        addr: member.addr,
+        service: record.service,
+        addr: record.addr,
         domain: "".into(),
         capacity: Resources::default(),
         labels: Vec::new(),
--- a/src/cell/placing/schedule.rs
+++ b/src/cell/placing/schedule.rs
@@ -50,7 +50,7 @@
         let advice = job.queue.advice;
         // Most steps wait for a response of the advice service most of the time. Stop early for them.
         let awaits_advice =
-            advice.is_some() && (step.clearances.is_asking || now < step.clearances.retry_at);
+            advice.is_some() && (step.clearances.request_pending || now < step.clearances.retry_at);
         if awaits_advice && !step.clearances.has_any_ticket(now + MIN_TICKET_VALIDITY) {
             let why = self.wait_reason(now, key, &[]);
             return self.set_wait_reason(now, key, why);
@@ -157,13 +157,13 @@
         workers: impl Iterator<Item = (&'a Name, &'a Worker)>,
     ) -> Vec<Candidate> {
         let step_rank = queue_rank(job);
-        let skips_aside = !self.config.disabled.contains(Mechanism::SidelineWorkers);
+        let skips_sidelined = !self.config.disabled.contains(Mechanism::SidelineWorkers);
         let is_quarantined =
             |worker: &Worker| worker.quarantined_job().is_some_and(|job| job != key.job);
         let relaxation = self.relaxation(now, job, key);
         let is_excluded = |worker: &Worker| {
             relaxation == Relaxation::None
-                && ((skips_aside && worker.is_excluded(now)) || is_quarantined(worker))
+                && ((skips_sidelined && worker.is_excluded(now)) || is_quarantined(worker))
         };
         let open = workers
             .filter(|(_, worker)| worker.accepts_tasks(self.stored_batch) && !is_excluded(worker));
@@ -225,11 +225,11 @@
                 continue;
             }
             let home = job.home_domain.as_ref().filter(|_| !spec.long_running);
-            let needs_settled = needs_stable_worker(&state.crashes);
+            let needs_stable = needs_stable_worker(&state.crashes);
             let candidate = match pick_worker(candidates, spec, home, state) {
                 Some(candidate) => candidate,
                 // Other tasks of the step may run on unstable workers.
-                None if needs_settled => continue,
+                None if needs_stable => continue,
                 None => return,
             };
             candidate.free = candidate.free.saturating_sub(&charge);
