--- a/src/check.rs
+++ b/src/check.rs
@@ -16,7 +16,7 @@
     pub event: Event,
 }
 
-/// Invariants of the scheduler. `Display` of [`Violation`] prints their names.
+/// Invariants of the scheduler. The output of `timeline --check` shows the names of violated ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
     /// The tasks of a worker never need more resources than it has.
--- a/src/order.rs
+++ b/src/order.rs
@@ -1,4 +1,4 @@
-//! Messages between the owner of a cell and its workers: worker entries, orders and reports.
+//! Messages between the owner of a cell and its workers: worker registrations, orders and reports.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -57,7 +57,7 @@
     }
 }
 
-/// A worker's entry in the platform's list of workers, as the worker registered it.
+/// A worker's registration in the platform's list of workers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerInfo {
     /// Worker id. A restarted worker may keep it.
@@ -79,7 +79,7 @@
 }
 
 impl WorkerInfo {
-    /// The incarnation that registered this entry.
+    /// The incarnation of the worker that made this registration.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), started_at: self.started_at }
     }
@@ -110,9 +110,9 @@
 /// A run in progress, as the worker reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunningTask {
-    /// The task.
+    /// Task that runs.
     pub task: TaskKey,
-    /// The number of its start.
+    /// Number of the run, which identifies one start of the task.
     pub run: u64,
     /// Latest checkpoint; empty if there is none.
     pub checkpoint: Name,
@@ -128,9 +128,9 @@
 pub struct EndedTask {
     /// Sequence number, counted from 1 within a worker's incarnation.
     pub seq: u64,
-    /// The task.
+    /// Task that ran.
     pub task: TaskKey,
-    /// The number of its start.
+    /// Number of the run, which identifies one start of the task.
     pub run: u64,
     /// Why the run ended.
     pub reason: EndReason,
@@ -190,9 +190,9 @@
 /// An order to start a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartOrder {
-    /// The task.
+    /// Task to start.
     pub task: TaskKey,
-    /// The number of the start.
+    /// Number of the run, which identifies this start of the task.
     pub run: u64,
     /// The job's payload, which the task is started with.
     pub payload: Name,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -332,6 +332,7 @@
     }
 }
 
+/// Describes the valid values of a kind.
 fn expected(kind: ValueKind) -> String {
     match kind {
         ValueKind::Name => "a text of letters, digits, '-' and '_'".into(),
--- a/src/table.rs
+++ b/src/table.rs
@@ -139,6 +139,7 @@
 }
 
 impl TableLine<'_> {
+    /// Text of the line's cell in a column; empty if there is none.
     fn cell(&self, column: &str) -> &str {
         let at = self.headings.iter().position(|heading| heading == column);
         at.and_then(|i| self.cells.get(i)).unwrap_or("").trim()
@@ -155,6 +156,7 @@
         self.faults.push(fault);
     }
 
+    /// Parses a cell, or adds a fault if its value is invalid.
     fn parse_cell<T>(&mut self, column: &str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
         let value = parse(self.cell(column));
         if value.is_none() {
