--- a/src/controller/shard/lifecycle.rs
+++ b/src/controller/shard/lifecycle.rs
@@ -148,7 +148,7 @@
     fn finish(&mut self, now: Millis, task: &TaskId, outcome: TaskOutcome) {
         self.release(task);
         self.record_change(StateChange::Finish { task: task.clone(), outcome }, None);
-        self.actions.push(Action::Trace(EventKind::Ended { task: task.clone(), outcome }));
+        self.actions.push(Action::Trace(EventKind::TaskEnded { task: task.clone(), outcome }));
         let (job, index) = (task.job.clone(), task.index);
         self.actions.push(Action::Append(Record::Ended { job, index, outcome }));
         self.requeue_stopped_gang(now, &task.job);
@@ -158,7 +158,7 @@
     fn requeue(&mut self, now: Millis, task: &TaskId) {
         self.release(task);
         self.record_change(StateChange::Requeue { task: task.clone() }, None);
-        self.actions.push(Action::Trace(EventKind::Requeued { task: task.clone() }));
+        self.actions.push(Action::Trace(EventKind::TaskRequeued { task: task.clone() }));
         let Some(job) = self.book.jobs.get(&task.job) else { return };
         let (at, shape, cancelled) = (job.at, shape(&job.spec), job.cancelled);
         match job.spec.gang {
--- a/src/controller/shard/requests.rs
+++ b/src/controller/shard/requests.rs
@@ -16,7 +16,7 @@
         if !self.book.jobs.contains_key(&job) {
             if let Err(why) = self.check_admission(&spec) {
                 let reason = refusal_name(why);
-                self.actions.push(Action::Trace(EventKind::Refused { job, reason }));
+                self.actions.push(Action::Trace(EventKind::JobRefused { job, reason }));
                 self.actions.push(Action::Reply { token, answer: Answer::Refused(why) });
                 return;
             }
@@ -32,7 +32,7 @@
         self.queue.add_all(shape(spec), now, job.clone(), spec.tasks);
         self.needs_scheduling = true;
         let (job, spec) = (job.clone(), spec.clone());
-        self.actions.push(Action::Trace(EventKind::Submitted {
+        self.actions.push(Action::Trace(EventKind::JobSubmitted {
             job: job.clone(),
             kind: spec.kind.clone(),
             tasks: spec.tasks,
@@ -75,7 +75,7 @@
             if !self.restarting_gangs.contains(&id) {
                 self.load_mut(&kind).remove_waiting(queued, cpu);
             }
-            self.actions.push(Action::Trace(EventKind::Cancelled { job: id.clone() }));
+            self.actions.push(Action::Trace(EventKind::JobCancelled { job: id.clone() }));
             self.record_change(StateChange::Cancel { job: id.clone() }, None);
             for index in bound {
                 self.stop_task(now, &id, index, StopReason::Cancel);
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -174,7 +174,8 @@
         };
         self.runtimes.insert(task.clone(), runtime);
         let (worker, owner, epoch) = (name.clone(), self.me.clone(), self.epoch());
-        let what = EventKind::Bound { task: task.clone(), worker: worker.clone(), epoch, waited };
+        let what =
+            EventKind::TaskBound { task: task.clone(), worker: worker.clone(), epoch, waited };
         self.actions.push(Action::Trace(what));
         let change = StateChange::Bind { task: task.clone(), worker, incarnation, owner };
         self.record_change(change, Some(Effect::Start(task)));
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -84,7 +84,7 @@
 
     /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.trace.record(EventKind::Platform { part: "log".into(), up: !faults.log_down });
+        self.trace.record(EventKind::PlatformStatus { part: "log".into(), up: !faults.log_down });
         *lock(&self.faults) = faults;
     }
 
