--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! State, messages and processor time by size: the slopes of docs/CAPACITY.md.
+//! Memory, message sizes and CPU time by the size of the cell: the slopes of docs/CAPACITY.md.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -65,18 +65,20 @@
 }
 
 fn measure_owners() {
-    println!("owners: workers, tasks running, bytes of memory, of all states, us a control round");
+    println!(
+        "owners: workers, running tasks, bytes of memory, bytes of all states, us per control round"
+    );
     for (workers, tasks) in [(48, 266), (200, 1_109), (1_100, 6_100)] {
         let before = resident_memory();
         let mut all = owners(workers, tasks);
         let memory = resident_memory().saturating_sub(before);
-        let begun = Instant::now();
+        let started = Instant::now();
         for owner in &mut all {
             owner.now = owner.now + Millis(1_000);
             owner.report();
             owner.step(Event::Tick);
         }
-        let round = begun.elapsed().as_micros();
+        let round = started.elapsed().as_micros();
         let states = all.into_iter().map(|owner| owner.office.into_state());
         let bytes: usize =
             states.map(|state| postcard::to_stdvec(&state).expect("bytes").len()).sum();
@@ -108,7 +110,7 @@
 }
 
 fn measure_heartbeats() {
-    println!("heartbeat: shards of the failure domain (a third owned), bytes whole,");
+    println!("heartbeat: shards of the failure domain (a third owned), bytes of a full one,");
     println!("  with the owned shards changed, with nothing changed");
     for count in [2, 12, 28] {
         let all: Vec<ShardBeat> = (0..count).map(|i| shard_beat(i, i % 3 == 0)).collect();
@@ -124,7 +126,9 @@
 }
 
 fn measure_updates() {
-    println!("update of a replica: bindings in it, bytes; of the log in an epoch without replicas");
+    println!(
+        "update of a replica: bindings in it, bytes; bytes of the log record without replicas"
+    );
     for count in [1_u32, 10, 100] {
         let bind = |index| Note::Bind {
             task: task(index),
@@ -151,7 +155,7 @@
 }
 
 fn measure_syncs() {
-    println!("contact with a worker: tasks running, bytes of order and report");
+    println!("contact with a worker: running tasks, bytes of order and report");
     for count in [1_u32, 6, 20] {
         let order = SyncOrder { renew: (0..count).map(task).collect(), ..SyncOrder::default() };
         let running = |index| Running {
@@ -191,7 +195,7 @@
 }
 
 fn measure_slots() {
-    println!("slots: runners of the shard, bytes of the question");
+    println!("slots: runners of the shard, bytes of the request");
     for runners in [2, 8, 48] {
         let usage =
             |i| SlotUse { runner: format!("nasr-hall-runner-{i}").into(), held: 4, used: 2 };
@@ -206,7 +210,7 @@
 }
 
 fn measure_limit_parts() {
-    println!("parts of limits: limits of one home in a question, bytes of it and of the answer");
+    println!("parts of limits: limits in a request to one home, bytes of request and answer");
     for limits in [1_u64, 5, 20] {
         let limit = |i| match i % 2 {
             0 => Limit::Row(format!("campaign-{i}").into()),
@@ -221,25 +225,27 @@
             shards: 140,
             asks: (0..limits).map(ask).collect(),
         };
-        let lent = Tell::Parts((0..limits).map(|i| (limit(i), 9_000)).collect());
-        let answer = Envelope { stamp: Stamp(u64::MAX / 2), body: lent };
+        let reply = Tell::Parts((0..limits).map(|i| (limit(i), 9_000)).collect());
+        let answer = Envelope { stamp: Stamp(u64::MAX / 2), body: reply };
         let answer = encode(NEWEST, &answer).expect("bytes").len();
         let home = "pasila-rack-3".into();
         println!("  {limits:>5} {:>7} {answer:>7}", wire_bytes(Ask::Parts { home, question }));
     }
 }
 
-/// Times of single placements: submit, bind, start and end.
+/// Measures the time of single placements: submit, bind, start and end.
 fn measure_placements() {
-    println!("one placement, us: workers, stuck shapes a shard, median, 99 %, 99.9 %, most");
+    println!(
+        "one placement, us: workers, unplaceable sizes per shard, median, 99 %, 99.9 %, maximum"
+    );
     let rows = table(&[("build", "batch", 50, 10, 0), ("urgent", "batch", 100, 5, 5)]);
     for workers in [48, 200, 1_100] {
-        for stuck in [0, 200, 800] {
+        for unplaceable in [0, 200, 800] {
             let mut all = owners(workers, 5 * workers as u32);
             for owner in &mut all {
                 owner.step(Event::Table(rows.clone()));
-                for less in 0..stuck {
-                    let size = Size::new(16_000, 32_000 - less, 2);
+                for size_offset in 0..unplaceable {
+                    let size = Size::new(16_000, 32_000 - size_offset, 2);
                     owner.submit(job_spec("build", 1, false, size));
                 }
             }
@@ -247,9 +253,9 @@
             let mut times: Vec<u64> = (0..20_000).map(|_| placement(&mut all, &mut rng)).collect();
             times.sort_unstable();
             let at = |share: usize| times[times.len() * share / 1_000] as f64 / 1_000.0;
-            let most = times[times.len() - 1] as f64 / 1_000.0;
+            let maximum = times[times.len() - 1] as f64 / 1_000.0;
             println!(
-                "  {workers:>5} {stuck:>5} {:>8.1} {:>8.1} {:>8.1} {most:>8.1}",
+                "  {workers:>5} {unplaceable:>5} {:>8.1} {:>8.1} {:>8.1} {maximum:>8.1}",
                 at(500),
                 at(990),
                 at(999)
@@ -258,15 +264,15 @@
     }
 }
 
-/// Nanoseconds of one placement.
+/// Places one task; the time that it took in nanoseconds.
 fn placement(all: &mut [OwnerHarness], rng: &mut SplitMix64) -> u64 {
     let at = rng.below(all.len() as u64) as usize;
     let job = job_spec("urgent", 1, false, Size::new(500, 500, 0));
-    let begun = Instant::now();
+    let started = Instant::now();
     let (job, decisions) = all[at].submit(job);
     assert_eq!(decisions.len(), 1, "placed at once");
     all[at].end(&TaskId { job, index: 0, attempt: 0 }, Outcome::Done);
-    begun.elapsed().as_nanos() as u64
+    started.elapsed().as_nanos() as u64
 }
 
 fn main() {
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,6 +1,6 @@
-//! Owners of shards without a network: what they note is committed at once, and workers answer at
-//! once.
-#![allow(dead_code, reason = "each bench uses a part")]
+//! Owners of shards without a network, for benches and tests of their cost: what an owner logs is
+//! committed at once, and workers answer at once.
+#![allow(dead_code, reason = "no bench uses all of these helpers")]
 
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::list::{Role, Vm};
@@ -16,10 +16,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// Workers of a rack, which is a shard.
 pub const WORKERS_PER_RACK: usize = 8;
+/// The virtual time at which an owner starts.
 pub const START: Millis = Millis(1_000_000);
 
-/// A table whose rows have these cells: kind, class, weight, pack, spread.
+/// Builds a table from rows of kind, class, weight, pack and spread.
 pub fn table(rows: &[(&str, &str, u32, u32, u32)]) -> Arc<Table> {
     let head =
         "kind,team,class,weight,limit,queue,deadline,repeat,retries,pack,spread,quota,site:d\n";
@@ -43,14 +45,14 @@
     }
 }
 
-/// What an owner decided.
+/// A decision of an owner about a task.
 #[derive(Debug)]
 pub enum Decision {
     Started { task: TaskId, worker: Name },
     Stopped { task: TaskId },
 }
 
-/// One owner.
+/// An owner of a shard on a virtual clock, with the tasks that run on its workers.
 pub struct OwnerHarness {
     pub now: Millis,
     pub office: Office,
@@ -79,6 +81,8 @@
         desk
     }
 
+    /// Passes an event to the owner and carries out its actions until none is left; returns its
+    /// decisions.
     pub fn step(&mut self, event: Event) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let mut actions = self.office.step(self.now, event);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Every worker says what it runs.
+    /// Lets every worker report the tasks that it runs; returns the owner's decisions.
     pub fn report(&mut self) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for worker in self.office.workers() {
@@ -167,7 +171,7 @@
     }
 }
 
-/// A small seeded source of numbers (splitmix64).
+/// A seeded pseudorandom number generator (splitmix64).
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -179,11 +183,13 @@
         z ^ (z >> 31)
     }
 
+    /// A number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next() % n.max(1)
     }
 
-    /// A time between two events that come `rate` times a second, in milliseconds.
+    /// A random time in milliseconds between two events that occur `rate` times a second on
+    /// average, exponentially distributed.
     pub fn exponential_gap(&mut self, rate: f64) -> f64 {
         let unit = (self.next() >> 11) as f64 / (1_u64 << 53) as f64;
         -(1.0 - unit).ln() * 1000.0 / rate
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,4 +1,4 @@
-//! How long the decisions take, by the size of the cell and the load.
+//! Time of the owners' decisions by the size of the cell and its load.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Workers of the cells: one user today, both with room to grow, and the aimed size.
+/// Workers of the cells: one user today, both users with room to grow, and the target size.
 const CELL_SIZES: [usize; 3] = [48, 200, 1_100];
 const WORKER: Size = Size::new(16_000, 32_000, 2);
 const SMALL: Size = Size::new(500, 500, 0);
@@ -27,7 +27,8 @@
     table(&[("build", "batch", 50, 10, 0), ("urgent", "batch", 100, 5, 5)])
 }
 
-/// The owners of a cell whose workers are about half full: 6,100 tasks at the aimed size.
+/// The owners of a cell whose workers are about half full (6,100 tasks at the target size), with
+/// 200 unplaceable jobs per shard for each load above 1.
 fn cell(workers: usize, load: u32) -> Vec<OwnerHarness> {
     let racks = workers.div_ceil(WORKERS_PER_RACK);
     (0..racks)
@@ -35,8 +36,8 @@
             let mut owner =
                 OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows());
             owner.submit(job_spec("build", 44, false, Size::new(1_400, 2_000, 0)));
-            for stuck in 0..(load - 1) * 200 {
-                let size = Size::new(16_000, 32_000 - stuck, 2);
+            for index in 0..(load - 1) * 200 {
+                let size = Size::new(16_000, 32_000 - index, 2);
                 owner.submit(job_spec("build", 1, false, size));
             }
             owner
@@ -44,7 +45,7 @@
         .collect()
 }
 
-/// Submits one task at the next owner, until it is bound, and ends it.
+/// Submits a task at a random owner, which binds it at once, and ends it.
 fn place_one(owners: &mut [OwnerHarness], rng: &mut SplitMix64) {
     let at = rng.below(owners.len() as u64) as usize;
     let owner = &mut owners[at];
@@ -164,16 +165,16 @@
 }
 
 fn tables(c: &mut Criterion) {
-    let head =
+    let header =
         "kind,team,class,weight,limit,queue,deadline,repeat,retries,pack,spread,quota,site:d\n";
     let rows = (0..200).map(|i| format!("kind{i},t,batch,5,10,10,60000,yes,2,1,1,0,1\n"));
-    let text: String = std::iter::once(head.to_string()).chain(rows).collect();
+    let text: String = std::iter::once(header.to_string()).chain(rows).collect();
     c.bench_function("parse-a-table-of-200-rows", |b| {
         b.iter(|| Table::parse(&text).expect("table"));
     });
 }
 
-/// One question of one shard to a home, with 10 limits that all shards of the cell use.
+/// A request of one shard to a home for parts of 10 limits that all shards of the cell use.
 fn lend_parts(c: &mut Criterion) {
     let mut group = c.benchmark_group("lend-parts");
     for workers in CELL_SIZES {
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -1,5 +1,5 @@
-//! What one owner spends, as a real process against the stand-in of the platform, by the number of
-//! workers and of task starts: processor time for each task, and memory.
+//! Cost of an owner as a separate process against the simulated platform, by the number of workers
+//! and of task starts: CPU time per task start, and memory.
 //!
 //! `cargo bench --bench owner [-- WORKERS...]`
 
@@ -17,19 +17,21 @@
 
 const HOST: &str = "127.77.1.1";
 const BASE_PORT: u16 = 20_000;
-/// Tasks of a job, and their run time in milliseconds.
+/// Tasks of a job.
 const TASKS_PER_JOB: u32 = 10;
+/// Run time of a task, in milliseconds.
 const RUN_MS: u32 = 800;
-/// Starts a second for each worker: the grown deployments have 745 on 350 workers.
+/// Task starts per second and worker: the grown deployments have 745 on 350 workers.
 const STARTS_PER_WORKER: f64 = 2.1;
-/// How long each size is loaded, after a warm-up.
+/// Load before the measurement.
 const WARM_UP_TIME: Duration = Duration::from_secs(3);
+/// Load during the measurement.
 const LOAD_TIME: Duration = Duration::from_secs(10);
 
 struct EntryProcess(Process);
 
 impl EntryProcess {
-    /// Processor time so far, in clock ticks of a hundredth of a second.
+    /// CPU time so far, in clock ticks of a hundredth of a second.
     fn cpu_ticks(&self) -> u64 {
         const USER_TICKS_FIELD: usize = 11;
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).unwrap();
@@ -39,7 +41,7 @@
             + fields[USER_TICKS_FIELD + 1].parse::<u64>().unwrap()
     }
 
-    /// The most memory so far, in kilobytes.
+    /// Peak memory so far, in kilobytes.
     fn peak_kb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).unwrap();
         let line = text.lines().find(|line| line.starts_with("VmHWM")).unwrap();
@@ -68,23 +70,24 @@
     answer.map_or(StatusCode::GATEWAY_TIMEOUT, |answer| answer.status)
 }
 
-/// Submits jobs evenly for `time`; the number accepted.
+/// Submits a job per `interval` for `time`, with keys from `first_key` on; returns the number of
+/// accepted ones.
 async fn submit_evenly(
     http: &HttpClient,
     addr: &str,
-    from: u64,
+    first_key: u64,
     interval: Duration,
     time: Duration,
 ) -> u64 {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut jobs = tokio::task::JoinSet::new();
-    let mut no = 0;
-    while begun.elapsed() < time {
-        let (http, addr, key) = (http.clone(), addr.to_string(), from + no);
+    let mut count = 0;
+    while started.elapsed() < time {
+        let (http, addr, key) = (http.clone(), addr.to_string(), first_key + count);
         jobs.spawn(async move { submit(&http, &addr, key).await });
-        no += 1;
-        let next = interval * no as u32;
-        tokio::time::sleep(next.saturating_sub(begun.elapsed())).await;
+        count += 1;
+        let next = interval * count as u32;
+        tokio::time::sleep(next.saturating_sub(started.elapsed())).await;
     }
     jobs.join_all().await.into_iter().filter(|status| *status == StatusCode::OK).count() as u64
 }
@@ -100,12 +103,12 @@
         Duration::from_secs_f64(f64::from(TASKS_PER_JOB) / (STARTS_PER_WORKER * workers as f64));
     submit_evenly(&http, &addr, 1_000, interval, WARM_UP_TIME).await;
     let (ticks, starts) = (entry.cpu_ticks(), start_count(&site));
-    let begun = Instant::now();
+    let started = Instant::now();
     let accepted = submit_evenly(&http, &addr, 1_000_000, interval, LOAD_TIME).await;
-    let (time, starts) = (begun.elapsed().as_secs_f64(), start_count(&site) - starts);
+    let (time, starts) = (started.elapsed().as_secs_f64(), start_count(&site) - starts);
     let cpu_seconds = (entry.cpu_ticks() - ticks) as f64 / 100.0;
     println!(
-        "{workers} workers: {:.0} starts/s, {accepted} jobs, {:.3} cores, {:.0} us a start, {} MB",
+        "{workers} workers: {:.0} starts/s, {accepted} jobs, {:.3} cores, {:.0} us per start, {} MB",
         starts as f64 / time,
         cpu_seconds / time,
         cpu_seconds * 1e6 / starts as f64,
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,8 +1,9 @@
-//! The policy against plain ones on the same seeded streams of both users, on a virtual clock.
+//! Compares the scheduler's placement policy with simple baselines on the same seeded streams of
+//! both users' jobs, on a virtual clock.
 //!
-//! This drives the owners' state machines and the baselines with arrivals and ends; it models
-//! neither networks nor machines. The baselines see the whole cell at once, and try what
-//! failed again without end; while an entry is lost they leave its rack out.
+//! The owners' state machines and the baselines are driven by arrivals and ends; networks and
+//! machines are not modelled. A baseline sees the whole cell at once and retries failed tasks
+//! forever. While an owner is lost, baselines do not use the workers of its rack.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -16,15 +17,19 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
+/// Length of a stream.
 const STREAM_MS: u64 = 120_000;
-/// Waits of jobs that came before this are not counted: the cell fills up. A wait ends with the
-/// start of the run that succeeds.
+/// Jobs that arrive before this time, while the cell fills up, are not counted. The wait of a task
+/// ends with the start of the run that succeeds.
 const WARM_UP_MS: u64 = 20_000;
 const WORKERS: usize = 48;
+/// Indexes of workers on which every task fails.
 const FAULTY_WORKERS: [usize; 2] = [5, 29];
-/// A sick worker fails a task after this long.
+/// Time after which a task fails on a faulty worker.
 const FAULTY_RUN_MS: u64 = 200;
+/// Time at which large jobs are cancelled.
 const CANCEL_AT_MS: u64 = 60_000;
+/// Begin and length of the time during which the owner of the first rack is lost.
 const OUTAGE_START_MS: u64 = 70_000;
 const OUTAGE_MS: u64 = 4_000;
 
@@ -36,13 +41,13 @@
     tasks: u32,
     gang: bool,
     size: Size,
-    /// True run time of each task; 0: a service.
+    /// Actual run time of each task; 0: a service.
     runs: Vec<u64>,
-    /// Waits longer than this are missed deadlines.
+    /// A task that waits longer than this misses its deadline.
     deadline: u64,
 }
 
-/// A kind of work of a user: its share of the processors, and what its jobs are like.
+/// A kind of work of a user: its share of the CPU and the shape of its jobs.
 struct Kind {
     kind: &'static str,
     share: f64,
@@ -97,13 +102,13 @@
     ]
 }
 
-/// Run times are false by up to four times either way.
+/// The actual run time of a task: between a quarter and four times the declared one.
 fn true_run(rng: &mut SplitMix64, run: u64) -> u64 {
     let factor = [25, 50, 75, 100, 100, 100, 150, 200, 400][rng.below(9) as usize];
     run * factor / 100
 }
 
-/// The stream of one user at a share of the cell's processors.
+/// The stream of a user's jobs that loads a share of the cell's CPU.
 fn stream(user: &User, load: f64, seed: u64) -> Vec<Job> {
     let mut rng = SplitMix64(seed);
     let total = user.worker.cpu as f64 * (WORKERS - FAULTY_WORKERS.len()) as f64;
@@ -127,14 +132,15 @@
 /// A task of a stream: job and index.
 type Key = (usize, u32);
 
-/// What a policy does.
+/// A command of a policy to the workers.
 #[derive(Clone, Copy)]
 enum Command {
     Start(Key, usize),
     Stop(Key),
 }
 
-/// A policy: it is told what happens and says which tasks start where and which are stopped.
+/// A placement policy: it is notified of events and returns which tasks to start on which worker,
+/// and which to stop.
 trait Policy {
     fn submit(&mut self, now: u64, id: usize, job: &Job) -> Vec<Command>;
     fn end(&mut self, now: u64, key: Key, worker: usize, ok: bool) -> Vec<Command>;
@@ -142,7 +148,7 @@
     fn tick(&mut self, now: u64) -> Vec<Command>;
 }
 
-/// The owners of six shards, and the offer of a job to one of them.
+/// The scheduler's own policy: the owners of six shards, and the choice of a shard for each job.
 struct ShardOwners {
     owners: Vec<OwnerHarness>,
     ids: BTreeMap<JobId, usize>,
@@ -188,7 +194,7 @@
         commands
     }
 
-    /// The order in which an entry offers a job.
+    /// The rack to which an entry offers a job first.
     fn offer(&mut self, now: u64, job: &Job) -> usize {
         let open = self.owners.iter().enumerate().filter(|(at, _)| !is_rack_lost(now, *at));
         let candidates = open.map(|(at, owner)| {
@@ -204,7 +210,7 @@
     }
 }
 
-/// Whether nobody decides about a rack now: its owner was killed and is being replaced.
+/// Whether a rack has no owner at a time: the owner was killed and is being replaced.
 fn is_rack_lost(now: u64, rack: usize) -> bool {
     rack == 0 && (OUTAGE_START_MS..OUTAGE_START_MS + OUTAGE_MS).contains(&now)
 }
@@ -272,15 +278,15 @@
     }
 }
 
-/// How a baseline chooses a worker, and whether it waits for the head of its queue.
+/// How a baseline chooses a worker, and whether other tasks may overtake the first of its queue.
 #[derive(Clone, Copy, PartialEq)]
 enum PlacementRule {
     FirstFit,
     RandomFit,
     BestFit,
-    /// First come, first served: nothing overtakes.
+    /// First come, first served: no task overtakes another.
     InOrder,
-    /// Each kind has workers of its own.
+    /// Each kind of work has workers of its own.
     FixedSplit,
 }
 
@@ -318,7 +324,7 @@
         }
     }
 
-    fn pick(&mut self, free: &[Size], kind: &str, size: &Size) -> Option<usize> {
+    fn choose_worker(&mut self, free: &[Size], kind: &str, size: &Size) -> Option<usize> {
         let (from, to) = match self.rule {
             PlacementRule::FixedSplit => self.worker_ranges[kind],
             _ => (0, WORKERS),
@@ -339,7 +345,7 @@
 
     fn place(&mut self) -> Vec<Command> {
         let mut started = Vec::new();
-        let mut left = Vec::new();
+        let mut still_queued = Vec::new();
         let mut unplaceable = BTreeSet::new();
         let queue = std::mem::take(&mut self.queue);
         let mut blocked = false;
@@ -349,10 +355,10 @@
             if !done {
                 unplaceable.insert((kind, gang));
                 blocked |= self.rule == PlacementRule::InOrder;
-                left.push((id, index, gang, kind, size));
+                still_queued.push((id, index, gang, kind, size));
             }
         }
-        self.queue = left;
+        self.queue = still_queued;
         started.into_iter().map(|(key, worker)| Command::Start(key, worker)).collect()
     }
 
@@ -367,15 +373,15 @@
     ) -> bool {
         let members = if gang { index } else { 1 };
         let mut free = self.free.clone();
-        let mut picked = Vec::new();
+        let mut chosen = Vec::new();
         for member in 0..members {
-            let Some(at) = self.pick(&free, kind, &size) else { return false };
+            let Some(at) = self.choose_worker(&free, kind, &size) else { return false };
             free[at] = free[at].minus(&size);
-            picked.push(((id, if gang { member } else { index }), at));
+            chosen.push(((id, if gang { member } else { index }), at));
         }
         self.free = free;
-        self.running.extend(picked.iter().copied());
-        started.extend(picked);
+        self.running.extend(chosen.iter().copied());
+        started.extend(chosen);
         true
     }
 }
@@ -425,20 +431,20 @@
     }
 }
 
-/// What a run came to.
+/// The results of a simulation. CPU is in thousandths of a core times milliseconds.
 #[derive(Default)]
 struct Outcomes {
     waits: BTreeMap<&'static str, Vec<u64>>,
     missed: BTreeMap<&'static str, u32>,
     used_cpu: f64,
     wasted_cpu: u64,
-    /// Tasks that failed and had not run to their end when the stream was over.
+    /// Tasks that failed and had not succeeded when the stream ended.
     failed: usize,
 }
 
-/// Plays a stream through a policy.
+/// Simulates a stream of jobs under a policy.
 fn simulate(user: &User, jobs: &[Job], policy: &mut dyn Policy) -> Outcomes {
-    let mut out = Outcomes::default();
+    let mut outcomes = Outcomes::default();
     let mut ends: BinaryHeap<Reverse<(u64, Key, usize, u64)>> = BinaryHeap::new();
     let mut current: BTreeMap<Key, (u64, u64)> = BTreeMap::new();
     let (mut used, mut last, mut run_number, mut next, mut tick) = (0_u64, WARM_UP_MS, 0_u64, 0, 0);
@@ -450,11 +456,11 @@
         let cancel = if cancelled { u64::MAX } else { CANCEL_AT_MS };
         let now = arrival.min(end).min(tick).min(cancel);
         if now >= STREAM_MS {
-            out.failed = failed.iter().filter(|key| !current.contains_key(key)).count();
-            return out;
+            outcomes.failed = failed.iter().filter(|key| !current.contains_key(key)).count();
+            return outcomes;
         }
         if now > last {
-            out.used_cpu += used as f64 * (now - last) as f64;
+            outcomes.used_cpu += used as f64 * (now - last) as f64;
             last = now;
         }
         let commands = if now == arrival {
@@ -465,15 +471,16 @@
             if current.get(&key).is_none_or(|(running, _)| *running != number) {
                 continue;
             }
-            let (_, began) = current.remove(&key).expect("running");
+            let (_, started_at) = current.remove(&key).expect("running");
             used -= jobs[key.0].size.cpu as u64;
             let ok = !FAULTY_WORKERS.contains(&worker);
-            out.wasted_cpu += if ok { 0 } else { (now - began) * jobs[key.0].size.cpu as u64 };
+            outcomes.wasted_cpu +=
+                if ok { 0 } else { (now - started_at) * jobs[key.0].size.cpu as u64 };
             let job = &jobs[key.0];
             if ok && job.at >= WARM_UP_MS {
-                out.waits.entry(job.kind).or_default().push(began - job.at);
-                let late = began - job.at > job.deadline;
-                *out.missed.entry(job.kind).or_insert(0) += late as u32;
+                outcomes.waits.entry(job.kind).or_default().push(started_at - job.at);
+                let is_late = started_at - job.at > job.deadline;
+                *outcomes.missed.entry(job.kind).or_insert(0) += is_late as u32;
             }
             match ok {
                 true => drop(failed.remove(&key)),
@@ -493,9 +500,9 @@
             let (key, worker) = match command {
                 Command::Start(key, worker) => (key, worker),
                 Command::Stop(key) => {
-                    if let Some((_, began)) = current.remove(&key) {
+                    if let Some((_, started_at)) = current.remove(&key) {
                         used -= jobs[key.0].size.cpu as u64;
-                        out.wasted_cpu += (now - began) * jobs[key.0].size.cpu as u64;
+                        outcomes.wasted_cpu += (now - started_at) * jobs[key.0].size.cpu as u64;
                     }
                     continue;
                 }
@@ -512,7 +519,7 @@
             used += job.size.cpu as u64;
         }
         let total = user.worker.cpu as u64 * WORKERS as u64;
-        assert!(used <= total, "over the cell's processors");
+        assert!(used <= total, "more CPU in use than the cell has");
     }
 }
 
@@ -522,18 +529,18 @@
     waits.get((waits.len() * thousandth / 1000).min(last)).copied().unwrap_or(0)
 }
 
-fn print(user: &User, name: &str, mut out: Outcomes) {
+fn print(user: &User, name: &str, mut outcomes: Outcomes) {
     let total = user.worker.cpu as f64 * WORKERS as f64 * (STREAM_MS - WARM_UP_MS) as f64;
-    let wasted = out.wasted_cpu as f64 / total;
+    let wasted = outcomes.wasted_cpu as f64 / total;
     println!(
-        "  {name:<12} used {:.3} thrown away {wasted:.4} failed {}",
-        out.used_cpu / total,
-        out.failed
+        "  {name:<12} used {:.3} wasted {wasted:.4} failed {}",
+        outcomes.used_cpu / total,
+        outcomes.failed
     );
     for kind in &user.kinds {
-        let waits = out.waits.entry(kind.kind).or_default();
+        let waits = outcomes.waits.entry(kind.kind).or_default();
         let [p50, p99, p999] = [500, 990, 999].map(|share| quantile(waits, share));
-        let missed = out.missed.get(kind.kind).copied().unwrap_or(0);
+        let missed = outcomes.missed.get(kind.kind).copied().unwrap_or(0);
         println!(
             "    {:<10} count {:>6} wait ms {p50:>7} {p99:>7} {p999:>7} missed {missed}",
             kind.kind,
@@ -542,7 +549,7 @@
     }
 }
 
-/// The user's table edited for short waits of what is due soon.
+/// The user's table, edited for short waits of work with near deadlines.
 fn waiting_first(mut user: User) -> User {
     for kind in &mut user.kinds {
         kind.weight = (200_000 / kind.deadline as u32).max(1);
@@ -551,7 +558,7 @@
     user
 }
 
-/// The user's table edited for full workers: no kind is urgent.
+/// The user's table, edited for fully used workers: no kind is urgent.
 fn packing_first(mut user: User) -> User {
     for kind in &mut user.kinds {
         (kind.weight, kind.pack, kind.spread) = (10, 10, 0);
@@ -559,14 +566,19 @@
     user
 }
 
-/// What an edit of the table alone does to the same stream.
+/// Compares how edits of the table alone change the results for the same stream.
 fn compare_table_edits() {
     let [first, second] = users().map(waiting_first);
     let [third, fourth] = users().map(packing_first);
-    let tables = [("waiting", first), ("packing", third), ("waiting", second), ("packing", fourth)];
+    let tables = [
+        ("short waits", first),
+        ("full workers", third),
+        ("short waits", second),
+        ("full workers", fourth),
+    ];
     for (name, user) in tables {
         let jobs = stream(&user, 0.95, 11);
-        println!("{}, the table edited to {name} first", user.name);
+        println!("{}, table edited to favour {name}", user.name);
         print(&user, "ours", simulate(&user, &jobs, &mut ShardOwners::new(&user)));
     }
 }
--- a/benches/slots.rs
+++ b/benches/slots.rs
@@ -1,5 +1,6 @@
-//! Ways to share runner slots over entries, on the same seeded requests and a virtual clock: leases
-//! from the shard's owner, forwarding each request to the owner, and a fixed split.
+//! Compares policies of sharing runner slots between entries, on the same seeded requests and a
+//! virtual clock: leases from the shard's owner, forwarding each request to the owner, and a fixed
+//! split.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -14,16 +15,17 @@
 const ENTRIES: usize = 3;
 const RUNNERS: usize = 16;
 const SLOTS_PER_RUNNER: u32 = 8;
+/// Length of the stream of requests.
 const STREAM_MS: u64 = 120_000;
-/// Requests that came before this are not counted.
+/// Requests that arrive before this time are not counted.
 const WARM_UP_MS: u64 = 20_000;
-/// Time between an entry's questions to the owner, as in the shell.
+/// Interval at which an entry renews its leases at the owner, as in production.
 const RENEW_INTERVAL_MS: u64 = 200;
-/// A question and its answer between two entries: twice 0.5 ms.
+/// Round trip between two entries: twice 0.5 ms.
 const ROUND_TRIP_MS: u64 = 1;
 const SHARD: &str = "rack";
 
-/// A request: when it comes, at which entry, and how long a runner takes.
+/// A request: its arrival time, the entry at which it arrives, and its run time on a runner.
 #[derive(Clone, Copy)]
 struct Request {
     at: u64,
@@ -31,16 +33,16 @@
     run: u64,
 }
 
-/// What a way of sharing does: requests that start now.
+/// A policy of sharing slots. Its methods return the requests that start now.
 trait SharingPolicy {
     fn arrive(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize>;
     fn end(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize>;
     fn tick(&mut self, now: u64) -> Vec<usize>;
-    /// What a request waits besides its slot.
+    /// Time that a request waits in addition to its wait for a slot.
     fn extra_wait(&self, entry: usize) -> u64;
 }
 
-/// Pools of slots, each first come first served.
+/// Pools of slots, each of which serves requests first come, first served.
 struct Pools {
     free: Vec<u32>,
     waiting: Vec<VecDeque<usize>>,
@@ -94,7 +96,7 @@
     }
 }
 
-/// The product's own: the first entry owns the shard.
+/// The scheduler's own policy: leases from the first entry, which owns the shard.
 struct Leases {
     lender: Lender,
     slots: Vec<Slots>,
@@ -132,12 +134,12 @@
                 Some(id as usize)
             }
             Turn::Wait => None,
-            Turn::GiveUp { .. } => panic!("nothing is given up within a minute"),
+            Turn::GiveUp { .. } => panic!("no request is due within ten minutes"),
         }
     }
 }
 
-/// Later than any lease of a lender's predecessor.
+/// The virtual time, offset to be later than any lease of a lender's predecessor.
 fn virtual_time(now: u64) -> Millis {
     Millis(1_000_000 + now)
 }
@@ -180,7 +182,8 @@
     }
 }
 
-/// Requests at a share of all slots; `skew` is the part of them that comes to the second entry.
+/// Requests that load a share of all slots; `skew` is the share of them that arrives at the second
+/// entry.
 fn stream(load: f64, skew: f64) -> Vec<Request> {
     let mut rng = SplitMix64(5);
     let rate = load * RUNNERS as f64 * SLOTS_PER_RUNNER as f64 / 0.040;
@@ -195,7 +198,8 @@
     requests
 }
 
-/// The waits of all requests, and the most that were at runners at once.
+/// Simulates a stream of requests; returns their sorted waits and the peak number of requests at
+/// the runners.
 fn simulate(requests: &[Request], policy: &mut dyn SharingPolicy) -> (Vec<u64>, usize) {
     let mut ends: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
     let (mut next, mut tick, mut peak, mut waits) = (0, 0, 0, Vec::new());
@@ -226,8 +230,10 @@
 }
 
 fn main() {
-    println!("waits for a slot, ms: load, way, median, 99 %, 99.9 %, most at once, of a third or");
-    println!("of six tenths of the requests at one of three entries");
+    println!(
+        "waits for a slot, ms: share of requests at one of three entries, load, policy, median,"
+    );
+    println!("99 %, 99.9 %, peak of requests at the runners");
     for skew in [1.0 / 3.0, 0.6] {
         for load in [0.5, 0.8, 0.95] {
             let requests = stream(load, skew);
@@ -241,7 +247,10 @@
                 let at = |share: usize| waits[waits.len() * share / 1_000];
                 let [p50, p99, p999] = [500, 990, 999].map(at);
                 println!("  {skew:.2} {load:.2} {name:<12} {p50:>6} {p99:>6} {p999:>6} {peak:>5}");
-                assert!(peak <= RUNNERS * SLOTS_PER_RUNNER as usize, "more than there are");
+                assert!(
+                    peak <= RUNNERS * SLOTS_PER_RUNNER as usize,
+                    "more requests at the runners than slots"
+                );
             }
         }
     }
