--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -8,7 +8,7 @@
 use sprucerudder::controller::shard::Source;
 use sprucerudder::controller::shard::office::{Action, Event, Office};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
-use sprucerudder::job::{JobSpec, Outcome};
+use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, TaskReply};
 use sprucerudder::record::Claim;
 use sprucerudder::size::Size;
@@ -63,7 +63,7 @@
 
 impl OwnerHarness {
     pub fn new(rack: &str, sizes: &[Size], table: Arc<Table>) -> Self {
-        let owner = EntryId { name: "e".into(), inc: 1 };
+        let owner = EntryId { name: "e".into(), incarnation: 1 };
         let shard: Name = rack.into();
         let claim = Claim {
             shard: shard.clone(),
@@ -98,7 +98,7 @@
                     }
                     Action::Stop { task, .. } => {
                         self.running.remove(&task);
-                        let reply = Some(TaskReply::Ended(Outcome::Stopped));
+                        let reply = Some(TaskReply::Ended(TaskOutcome::Stopped));
                         replies.push(Event::Told { task: task.clone(), stop: true, reply });
                         decisions.push(Decision::Stopped { task });
                     }
@@ -139,7 +139,7 @@
 
     pub fn next_job_id(&mut self) -> JobId {
         self.job_count += 1;
-        JobId { shard: self.shard.clone(), seq: self.job_count }
+        JobId { shard: self.shard.clone(), number: self.job_count }
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> (JobId, Vec<Decision>) {
@@ -148,7 +148,7 @@
         (job, decisions)
     }
 
-    pub fn end(&mut self, task: &TaskId, outcome: Outcome) -> Vec<Decision> {
+    pub fn end(&mut self, task: &TaskId, outcome: TaskOutcome) -> Vec<Decision> {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
         self.step(Event::Told { task, stop: false, reply })
@@ -166,8 +166,8 @@
         tasks,
         gang,
         size,
-        run: Millis(1_000),
-        repeat: true,
+        run_time: Millis(1_000),
+        repeatable: true,
     }
 }
 
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -11,7 +11,7 @@
 use sprucerudder::controller::shard::office::Office;
 use sprucerudder::controller::slots::{Lender, Slots, Turn, Waiting};
 use sprucerudder::id::{EntryId, JobId, Name};
-use sprucerudder::job::Outcome;
+use sprucerudder::job::TaskOutcome;
 use sprucerudder::record::Claim;
 use sprucerudder::size::Size;
 use sprucerudder::table::Table;
@@ -52,7 +52,7 @@
     let (job, decisions) = owner.submit(job_spec("urgent", 1, false, SMALL));
     assert_eq!(decisions.len(), 1);
     let task = owner.running.keys().find(|task| task.job == job).cloned().expect("running");
-    owner.end(&task, Outcome::Done);
+    owner.end(&task, TaskOutcome::Done);
 }
 
 fn place(c: &mut Criterion) {
@@ -105,7 +105,7 @@
             shard: "rack".into(),
             domain: "d".into(),
             epoch: 2,
-            owner: EntryId { name: "f".into(), inc: 2 },
+            owner: EntryId { name: "f".into(), incarnation: 2 },
             replicas: Vec::new(),
         };
         let setup = || {
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -12,7 +12,7 @@
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::offer::{self, Candidate, Offer};
 use sprucerudder::id::{JobId, Name, TaskId};
-use sprucerudder::job::Outcome;
+use sprucerudder::job::TaskOutcome;
 use sprucerudder::size::Size;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -246,7 +246,7 @@
         let Some(task) = self.tasks.remove(&key) else { return Vec::new() };
         let owner = &mut self.owners[at];
         owner.now = START + Millis(now);
-        let decisions = owner.end(&task, if ok { Outcome::Done } else { Outcome::Failed });
+        let decisions = owner.end(&task, if ok { TaskOutcome::Done } else { TaskOutcome::Failed });
         self.convert_decisions(decisions)
     }
 
@@ -330,8 +330,8 @@
             _ => (0, WORKERS),
         };
         let lost = is_rack_lost(self.now, 0);
-        let mut fitting =
-            (from..to).filter(|at| free[*at].fits(size) && !(lost && at / WORKERS_PER_RACK == 0));
+        let mut fitting = (from..to)
+            .filter(|at| free[*at].can_fit(size) && !(lost && at / WORKERS_PER_RACK == 0));
         match self.rule {
             PlacementRule::RandomFit => {
                 let all: Vec<usize> = fitting.collect();
@@ -376,7 +376,7 @@
         let mut chosen = Vec::new();
         for member in 0..members {
             let Some(at) = self.choose_worker(&free, kind, &size) else { return false };
-            free[at] = free[at].minus(&size);
+            free[at] = free[at].saturating_sub(&size);
             chosen.push(((id, if gang { member } else { index }), at));
         }
         self.free = free;
@@ -405,7 +405,7 @@
         self.now = now;
         self.running.remove(&key);
         let size = self.sizes[&key.0];
-        self.free[worker] = self.free[worker].plus(&size).expect("size");
+        self.free[worker] = self.free[worker].checked_add(&size).expect("size");
         if !ok {
             self.queue.push((key.0, key.1, false, self.kinds[&key.0], size));
         }
@@ -418,7 +418,7 @@
             self.running.iter().filter(|(key, _)| key.0 == id).map(|(k, w)| (*k, *w)).collect();
         for (key, worker) in &cancelled {
             self.running.remove(key);
-            self.free[*worker] = self.free[*worker].plus(&self.sizes[&id]).expect("size");
+            self.free[*worker] = self.free[*worker].checked_add(&self.sizes[&id]).expect("size");
         }
         let mut commands: Vec<Command> =
             cancelled.into_iter().map(|(key, _)| Command::Stop(key)).collect();
--- a/src/cell/placing/reservation.rs
+++ b/src/cell/placing/reservation.rs
@@ -6,7 +6,7 @@
 use crate::cell::placing::relaxation::Relaxation;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{Room, StepKey};
+use crate::workload::{Resources, StepKey};
 use std::collections::HashMap;
 
 /// The position of a job among the waiting ones: its priority, then its deadline. Lower ranks come first.
@@ -17,7 +17,7 @@
 struct Reservation {
     step: StepKey,
     rank: Rank,
-    room: Room,
+    room: Resources,
     until: Millis,
     /// Tasks that can be stopped for the step may use the resources in the meantime.
     is_shared: bool,
@@ -37,7 +37,14 @@
 
 impl Reservations {
     /// Reserves resources on a worker for a step until a time. Less urgent steps can't use them.
-    pub fn reserve(&mut self, worker: &Name, step: StepKey, rank: Rank, room: Room, until: Millis) {
+    pub fn reserve(
+        &mut self,
+        worker: &Name,
+        step: StepKey,
+        rank: Rank,
+        room: Resources,
+        until: Millis,
+    ) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: false });
         self.exclusive.insert(step, until);
     }
@@ -48,7 +55,7 @@
         worker: &Name,
         step: StepKey,
         rank: Rank,
-        room: Room,
+        room: Resources,
         until: Millis,
     ) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: true });
@@ -61,7 +68,7 @@
         worker: &Name,
         step: StepKey,
         rank: Rank,
-        room: Room,
+        room: Resources,
         until: Millis,
     ) {
         self.insert(worker, Reservation { step, rank, room, until, is_shared: false });
@@ -104,7 +111,7 @@
         rank: Rank,
         can_stop: bool,
         relaxation: Relaxation,
-    ) -> Room {
+    ) -> Resources {
         let reservations = self.by_worker.get(worker).map(Vec::as_slice).unwrap_or_default();
         let may_be_used = |reservation: &&Reservation| {
             reservation.is_shared && can_stop && reservation.rank.0 < rank.0
@@ -120,7 +127,7 @@
             Relaxation::Full => false,
         };
         let others = others.filter(|reservation| !may_be_used(reservation)).filter(is_blocked);
-        others.fold(Room::default(), |sum, reservation| sum.plus(&reservation.room))
+        others.fold(Resources::default(), |sum, reservation| sum.plus(&reservation.room))
     }
 
     /// Removes all reservations of a step.
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -27,7 +27,7 @@
             unstable.filter_map(|candidate| self.workers.get(&candidate.name)?.stable_from());
         self.next_settled = times.chain(self.next_settled).min();
         // All tasks of a gang start together.
-        if all || (any && spec.gang) {
+        if all || (any && spec.is_gang) {
             let before = candidates.len();
             candidates.retain(|candidate| candidate.is_stable);
             return candidates.is_empty() && before > 0;
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -111,7 +111,7 @@
                     job.has_progress = true;
                     records.push(journal::put_progress(key, &progress));
                 }
-                let crashes = job.crash_notes();
+                let crashes = job.crash_records();
                 if !crashes.is_empty() || job.has_crashes {
                     job.has_crashes = true;
                     records.push(journal::put_crashes(key, &crashes));
@@ -169,7 +169,7 @@
     /// The start times of the workers in use, as far as they are known.
     fn worker_starts(&self) -> BTreeMap<Name, Millis> {
         let lives = self.workers.values().map(Worker::life);
-        lives.filter_map(|life| Some((life.id, life.born?))).collect()
+        lives.filter_map(|life| Some((life.id, life.started_at?))).collect()
     }
 
     /// The records of the workers in use.
--- a/src/cell/records/journal.rs
+++ b/src/cell/records/journal.rs
@@ -3,7 +3,7 @@
 use crate::cell::jobs::restart_policy::Crash;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::workload::{JobKey, Queue, Work};
+use crate::workload::{JobDefinition, JobKey, Queue};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
         /// The job's queue at that time, as a queue may be removed while its jobs are open.
         queue: Queue,
         /// The submitted work.
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
     },
     /// The job ended.
     Closed {
@@ -57,7 +57,8 @@
 }
 
 /// The suffix of a job's key under which its workspace is stored. It is separate from the job's own
-/// record because older versions do not know workspaces.
+/// record, whose encoding is shared with versions that do not know workspaces and skip unknown
+/// keys.
 const WORKSPACE_SUFFIX: &str = ".w";
 
 /// The progress of a task that is not done.
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -6,7 +6,7 @@
 use crate::cell::{Action, Cell};
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed};
+use crate::order::{Incarnation, WorkerInfo};
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
@@ -15,7 +15,8 @@
 pub enum RemovalReason {
     /// Another incarnation answers at its address.
     Replaced,
-    /// It is not listed any more, it does not answer, and its leases have expired or nothing runs on it.
+    /// It is not listed any more, it does not answer, and its leases have expired or nothing runs
+    /// on it.
     Unlisted,
 }
 
@@ -29,23 +30,24 @@
     }
 }
 
-/// How long an incarnation that ended is not added again from the list of workers, where its entry stays for some seconds.
-/// Otherwise it would be added and removed again each time the list is read. By the end of this time all its runs have
-/// ended.
+/// How long an incarnation that ended is not added again from the list of workers, where its entry
+/// stays for some seconds. Otherwise it would be added and removed again each time the list is
+/// read. By the end of this time all its runs have ended.
 pub(in crate::cell) const ENDED_INCARNATION_RETENTION: Millis = Millis(10_000);
-/// Number of workers in a failure domain that do not answer at the same time from which on the whole domain is considered
-/// partitioned from the owner. A single worker may have failed by itself.
+/// Number of workers in a failure domain that do not answer at the same time from which on the
+/// whole domain is considered partitioned from the owner. A single worker may have failed by
+/// itself.
 const PARTITION_MIN_WORKERS: usize = 2;
 
 impl Cell {
-    /// Marks a worker as unreachable: it gets no new tasks until it reports. Its tasks may run elsewhere at once if copies
-    /// are allowed.
+    /// Marks a worker as unreachable: it gets no new tasks until it reports. Its tasks may run
+    /// elsewhere at once if copies are allowed.
     pub fn mark_unreachable(&mut self, now: Millis, name: &Name) {
         if let Some(worker) = self.workers.get_mut(name)
             && worker.is_reachable
         {
             worker.is_reachable = false;
-            log::info!("event=worker-silent worker={name} runs={}", worker.runs.len());
+            log::info!("event=worker-unreachable worker={name} runs={}", worker.runs.len());
             let runs: Vec<(TaskKey, u64)> = worker.runs.keys().copied().collect();
             for (task, run) in runs {
                 if self.is_quarantined(task) {
@@ -56,11 +58,12 @@
         }
     }
 
-    /// Handles a message that a worker did not answer: the worker gets no new tasks until it reports, for which it is asked
-    /// at once.
+    /// Handles a message that a worker did not answer: the worker gets no new tasks until it
+    /// reports, for which it is asked at once.
     ///
-    /// When [`PARTITION_MIN_WORKERS`] workers of a failure domain do not answer, the others in it are considered to be behind
-    /// the same network partition. Otherwise starts would be sent there, and their tasks delayed until it heals.
+    /// When [`PARTITION_MIN_WORKERS`] workers of a failure domain do not answer, the others in it
+    /// are considered to be behind the same network partition. Otherwise starts would be sent
+    /// there, and their tasks delayed until it heals.
     pub(in crate::cell) fn suspect_worker(&mut self, now: Millis, name: &Name) {
         if self.is_overloaded || self.config.disabled.contains(Mechanism::AvoidUnresponsive) {
             return;
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Lets a task be started on another worker as well, if copies of it are allowed to run at the same time. The first run
-    /// that is done counts.
+    /// Lets a task be started on another worker as well, if copies of it are allowed to run at the
+    /// same time. The first run that is done counts.
     pub(in crate::cell) fn allow_duplicate(
         &mut self,
         now: Millis,
@@ -97,7 +100,7 @@
             return;
         }
         let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-        if spec.is_some_and(|spec| spec.copies && !spec.gang)
+        if spec.is_some_and(|spec| spec.allow_copies && !spec.is_gang)
             && !self.may_have_crashed_workers(task, run)
         {
             self.record_possible_crash(now, name, task);
@@ -125,13 +128,13 @@
         self.record_worker_crash(now, name, has_ended);
         let Some(worker) = self.workers.remove(name) else { return };
         if has_ended {
-            let life = worker.life();
-            self.resolve_crash(&life, CrashResolution::Ended);
-            self.ended_lives.insert(life, now);
+            let incarnation = worker.life();
+            self.resolve_crash(&incarnation, CrashResolution::Ended);
+            self.ended_lives.insert(incarnation, now);
         }
-        let (why, is_leaving) = (reason.name(), worker.listed.leaving.is_some());
+        let (why, is_leaving) = (reason.name(), worker.listed.leaves_in.is_some());
         log::info!(
-            "event=worker-gone worker={name} why={why} leaving={is_leaving} runs={}",
+            "event=worker-removed worker={name} why={why} leaving={is_leaving} runs={}",
             worker.runs.len()
         );
         for (task, run) in worker.runs.into_keys() {
@@ -144,31 +147,33 @@
     }
 
     /// Takes the current list of workers, of all services.
-    pub fn set_workers(&mut self, now: Millis, listed: Vec<Listed>) {
-        let ids: BTreeSet<Name> = listed.iter().map(|one| one.id.clone()).collect();
-        let lives: BTreeSet<Life> = listed.iter().map(Listed::life).collect();
-        self.ended_lives.retain(|life, _| lives.contains(life));
+    pub fn set_workers(&mut self, now: Millis, listed: Vec<WorkerInfo>) {
+        let ids: BTreeSet<Name> = listed.iter().map(|entry| entry.id.clone()).collect();
+        let incarnations: BTreeSet<Incarnation> =
+            listed.iter().map(WorkerInfo::incarnation).collect();
+        self.ended_lives.retain(|incarnation, _| incarnations.contains(incarnation));
         for worker in self.workers.values_mut() {
             worker.is_listed = ids.contains(&worker.listed.id);
         }
-        for one in listed {
-            self.update_listing(now, one);
+        for entry in listed {
+            self.update_listing(now, entry);
         }
         self.list_stale = false;
         self.needs_placement = true;
     }
 
     /// Adds or updates a worker from its entry in the list.
-    fn update_listing(&mut self, now: Millis, listed: Listed) {
-        let (name, life) = (listed.id.clone(), listed.life());
-        if self.ended_lives.contains_key(&life) {
+    fn update_listing(&mut self, now: Millis, listed: WorkerInfo) {
+        let (name, incarnation) = (listed.id.clone(), listed.incarnation());
+        if self.ended_lives.contains_key(&incarnation) {
             return;
         }
-        self.confirm_earlier_crashes(&life, &listed.addr);
+        self.confirm_earlier_crashes(&incarnation, &listed.addr);
         self.expect_new_incarnation(now, &listed);
         match self.workers.get_mut(&name) {
             Some(worker) => {
-                let starts_leaving = listed.leaving.is_some() && worker.listed.leaving.is_none();
+                let starts_leaving =
+                    listed.leaves_in.is_some() && worker.listed.leaves_in.is_none();
                 worker.listed = listed;
                 if starts_leaving {
                     self.evacuate(&name);
@@ -179,7 +184,7 @@
                     "event=worker-listed worker={name} service={} addr={} cpu={} labels={}",
                     listed.service,
                     listed.addr,
-                    listed.room.cpu,
+                    listed.capacity.cpu,
                     listed.labels.join(",")
                 );
                 self.actions.push(Action::Watch(listed.clone()));
@@ -189,17 +194,18 @@
         }
     }
 
-    /// Stops the runs on a leaving worker that would not end in time, so that their tasks start elsewhere.
+    /// Stops the runs on a leaving worker that would not end in time, so that their tasks start
+    /// elsewhere.
     fn evacuate(&mut self, name: &Name) {
         let Some(worker) = self.workers.get(name) else { return };
-        let time_left = worker.listed.leaving.unwrap_or_default();
+        let time_left = worker.listed.leaves_in.unwrap_or_default();
         log::info!(
             "event=worker-leaving worker={name} left_ms={time_left} runs={}",
             worker.runs.len()
         );
         let ends_in_time = |task: &TaskKey| {
             let spec = self.jobs.get(&task.step.job).and_then(|job| job.spec(task.step.step));
-            spec.is_some_and(|spec| !spec.lasting && spec.estimate < time_left)
+            spec.is_some_and(|spec| !spec.long_running && spec.estimate < time_left)
         };
         let stopped: Vec<(TaskKey, u64)> =
             worker.runs.keys().filter(|(task, _)| !ends_in_time(task)).copied().collect();
@@ -208,10 +214,11 @@
         }
     }
 
-    /// Abandons the runs on unreachable workers whose leases have expired, and removes those that are not listed any more.
+    /// Abandons the runs on unreachable workers whose leases have expired, and removes those that
+    /// are not listed any more.
     pub(in crate::cell) fn expire_leases(&mut self, now: Millis) {
-        // A worker that left with no runs is removed before its lease expires. If it stayed in the store, the next owner
-        // would wait for its whole lease.
+        // A worker that left with no runs is removed before its lease expires. If it stayed in the
+        // store, the next owner would wait for its whole lease.
         let has_left =
             |worker: &Worker| worker.has_reported && !worker.is_listed && worker.runs.is_empty();
         let is_expired = |worker: &&Worker| {
@@ -232,11 +239,11 @@
             let runs: Vec<_> =
                 worker.map(|worker| worker.runs.keys().copied().collect()).unwrap_or_default();
             if !runs.is_empty() {
-                log::info!("event=leases-over worker={name} runs={}", runs.len());
+                log::info!("event=leases-expired worker={name} runs={}", runs.len());
             }
             self.record_worker_crash(now, &name, false);
             for (task, run) in runs {
-                log::info!("event=run-lost task={task} run={run} worker={name} why=lease-over");
+                log::info!("event=run-lost task={task} run={run} worker={name} why=lease-expired");
                 self.abandon_run(&name, task, run);
             }
         }
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -3,32 +3,34 @@
 use crate::cell::placing::usage::UsageGuard;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::{Life, Listed, Report, differ};
-use crate::workload::{JobKey, Room, Step, TaskKey};
+use crate::order::{Incarnation, WorkerInfo, WorkerReport, start_times_differ};
+use crate::workload::{JobKey, Resources, Step, TaskKey};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The owner considers a lease expired after its length times this factor, in thousandths. A worker's clock may be 2 %
-/// slow by the platform's contract, and 1 % is a margin.
+/// The owner considers a lease expired after its length times this factor, in thousandths. A
+/// worker's clock may be 2 % slow by the platform's contract, and 1 % is a margin.
 const LEASE_FACTOR_PERMILLE: u64 = 1_030;
 /// Number of consecutive reports that may be missing before a worker is considered unreachable.
 const MAX_MISSED_REPORTS: u32 = 1;
-/// Number of consecutive failures, of different jobs, after which a worker is excluded from placement. At most one task in
-/// ten fails by its own fault, so three such failures in a row happen once in a thousand.
+/// Number of consecutive failures, of different jobs, after which a worker is excluded from
+/// placement. At most one task in ten fails by its own fault, so three such failures in a row
+/// happen once in a thousand.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// The first time that a worker is excluded from placement; each further exclusion is twice as long. The platform's
-/// workers recover within seconds or not at all.
+/// The length of a worker's first exclusion from placement; each further one is twice as long. The
+/// platform's workers recover within seconds or not at all.
 const MIN_EXCLUSION: Millis = Millis(2_000);
-/// The longest time that a worker is excluded from placement.
+/// The longest exclusion from placement.
 const MAX_EXCLUSION: Millis = Millis(16_000);
 
-/// A run that should save its progress is stalled after this time without a new checkpoint. The platform's workers save
-/// one after each half second of work, so two are missing by then and the third is late.
+/// A run that should save its progress is stalled after this time without a new checkpoint. The
+/// platform's workers save one after each half second of work, so two are missing by then and the
+/// third is late.
 const STALL_TIMEOUT: Millis = Millis(1_700);
 /// Late runs of two different jobs within this time are attributed to the worker.
 const LATE_WINDOW: Millis = Millis(3_000);
 
-/// A worker is stable once this long has passed since the first report of its current incarnation. A worker that crashes
-/// by itself usually does so repeatedly, and sooner than this.
+/// A worker is stable once this long has passed since the first report of its current incarnation.
+/// A worker that crashes by itself usually does so repeatedly, and sooner than this.
 const STABLE_AFTER: Millis = Millis(2_000);
 
 /// The phase of a run on its worker.
@@ -48,7 +50,7 @@
     /// The run number, which rises with each start of the task.
     pub run: u64,
     /// The resources that it is charged.
-    pub charge: Room,
+    pub charge: Resources,
     /// Counts the run towards the usage of its workspace until it is dropped.
     pub usage_guard: Option<UsageGuard>,
     /// The phase of the run.
@@ -86,7 +88,7 @@
     pub fn new(run: u64, spec: &Step, phase: Phase) -> Self {
         Self {
             run,
-            charge: spec.charge(),
+            charge: spec.charged_resources(),
             usage_guard: None,
             phase,
             stop_pending: false,
@@ -95,9 +97,9 @@
             known_since: Millis(0),
             has_started: false,
             percent: 100,
-            is_filler: spec.filler,
-            tail_limit: spec.tail,
-            saves_progress: spec.saves,
+            is_filler: spec.best_effort,
+            tail_limit: spec.latency_bound,
+            saves_progress: spec.has_checkpoints,
             started_at: Millis(0),
             progressed_at: Millis(0),
             late_after: None,
@@ -127,8 +129,9 @@
 #[derive(Debug)]
 pub struct Worker {
     /// Its entry in the list of workers.
-    pub listed: Listed,
-    /// When the current incarnation started: the one that reports, or on which an earlier owner left runs.
+    pub listed: WorkerInfo,
+    /// When the current incarnation started: the one that reports, or on which an earlier owner
+    /// left runs.
     born: Option<Millis>,
     /// When a restart of the worker was last noticed.
     pub restarted_at: Millis,
@@ -144,10 +147,11 @@
     pub has_reported: bool,
     /// When the current incarnation first reported in this epoch.
     first_report: Option<Millis>,
-    /// The runs that are or may be on it. A task can have two runs for a moment, one of which is ending.
+    /// The runs that are or may be on it. A task can have two runs for a moment, one of which is
+    /// ending.
     pub runs: BTreeMap<(TaskKey, u64), Run>,
     /// The resources charged for `runs`.
-    pub used: Room,
+    pub used: Resources,
     /// When the last order or report call was sent that was not answered, if no later one was.
     unanswered_at: Option<Millis>,
     /// Number of consecutive reports that are missing.
@@ -158,15 +162,18 @@
     pub lease_end: Millis,
     /// The highest number of an end of a run that was received.
     last_end: u64,
-    /// The highest number of an end that may be confirmed to the worker because its record is in the store.
+    /// The highest number of an end that may be confirmed to the worker because its record is in
+    /// the store.
     confirmed_end: u64,
-    /// Ends that were received and are not in the store yet: the batch with the record, and the number of the end.
+    /// Ends that were received and are not in the store yet: the batch with the record, and the
+    /// number of the end.
     unstored_ends: VecDeque<(u64, u64)>,
     /// Number of consecutive failures, of different jobs.
     failures: u32,
     /// The task that failed last.
     last_failed: Option<TaskKey>,
-    /// The length of the last exclusion from placement; 0 if there was none since a task last succeeded.
+    /// The length of the last exclusion from placement; 0 if there was none since a task last
+    /// succeeded.
     exclusion: Millis,
     /// Until when it is excluded from placement.
     excluded_until: Millis,
@@ -174,15 +181,15 @@
     last_late: Option<(TaskKey, Millis)>,
     /// When the processor shares of filler tasks were last changed.
     pub throttled_at: Millis,
-    /// The job to which the worker is left because one of its tasks is quarantined.
+    /// The job to which the worker is dedicated because one of its tasks is quarantined.
     pub(in crate::cell) quarantined_for: Option<JobKey>,
 }
 
 impl Worker {
     /// Creates a worker that has not reported yet.
-    pub fn new(listed: Listed, roster_batch: u64, lease_end: Millis) -> Self {
+    pub fn new(listed: WorkerInfo, roster_batch: u64, lease_end: Millis) -> Self {
         Self {
-            born: listed.born,
+            born: listed.started_at,
             restarted_at: Millis(0),
             maybe_restarted: false,
             listed,
@@ -192,7 +199,7 @@
             has_reported: false,
             first_report: None,
             runs: BTreeMap::new(),
-            used: Room::default(),
+            used: Resources::default(),
             unanswered_at: None,
             missed_reports: 0,
             clock: None,
@@ -211,19 +218,20 @@
     }
 
     /// The incarnation that is known here.
-    pub fn life(&self) -> Life {
-        Life { id: self.listed.id.clone(), born: self.born }
+    pub fn life(&self) -> Incarnation {
+        Incarnation { id: self.listed.id.clone(), started_at: self.born }
     }
 
     /// Whether a process that started at `born` is another incarnation than the one known here.
     pub fn is_other_incarnation(&self, born: Option<Millis>) -> bool {
-        differ(self.born, born)
+        start_times_differ(self.born, born)
     }
 
     /// Resets the state to that of a new incarnation and returns the state of the previous one.
     ///
-    /// The new incarnation has none of the runs, and its clock and its numbers of ends start anew. It gets no new tasks
-    /// before its own entry in the list of workers is read, because its kind may have changed.
+    /// The new incarnation has none of the runs, and its clock and its numbers of ends start anew.
+    /// It gets no new tasks before its own entry in the list of workers is read, because its kind
+    /// may have changed.
     pub fn restart(
         &mut self,
         now: Millis,
@@ -241,19 +249,20 @@
         self.maybe_restarted = true;
     }
 
-    /// Whether it may have restarted: nothing that refers to its previous incarnation may be sent to it.
+    /// Whether it may have restarted: nothing that refers to its previous incarnation may be sent
+    /// to it.
     pub fn may_have_restarted(&self) -> bool {
         self.maybe_restarted
     }
 
     /// The free resources.
-    pub fn free(&self) -> Room {
-        self.listed.room.less(&self.used)
+    pub fn free(&self) -> Resources {
+        self.listed.capacity.saturating_sub(&self.used)
     }
 
     /// Whether the runs take more than the worker has, because its resources shrank.
     pub fn is_overcommitted(&self) -> bool {
-        !self.listed.room.holds(&self.used)
+        !self.listed.capacity.can_fit(&self.used)
     }
 
     /// The rack of the worker.
@@ -270,11 +279,12 @@
     /// Removes a run and frees its resources.
     pub fn remove_run(&mut self, task: TaskKey, run: u64) -> Option<Run> {
         let run = self.runs.remove(&(task, run))?;
-        self.used = self.used.less(&run.charge);
+        self.used = self.used.saturating_sub(&run.charge);
         Some(run)
     }
 
-    /// Renews the lease. Returns its end on the worker's clock, or `None` if that clock is not known.
+    /// Renews the lease. Returns its end on the worker's clock, or `None` if that clock is not
+    /// known.
     pub fn renew_lease(&mut self, now: Millis, length: Millis) -> Option<u64> {
         let (clock, read_at) = self.clock?;
         let expiry = now + Millis(length.0 * LEASE_FACTOR_PERMILLE / 1_000);
@@ -282,7 +292,8 @@
         Some(clock + now.since(read_at).0 + length.0)
     }
 
-    /// A message sent at `sent` was not answered: the worker gets no new tasks until it answers a report call.
+    /// A message sent at `sent` was not answered: the worker gets no new tasks until it answers a
+    /// report call.
     pub fn mark_unanswered(&mut self, sent: Millis) {
         self.maybe_restarted = true;
         self.unanswered_at = self.unanswered_at.max(Some(sent));
@@ -293,9 +304,9 @@
         self.unanswered_at.is_some()
     }
 
-    /// The worker answered a report call that was sent at `sent`. Returns whether the report is the first to tell when
-    /// the worker's process started.
-    pub fn record_report(&mut self, now: Millis, sent: Millis, report: &Report) -> bool {
+    /// The worker answered a report call that was sent at `sent`. Returns whether the report is the
+    /// first to tell when the worker's process started.
+    pub fn record_report(&mut self, now: Millis, sent: Millis, report: &WorkerReport) -> bool {
         if self.unanswered_at.is_some_and(|unanswered| sent >= unanswered) {
             self.unanswered_at = None;
         }
@@ -304,8 +315,8 @@
         self.is_reachable = true;
         self.first_report.get_or_insert(now);
         self.missed_reports = 0;
-        let is_first_start_time = self.born.is_none() && report.born.is_some();
-        self.born = self.born.or(report.born);
+        let is_first_start_time = self.born.is_none() && report.started_at.is_some();
+        self.born = self.born.or(report.started_at);
         is_first_start_time
     }
 
@@ -384,8 +395,8 @@
         self.failures = MAX_CONSECUTIVE_FAILURES - 1;
     }
 
-    /// Finds runs that are stalled or late, each only once. The worker is excluded from placement for a stalled run, and
-    /// for late runs of two different jobs within [`LATE_WINDOW`].
+    /// Finds runs that are stalled or late, each only once. The worker is excluded from placement
+    /// for a stalled run, and for late runs of two different jobs within [`LATE_WINDOW`].
     pub fn find_stragglers(&mut self, now: Millis) -> Vec<(TaskKey, u64)> {
         let (mut found, mut is_at_fault) = (Vec::new(), false);
         let is_candidate = |run: &Run| matches!(run.phase, Phase::Running(_)) && !run.is_straggler;
@@ -418,14 +429,14 @@
         now < self.excluded_until
     }
 
-    /// Whether it may get new tasks when all batches up to `stored_batch` are in the store. Exclusion from placement is not
-    /// considered here.
+    /// Whether it may get new tasks when all batches up to `stored_batch` are in the store.
+    /// Exclusion from placement is not considered here.
     pub fn accepts_tasks(&self, stored_batch: u64) -> bool {
         let is_responsive = self.has_reported && self.is_reachable && self.unanswered_at.is_none();
         let is_known = self.is_listed
             && is_responsive
             && self.roster_batch <= stored_batch
-            && !self.is_other_incarnation(self.listed.born);
-        is_known && self.listed.leaving.is_none() && self.clock.is_some()
+            && !self.is_other_incarnation(self.listed.started_at);
+        is_known && self.listed.leaves_in.is_none() && self.clock.is_some()
     }
 }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -23,14 +23,14 @@
     let after = report::ControlCost::now(&cell);
     let events = cell.events();
     report::print(&events, &before, &after);
-    let violations = check::check(&events);
+    let violations = check::find_violations(&events);
     violations.iter().for_each(|violation| println!("{violation}"));
     println!("guarantees: events={} broken={}", events.len(), violations.len());
     cell.stop().await;
     match violations.is_empty() {
         true => Ok(()),
         false => {
-            Err(crate::cmd::Refusal("a guarantee of the scheduler was violated".into()).into())
+            Err(crate::cmd::RefusedError("a guarantee of the scheduler was violated".into()).into())
         }
     }
 }
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -6,8 +6,8 @@
 use crate::cell::owner::log_reports::LogReport;
 use crate::clock::Millis;
 use crate::id::Name;
-use crate::order::Cleared;
-use crate::workload::{JobKey, StepKey, Work};
+use crate::order::ClearedWorkers;
+use crate::workload::{JobDefinition, JobKey, StepKey};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     Submit {
         job: JobKey,
         queue: Name,
-        work: Arc<Work>,
+        work: Arc<JobDefinition>,
         workspace: Option<Name>,
         is_forwarded: bool,
     },
@@ -45,7 +45,7 @@
     LogProbed { readable: bool },
     /// Answers [`OwnerMessage::AskAdvice`] about the candidate workers. `None`: the advice service
     /// gave no answer.
-    Advice { step: StepKey, candidates: Vec<Name>, answer: Option<Cleared> },
+    Advice { step: StepKey, candidates: Vec<Name>, answer: Option<ClearedWorkers> },
 }
 
 impl EntryMessage {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -10,7 +10,7 @@
 pub mod site;
 pub mod worker;
 
-use crate::server::TraceRequest;
+use crate::server::TimelineRequest;
 use crate::trace::{Event, Trace};
 use poem::handler;
 use poem::web::{Data, Json};
@@ -18,6 +18,6 @@
 
 /// Returns the events of a simulator's timeline from a position on.
 #[handler]
-pub fn serve_timeline(trace: Data<&Arc<Trace>>, request: Json<TraceRequest>) -> Json<Vec<Event>> {
-    Json(trace.after(request.since, request.max))
+pub fn serve_timeline(trace: Data<&Arc<Trace>>, request: Json<TimelineRequest>) -> Json<Vec<Event>> {
+    Json(trace.events_after(request.since, request.max))
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -6,9 +6,9 @@
 use crate::id::Name;
 use crate::platform::api::{AppendReply, LogRecord, ReadReply, ReadRequest};
 use crate::platform::http::CALLER_HEADER;
-use crate::server::TRACE_PATH;
+use crate::server::TIMELINE_PATH;
 use crate::standin::serve_timeline;
-use crate::trace::{Trace, What};
+use crate::trace::{EventKind, Trace};
 use poem::http::StatusCode;
 use poem::web::{Data, Json};
 use poem::{EndpointExt, IntoEndpoint, Route, handler, post};
@@ -71,7 +71,7 @@
     /// Creates a platform that keeps records for `retention`.
     pub fn new(retention: Millis) -> Arc<Self> {
         let trace = Arc::new(Trace::new("platform".into()));
-        trace.add(What::Up { role: "platform".into() });
+        trace.record(EventKind::ProcessStarted { role: "platform".into() });
         Arc::new(Self {
             retention,
             log: Mutex::default(),
@@ -84,7 +84,7 @@
 
     /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.trace.add(What::Platform { part: "log".into(), up: !faults.log_down });
+        self.trace.record(EventKind::Platform { part: "log".into(), up: !faults.log_down });
         *lock(&self.faults) = faults;
     }
 
@@ -141,7 +141,7 @@
             .at("/set/list", post(set_list))
             .at("/set/faults", post(set_faults))
             .at("/usage", post(usage))
-            .at(TRACE_PATH, post(serve_timeline))
+            .at(TIMELINE_PATH, post(serve_timeline))
             .data(trace)
             .data(self)
     }
--- a/tests/accepting.rs
+++ b/tests/accepting.rs
@@ -11,12 +11,18 @@
 use sprucerudder::cell::Action;
 use sprucerudder::cell::records::journal;
 use sprucerudder::clock::Millis;
-use sprucerudder::workload::{JobKey, Room, Step, Work};
+use sprucerudder::workload::{JobDefinition, JobKey, Resources, Step};
 use std::sync::Arc;
 
 fn submit_unstored(cluster: &mut Cluster, key: JobKey, step: Step) {
-    let (first, every) = (Millis(0), Millis(0));
-    let work = Work { spec: "text".into(), steps: vec![step], times: 1, first, every };
+    let (first_due, interval) = (Millis(0), Millis(0));
+    let work = JobDefinition {
+        payload: "text".into(),
+        steps: vec![step],
+        repetitions: 1,
+        first_due,
+        interval,
+    };
     assert!(cluster.cell.submit(Millis(cluster.now), key, "q", Arc::new(work)).is_some());
 }
 
@@ -45,7 +51,7 @@
 #[test]
 fn a_withdrawn_job_never_starts_and_frees_its_resources() {
     let mut cluster = Cluster::new(1);
-    let whole_worker = Step { room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
+    let whole_worker = Step { resources: Resources { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
     submit_unstored(&mut cluster, job(1), whole_worker.clone());
     assert_eq!(schedule_starts(&mut cluster), 0);
     let now = Millis(cluster.now);
@@ -103,7 +109,11 @@
 #[test]
 fn an_unaccepted_job_preempts_nothing() {
     let mut cluster = Cluster::new(1);
-    let saving_step = Step { saves: true, room: Room { cpu: 4_000, mem: 4_000, gpu: 0 }, ..step() };
+    let saving_step = Step {
+        has_checkpoints: true,
+        resources: Resources { cpu: 4_000, mem: 4_000, gpu: 0 },
+        ..step()
+    };
     cluster.submit_step(job(1), Step { estimate: Millis(60_000), ..saving_step.clone() });
     cluster.run_for(40);
     submit_unstored(&mut cluster, job(2), saving_step);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -3,7 +3,7 @@
 
 use sprucerudder::cell::owner::retry::{MIN_RETRY_SECONDS, retry_after};
 use sprucerudder::clock::Millis;
-use sprucerudder::workload::{JobKey, Queue, Step, Work};
+use sprucerudder::workload::{JobDefinition, JobKey, Queue, Step};
 
 /// Times of a caller's retries after its first try, in tenths of the retry delay that it was told.
 /// They were observed on callers that were told one second.
@@ -16,16 +16,22 @@
         name: "q".into(),
         service: "s".into(),
         priority: 0,
-        attempts: 1,
+        max_attempts: 1,
         stretch,
         target: Millis(target_ms),
         advice: None,
     }
 }
 
-fn work(estimate_ms: u64) -> Work {
+fn work(estimate_ms: u64) -> JobDefinition {
     let step = Step { count: 1, estimate: Millis(estimate_ms), ..Step::default() };
-    Work { spec: "".into(), steps: vec![step], times: 1, first: Millis(0), every: Millis(0) }
+    JobDefinition {
+        payload: "".into(),
+        steps: vec![step],
+        repetitions: 1,
+        first_due: Millis(0),
+        interval: Millis(0),
+    }
 }
 
 /// Time at which a job is accepted that was first submitted at `at` and whose caller was told to
@@ -37,8 +43,8 @@
 
 /// How many of 100 jobs, submitted evenly over the outage, are accepted early enough to meet their
 /// objective.
-fn count_on_time(queue: &Queue, work: &Work, retry_delay: impl Fn(JobKey) -> u64) -> usize {
-    let slack = (queue.objective(work) - work.chain()).0;
+fn count_on_time(queue: &Queue, work: &JobDefinition, retry_delay: impl Fn(JobKey) -> u64) -> usize {
+    let slack = (queue.objective(work) - work.critical_path()).0;
     let is_on_time = |no: &u64| {
         let at = no * OUTAGE_MS / 100;
         accepted_at(at, retry_delay(JobKey(*no))).is_some_and(|time| time - at <= slack)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -432,7 +432,7 @@
         for process in all {
             events.extend(self.events_of(process.addr).await);
         }
-        events.sort_by(|a, b| (a.at, &a.who).cmp(&(b.at, &b.who)));
+        events.sort_by(|a, b| (a.at, &a.process).cmp(&(b.at, &b.process)));
         events
     }
 
@@ -448,7 +448,7 @@
     pub async fn check_invariants(&self) {
         let events = self.timeline().await;
         assert!(events.len() > 10, "timeline too short: {} events", events.len());
-        let violations = check::check(&events);
+        let violations = check::find_violations(&events);
         assert!(violations.is_empty(), "{violations:#?}");
     }
 }
--- a/tests/failure.rs
+++ b/tests/failure.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
-use sprucerudder::trace::What;
+use sprucerudder::trace::EventKind;
 
 const SHARD: &str = "nasr-hall-a";
 
@@ -386,9 +386,11 @@
 async fn most_at_once(cell: &Cell, jobs: &[String]) -> usize {
     let (mut now, mut most) = (0_usize, 0);
     for event in cell.timeline().await {
-        match event.what {
-            What::WorkerStarted { task, .. } if jobs.contains(&task.job.to_string()) => now += 1,
-            What::WorkerEnded { task, .. } if jobs.contains(&task.job.to_string()) => now -= 1,
+        match event.kind {
+            EventKind::WorkerStarted { task, .. } if jobs.contains(&task.job.to_string()) => {
+                now += 1
+            }
+            EventKind::WorkerEnded { task, .. } if jobs.contains(&task.job.to_string()) => now -= 1,
             _ => {}
         }
         most = most.max(now);
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -6,8 +6,10 @@
 use sprucerudder::cell::{Action, Cell, CellConfig};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
-use sprucerudder::order::{End, EndedRow, Listed, Outcome, Report, RunningRow, Start};
-use sprucerudder::workload::{JobKey, Queue, Room, Step, TaskKey, Work};
+use sprucerudder::order::{
+    EndReason, EndedTask, OrderOutcome, RunningTask, StartOrder, WorkerInfo, WorkerReport,
+};
+use sprucerudder::workload::{JobDefinition, JobKey, Queue, Resources, Step, TaskKey};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -26,7 +28,7 @@
         name: name.clone(),
         service,
         priority,
-        attempts: 2,
+        max_attempts: 2,
         stretch: 2_000,
         target,
         advice: None,
@@ -36,8 +38,8 @@
 
 /// A worker with eight accelerators; `runs` holds when and how each of its runs ends.
 struct Worker {
-    listed: Listed,
-    runs: BTreeMap<(TaskKey, u64), (u64, End)>,
+    listed: WorkerInfo,
+    runs: BTreeMap<(TaskKey, u64), (u64, EndReason)>,
     end_count: u64,
 }
 
@@ -70,12 +72,12 @@
     }
 
     fn submit(&mut self, key: u64, queue: &str, step: Step) {
-        let work = Work {
-            spec: "".into(),
+        let work = JobDefinition {
+            payload: "".into(),
             steps: vec![step],
-            times: 1,
-            first: Millis(0),
-            every: Millis(0),
+            repetitions: 1,
+            first_due: Millis(0),
+            interval: Millis(0),
         };
         assert!(self.cell.submit(Millis(self.now), JobKey(key), queue, Arc::new(work)).is_some());
     }
@@ -86,24 +88,31 @@
         self.now += 20;
         let now = Millis(self.now);
         for worker in &mut self.workers {
-            let is_due = |(_, (end, _)): &(&(TaskKey, u64), &(u64, End))| *end <= self.now;
+            let is_due = |(_, (reason, _)): &(&(TaskKey, u64), &(u64, EndReason))| *reason <= self.now;
             let ended_runs: Vec<_> =
                 worker.runs.iter().filter(is_due).map(|(k, v)| (*k, v.1)).collect();
             let mut ended = Vec::new();
-            for ((task, run), end) in ended_runs {
+            for ((task, run), reason) in ended_runs {
                 worker.runs.remove(&(task, run));
                 worker.end_count += 1;
-                ended.push(EndedRow { no: worker.end_count, task, run, end, saved: "s".into() });
+                ended.push(EndedTask {
+                    seq: worker.end_count,
+                    task,
+                    run,
+                    reason,
+                    checkpoint: "s".into(),
+                });
             }
-            let running_row = |(task, run): &(TaskKey, u64)| RunningRow {
+            let running_row = |(task, run): &(TaskKey, u64)| RunningTask {
                 task: *task,
                 run: *run,
-                saved: format!("{}", self.now / 500).into(),
-                percent: 100,
+                checkpoint: format!("{}", self.now / 500).into(),
+                pace_percent: 100,
                 gauge: None,
             };
             let running = worker.runs.keys().map(running_row).collect();
-            let report = Report { clock: self.now, running, ended, ..Report::default() };
+            let report =
+                WorkerReport { clock: self.now, running, ended, ..WorkerReport::default() };
             let name = worker.listed.id.clone();
             self.cell.report_call(now, &name, true);
             self.cell.on_report(now, now, &name, &report);
@@ -122,13 +131,13 @@
         }
     }
 
-    fn start(&mut self, name: &Name, start: &Start) {
+    fn start(&mut self, name: &Name, start: &StartOrder) {
         let large = start.task.step.job.0 >= 1_000;
         let end = self.now + if large { LARGE_RUN_MS } else { SMALL_RUN_MS };
         let worker = self.workers.iter_mut().find(|worker| worker.listed.id == *name).unwrap();
-        worker.runs.insert((start.task, start.run), (end, End::Done));
+        worker.runs.insert((start.task, start.run), (end, EndReason::Done));
         self.first_starts.entry(start.task.step.job).or_insert(self.now);
-        let done = Outcome::Done(None);
+        let done = OrderOutcome::Done(None);
         self.cell.on_start_outcome(Millis(self.now), name, start.task, start.run, done);
     }
 
@@ -136,30 +145,30 @@
         self.stop_orders.push((task, self.now));
         let worker = self.workers.iter_mut().find(|worker| worker.listed.id == *name).unwrap();
         if let Some(row) = worker.runs.get_mut(&(task, run)) {
-            *row = (self.now + STOP_MS, End::Stopped);
+            *row = (self.now + STOP_MS, EndReason::Stopped);
         }
-        self.cell.on_stop_outcome(Millis(self.now), name, task, run, Outcome::Done(None));
+        self.cell.on_stop_outcome(Millis(self.now), name, task, run, OrderOutcome::Done(None));
     }
 }
 
 fn worker(no: usize) -> Worker {
     let id: Name = format!("w{no}").into();
-    let listed = Listed {
+    let listed = WorkerInfo {
         id: id.clone(),
-        born: None,
+        started_at: None,
         service: "s".into(),
         addr: id,
         domain: "d".into(),
-        room: Room { cpu: 64_000, mem: 64_000, gpu: 8 },
+        capacity: Resources { cpu: 64_000, mem: 64_000, gpu: 8 },
         labels: Vec::new(),
-        leaving: None,
+        leaves_in: None,
     };
     Worker { listed, runs: BTreeMap::new(), end_count: 0 }
 }
 
 fn tasks(count: u32, gpu: u64) -> Step {
-    let room = Room { cpu: gpu * 1_000, mem: 1_000, gpu };
-    Step { count, room, saves: true, estimate: Millis(3_000), ..Step::default() }
+    let resources = Resources { cpu: gpu * 1_000, mem: 1_000, gpu };
+    Step { count, resources, has_checkpoints: true, estimate: Millis(3_000), ..Step::default() }
 }
 
 /// Longest wait in milliseconds of large jobs that each fill a worker. One is submitted every 1.5
@@ -213,7 +222,7 @@
 
 #[test]
 fn tasks_that_do_not_save_their_progress_are_not_stopped() {
-    let (_, cluster) = longest_wait(Step { saves: false, ..tasks(1, 1) });
+    let (_, cluster) = longest_wait(Step { has_checkpoints: false, ..tasks(1, 1) });
     assert_eq!(cluster.stop_orders, Vec::new());
 }
 
@@ -262,7 +271,7 @@
         }
         if no == 200 {
             gang = Some(cluster.now);
-            cluster.submit(1_000, "large", Step { gang: true, ..tasks(6, 4) });
+            cluster.submit(1_000, "large", Step { is_gang: true, ..tasks(6, 4) });
         }
         cluster.step();
     }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -9,7 +9,7 @@
 use sprucerudder::cell::records::journal::{self, Snapshot};
 use sprucerudder::clock::Millis;
 use sprucerudder::id::Name;
-use sprucerudder::order::Life;
+use sprucerudder::order::Incarnation;
 use sprucerudder::platform::config::Policy;
 use sprucerudder::platform::store::{decode_keyed, parse_page};
 use sprucerudder::platform::submit;
@@ -36,7 +36,7 @@
     draining["remaining_ms"] = json!(2_500.5);
     let draining_worker =
         parse_worker_entry("i-1".into(), draining.to_string().as_bytes()).unwrap();
-    assert!(draining_worker.leaving.is_some());
+    assert!(draining_worker.leaves_in.is_some());
 }
 
 #[test]
@@ -172,10 +172,10 @@
         entry["born"] = born;
         parse_worker_entry("i-1".into(), entry.to_string().as_bytes())
     };
-    let born = parse_with_born(json!(1_777_874_052_012_u64)).unwrap().born;
+    let born = parse_with_born(json!(1_777_874_052_012_u64)).unwrap().started_at;
     assert_eq!(born, Some(Millis(1_777_874_052_012)));
     assert_eq!(
-        parse_worker_entry("i-1".into(), worker_entry().to_string().as_bytes()).unwrap().born,
+        parse_worker_entry("i-1".into(), worker_entry().to_string().as_bytes()).unwrap().started_at,
         None
     );
     for other in [json!("7"), json!(7.5), json!(-7), json!([7]), json!(true)] {
@@ -185,19 +185,19 @@
 
 #[test]
 fn a_worker_life_is_encoded_as_a_name_and_decoded_again() {
-    let with_start = Life { id: "i-1".into(), born: Some(Millis(1_777_874_052_012)) };
-    let without_start = Life { id: "i-1".into(), born: None };
+    let with_start = Incarnation { id: "i-1".into(), started_at: Some(Millis(1_777_874_052_012)) };
+    let without_start = Incarnation { id: "i-1".into(), started_at: None };
     for life in [&with_start, &without_start] {
         let bytes = postcard::to_stdvec(life).unwrap();
-        assert_eq!(postcard::from_bytes::<Life>(&bytes).unwrap(), *life);
+        assert_eq!(postcard::from_bytes::<Incarnation>(&bytes).unwrap(), *life);
     }
     // Version 0.6.0 writes only the id. It reads an id written by this version as one that it does
     // not know.
     let name: Name = "i-1".into();
     let old = postcard::to_stdvec(&name).unwrap();
-    assert_eq!(postcard::from_bytes::<Life>(&old).unwrap(), without_start);
-    assert!(!without_start.differs(&with_start) && !with_start.differs(&without_start));
-    assert!(with_start.differs(&Life { born: Some(Millis(7)), ..without_start.clone() }));
+    assert_eq!(postcard::from_bytes::<Incarnation>(&old).unwrap(), without_start);
+    assert!(!without_start.differs_from(&with_start) && !with_start.differs_from(&without_start));
+    assert!(with_start.differs_from(&Incarnation { started_at: Some(Millis(7)), ..without_start.clone() }));
 }
 
 #[test]
--- a/tests/rooms.rs
+++ b/tests/rooms.rs
@@ -8,7 +8,7 @@
 use crashworld::{Cluster, job, step};
 use sprucerudder::cell::JobState;
 use sprucerudder::cell::records::journal::JobOutcome;
-use sprucerudder::workload::{Room, Step};
+use sprucerudder::workload::{Resources, Step};
 
 /// CPU of a worker in thousandths of a core; a task takes a quarter of it.
 const WORKER_CPU: u64 = 16_000;
@@ -49,7 +49,7 @@
 #[test]
 fn a_start_delayed_by_the_store_is_not_sent_to_a_worker_that_shrank() {
     let mut cluster = Cluster::new(1);
-    cluster.submit(job(1), vec![step(1), Step { after: vec![0], ..step(3) }]);
+    cluster.submit(job(1), vec![step(1), Step { dependencies: vec![0], ..step(3) }]);
     cluster.run_for(500);
     // The second step becomes ready at 1,000 ms.
     cluster.stall_store(2_000);
@@ -67,14 +67,14 @@
 #[test]
 fn enough_tasks_are_preempted_on_a_worker_that_shrank() {
     let mut cluster = Cluster::new(1);
-    let small = Step { saves: true, ..step(4) };
+    let small = Step { has_checkpoints: true, ..step(4) };
     cluster.submit_low(job(1), vec![small], 30_000);
     cluster.run_for(100);
     assert_eq!(cluster.starts_of(job(1)), 4);
     cluster.resize(0, WORKER_CPU / 2);
     // With two of the four tasks left, the worker is exactly full.
-    let room = Room { cpu: 6_000, mem: 1, gpu: 0 };
-    cluster.submit(job(2), vec![Step { room, ..step(1) }]);
+    let resources = Resources { cpu: 6_000, mem: 1, gpu: 0 };
+    cluster.submit(job(2), vec![Step { resources, ..step(1) }]);
     cluster.run_for(1_200);
     assert_eq!(cluster.starts_of(job(2)), 1);
 }
@@ -85,8 +85,8 @@
 #[test]
 fn a_run_of_unknown_size_fills_a_worker_even_after_it_grows() {
     let mut cluster = Cluster::new(1);
-    let room = Room { cpu: WORKER_CPU, mem: 1_000, gpu: 0 };
-    cluster.submit_long(job(1), vec![Step { room, ..step(1) }], 60_000);
+    let resources = Resources { cpu: WORKER_CPU, mem: 1_000, gpu: 0 };
+    cluster.submit_long(job(1), vec![Step { resources, ..step(1) }], 60_000);
     cluster.run_for(100);
     cluster.retain_records(|key| key == "roster");
     cluster.resize(0, WORKER_CPU / 4);
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -9,9 +9,9 @@
 use sprucerudder::cell::owner::cell_map::CellMap;
 use sprucerudder::cell::records::journal::JobOutcome;
 use sprucerudder::clock::Millis;
-use sprucerudder::order::Listed;
+use sprucerudder::order::WorkerInfo;
 use sprucerudder::platform::config::Policy;
-use sprucerudder::workload::{Room, Step};
+use sprucerudder::workload::{Resources, Step};
 use sprucerudder::workspace::{Workspace, Workspaces};
 use std::collections::BTreeSet;
 use std::num::NonZeroUsize;
@@ -22,7 +22,7 @@
 
 /// A workspace whose limit allows this many running tasks of one core.
 fn workspace(name: &str, task_limit: u64) -> Workspace {
-    let limit = Room { cpu: 1_000 * task_limit, ..Room::UNLIMITED };
+    let limit = Resources { cpu: 1_000 * task_limit, ..Resources::UNLIMITED };
     Workspace { name: name.into(), weight: 1, limit }
 }
 
@@ -109,8 +109,8 @@
 fn a_task_larger_than_the_limit_runs_alone() {
     let mut cluster = cluster();
     cluster.cell.set_workspaces(workspaces(1));
-    let room = Room { cpu: 2_000, mem: 1_000, gpu: 0 };
-    cluster.submit_for(job(1), Step { count: 3, room, ..step() }, "large");
+    let resources = Resources { cpu: 2_000, mem: 1_000, gpu: 0 };
+    cluster.submit_for(job(1), Step { count: 3, resources, ..step() }, "large");
     run_within_limit(&mut cluster, 6 * RUN_MS, 1);
     assert_eq!(cluster.state(job(1)), COMPLETED);
 }
@@ -119,17 +119,17 @@
 fn all_jobs_of_a_workspace_are_in_one_cell() {
     // Were every limit split over all cells (there were seven), a cell's part could be smaller than
     // any job of a small workspace: jobs that fit the limit did not run.
-    let worker = |no: u32| Listed {
+    let worker = |no: u32| WorkerInfo {
         id: format!("w{no}").into(),
-        born: None,
+        started_at: None,
         service: "s".into(),
         addr: "".into(),
         domain: "d".into(),
-        room: Room { cpu: 4_000, mem: 4_000, gpu: 0 },
+        capacity: Resources { cpu: 4_000, mem: 4_000, gpu: 0 },
         labels: vec!["a".into(), format!("r{}", no / 10).into()],
-        leaving: None,
+        leaves_in: None,
     };
-    let workers: Vec<Listed> = (0..800).map(worker).collect();
+    let workers: Vec<WorkerInfo> = (0..800).map(worker).collect();
     let map = CellMap::new(&workers, NonZeroUsize::new(100).unwrap());
     assert_eq!(map.cell_count(), 8);
     let cell_of = |no: u32| map.cell_of_workspace(&format!("workspace-{no}").into());
@@ -236,10 +236,10 @@
     assert!(!policy.route("h", "/b/1").unwrap().is_anonymous);
     assert!(policy.requires_keys);
     let all = policy.workspaces;
-    let of_key = all.of_key("k2").unwrap();
-    let limit = Room { cpu: 4_000, ..Room::UNLIMITED };
+    let of_key = all.by_api_key("k2").unwrap();
+    let limit = Resources { cpu: 4_000, ..Resources::UNLIMITED };
     assert_eq!(**of_key, Workspace { name: "t".into(), weight: 18, limit });
-    assert!(all.of_key("k3").is_none());
+    assert!(all.by_api_key("k3").is_none());
     let none = Policy::parse(br#"{"version":7}"#).unwrap();
     assert!(none.workspaces.is_empty() && !none.requires_keys);
 }
