--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -18,6 +18,9 @@
 
 /// Returns the events of a simulator's timeline from a position on.
 #[handler]
-pub fn serve_timeline(trace: Data<&Arc<Trace>>, request: Json<TimelineRequest>) -> Json<Vec<Event>> {
+pub fn serve_timeline(
+    trace: Data<&Arc<Trace>>,
+    request: Json<TimelineRequest>,
+) -> Json<Vec<Event>> {
     Json(trace.events_after(request.since, request.max))
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -43,7 +43,11 @@
 
 /// How many of 100 jobs, submitted evenly over the outage, are accepted early enough to meet their
 /// objective.
-fn count_on_time(queue: &Queue, work: &JobDefinition, retry_delay: impl Fn(JobKey) -> u64) -> usize {
+fn count_on_time(
+    queue: &Queue,
+    work: &JobDefinition,
+    retry_delay: impl Fn(JobKey) -> u64,
+) -> usize {
     let slack = (queue.objective(work) - work.critical_path()).0;
     let is_on_time = |no: &u64| {
         let at = no * OUTAGE_MS / 100;
--- a/tests/preempt.rs
+++ b/tests/preempt.rs
@@ -88,7 +88,8 @@
         self.now += 20;
         let now = Millis(self.now);
         for worker in &mut self.workers {
-            let is_due = |(_, (reason, _)): &(&(TaskKey, u64), &(u64, EndReason))| *reason <= self.now;
+            let is_due =
+                |(_, (reason, _)): &(&(TaskKey, u64), &(u64, EndReason))| *reason <= self.now;
             let ended_runs: Vec<_> =
                 worker.runs.iter().filter(is_due).map(|(k, v)| (*k, v.1)).collect();
             let mut ended = Vec::new();
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -197,7 +197,10 @@
     let old = postcard::to_stdvec(&name).unwrap();
     assert_eq!(postcard::from_bytes::<Incarnation>(&old).unwrap(), without_start);
     assert!(!without_start.differs_from(&with_start) && !with_start.differs_from(&without_start));
-    assert!(with_start.differs_from(&Incarnation { started_at: Some(Millis(7)), ..without_start.clone() }));
+    assert!(
+        with_start
+            .differs_from(&Incarnation { started_at: Some(Millis(7)), ..without_start.clone() })
+    );
 }
 
 #[test]
