--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -20,7 +20,7 @@
 use sprucerudder::wire::msg::{Ask, Beat, DeltaBeat, Envelope, NEWEST, ShardBeat, Tell, encode};
 use std::time::Instant;
 
-const WORKER: Size = Size::new(16_000, 32_000, 2);
+const WORKER_SIZE: Size = Size::new(16_000, 32_000, 2);
 const PAGE_BYTES: u64 = 4096;
 
 fn wire_bytes(ask: Ask) -> usize {
@@ -55,8 +55,11 @@
     let racks = workers.div_ceil(WORKERS_PER_RACK);
     let each = tasks.div_ceil(racks as u32);
     let make = |rack| {
-        let mut owner =
-            OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows.clone());
+        let mut owner = OwnerHarness::new(
+            &format!("rack{rack}"),
+            &[WORKER_SIZE; WORKERS_PER_RACK],
+            rows.clone(),
+        );
         owner.submit(job_spec("build", each, false, Size::new(1_000, 1_000, 0)));
         assert_eq!(owner.running.len(), each as usize);
         owner
@@ -86,8 +89,14 @@
     }
 }
 
-fn shard_beat(i: u32, owned: bool) -> ShardBeat {
-    let room = Room { largest: WORKER, free: WORKER, spare: WORKER, backlog: 100_000, urgent: 100 };
+fn shard_heartbeat(i: u32, owned: bool) -> ShardBeat {
+    let room = Room {
+        largest: WORKER_SIZE,
+        free: WORKER_SIZE,
+        spare: WORKER_SIZE,
+        backlog: 100_000,
+        urgent: 100,
+    };
     ShardBeat {
         shard: format!("nasr-hall-rack-{i}").into(),
         epoch: 300,
@@ -97,7 +106,7 @@
     }
 }
 
-fn beat(shards: Vec<ShardBeat>) -> Beat {
+fn heartbeat(shards: Vec<ShardBeat>) -> Beat {
     Beat {
         from: entry("nasr-hall-entry-1"),
         domain: "nasr-hall".into(),
@@ -113,14 +122,14 @@
     println!("heartbeat: shards of the failure domain (a third owned), bytes of a full one,");
     println!("  with the owned shards changed, with nothing changed");
     for count in [2, 12, 28] {
-        let all: Vec<ShardBeat> = (0..count).map(|i| shard_beat(i, i % 3 == 0)).collect();
+        let all: Vec<ShardBeat> = (0..count).map(|i| shard_heartbeat(i, i % 3 == 0)).collect();
         let owned: Vec<ShardBeat> = all.iter().filter(|shard| shard.owner).cloned().collect();
         let delta = |shards| {
             let (seq, base, held) = (1_000_000, 999_999, 1_000_000);
             let delta = Delta { seq, base, held, shards };
-            wire_bytes(Ask::Delta(DeltaBeat { beat: beat(Vec::new()), delta }))
+            wire_bytes(Ask::Delta(DeltaBeat { beat: heartbeat(Vec::new()), delta }))
         };
-        let whole = wire_bytes(Ask::Beat(beat(all)));
+        let whole = wire_bytes(Ask::Beat(heartbeat(all)));
         println!("  {count:>5} {whole:>7} {:>7} {:>7}", delta(owned), delta(Vec::new()));
     }
 }
@@ -161,8 +170,8 @@
         let running = |index| Running {
             task: task(index),
             kind: "campaign".into(),
-            size: WORKER,
-            usage: WORKER,
+            size: WORKER_SIZE,
+            usage: WORKER_SIZE,
         };
         let ended = vec![(task(99), TaskOutcome::Done)];
         let report = Report { inc: 1, running: (0..count).map(running).collect(), ended };
@@ -171,7 +180,7 @@
 }
 
 fn measure_log() {
-    let spec = job_spec("campaign", 30, false, WORKER);
+    let spec = job_spec("campaign", 30, false, WORKER_SIZE);
     let job_record = Record::Job { job: job(1), spec, at: Millis(1_764_000_000_000) };
     let ended = Record::Ended { job: job(1), index: 10, outcome: TaskOutcome::Done };
     println!(
@@ -250,7 +259,8 @@
                 }
             }
             let mut rng = SplitMix64(7);
-            let mut times: Vec<u64> = (0..20_000).map(|_| placement(&mut all, &mut rng)).collect();
+            let mut times: Vec<u64> =
+                (0..20_000).map(|_| time_placement(&mut all, &mut rng)).collect();
             times.sort_unstable();
             let at = |share: usize| times[times.len() * share / 1_000] as f64 / 1_000.0;
             let maximum = times[times.len() - 1] as f64 / 1_000.0;
@@ -265,13 +275,13 @@
 }
 
 /// Places one task; the time that it took in nanoseconds.
-fn placement(all: &mut [OwnerHarness], rng: &mut SplitMix64) -> u64 {
-    let at = rng.below(all.len() as u64) as usize;
+fn time_placement(owners: &mut [OwnerHarness], rng: &mut SplitMix64) -> u64 {
+    let at = rng.below(owners.len() as u64) as usize;
     let job = job_spec("urgent", 1, false, Size::new(500, 500, 0));
     let started = Instant::now();
-    let (job, decisions) = all[at].submit(job);
+    let (job, decisions) = owners[at].submit(job);
     assert_eq!(decisions.len(), 1, "placed at once");
-    all[at].end(&TaskId { job, index: 0, attempt: 0 }, TaskOutcome::Done);
+    owners[at].end(&TaskId { job, index: 0, attempt: 0 }, TaskOutcome::Done);
     started.elapsed().as_nanos() as u64
 }
 
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 /// Workers of the cells: one user today, both users with room to grow, and the target size.
-const CELL_SIZES: [usize; 3] = [48, 200, 1_100];
-const WORKER: Size = Size::new(16_000, 32_000, 2);
-const SMALL: Size = Size::new(500, 500, 0);
+const CELL_WORKERS: [usize; 3] = [48, 200, 1_100];
+const WORKER_SIZE: Size = Size::new(16_000, 32_000, 2);
+const SMALL_TASK: Size = Size::new(500, 500, 0);
 
 fn rows() -> std::sync::Arc<Table> {
     table(&[("build", "batch", 50, 10, 0), ("urgent", "batch", 100, 5, 5)])
@@ -34,7 +34,7 @@
     (0..racks)
         .map(|rack| {
             let mut owner =
-                OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows());
+                OwnerHarness::new(&format!("rack{rack}"), &[WORKER_SIZE; WORKERS_PER_RACK], rows());
             owner.submit(job_spec("build", 44, false, Size::new(1_400, 2_000, 0)));
             for index in 0..(load - 1) * 200 {
                 let size = Size::new(16_000, 32_000 - index, 2);
@@ -49,15 +49,15 @@
 fn place_one(owners: &mut [OwnerHarness], rng: &mut SplitMix64) {
     let at = rng.below(owners.len() as u64) as usize;
     let owner = &mut owners[at];
-    let (job, decisions) = owner.submit(job_spec("urgent", 1, false, SMALL));
+    let (job, decisions) = owner.submit(job_spec("urgent", 1, false, SMALL_TASK));
     assert_eq!(decisions.len(), 1);
     let task = owner.running.keys().find(|task| task.job == job).cloned().expect("running");
     owner.end(&task, TaskOutcome::Done);
 }
 
-fn place(c: &mut Criterion) {
+fn bench_place(c: &mut Criterion) {
     let mut group = c.benchmark_group("place");
-    for workers in CELL_SIZES {
+    for workers in CELL_WORKERS {
         for load in [1, 2, 5] {
             let mut owners = cell(workers, load);
             let mut rng = SplitMix64(7);
@@ -68,9 +68,9 @@
     group.finish();
 }
 
-fn gang(c: &mut Criterion) {
+fn bench_gang(c: &mut Criterion) {
     c.bench_function("gang-of-8", |b| {
-        let setup = || OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
+        let setup = || OwnerHarness::new("rack", &[WORKER_SIZE; WORKERS_PER_RACK], rows());
         let run = |mut owner: OwnerHarness| {
             owner.submit(job_spec("urgent", 8, true, Size::new(8_000, 8_000, 1)));
             assert_eq!(owner.running.len(), 8);
@@ -80,12 +80,13 @@
     });
 }
 
-fn cancel(c: &mut Criterion) {
+fn bench_cancel(c: &mut Criterion) {
     c.bench_function("cancel-10000-jobs", |b| {
         let setup = || {
-            let mut owner = OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
-            owner.submit(job_spec("build", 8, false, WORKER));
-            let queued = (0..10_000).map(|_| owner.submit(job_spec("build", 1, false, WORKER)).0);
+            let mut owner = OwnerHarness::new("rack", &[WORKER_SIZE; WORKERS_PER_RACK], rows());
+            owner.submit(job_spec("build", 8, false, WORKER_SIZE));
+            let queued =
+                (0..10_000).map(|_| owner.submit(job_spec("build", 1, false, WORKER_SIZE)).0);
             let jobs: Vec<JobId> = queued.collect();
             (owner, jobs)
         };
@@ -99,7 +100,7 @@
     });
 }
 
-fn take_over(c: &mut Criterion) {
+fn bench_take_over(c: &mut Criterion) {
     c.bench_function("take-over-a-shard", |b| {
         let claim = Claim {
             shard: "rack".into(),
@@ -109,7 +110,7 @@
             replicas: Vec::new(),
         };
         let setup = || {
-            let mut owner = OwnerHarness::new("rack", &[WORKER; WORKERS_PER_RACK], rows());
+            let mut owner = OwnerHarness::new("rack", &[WORKER_SIZE; WORKERS_PER_RACK], rows());
             owner.submit(job_spec("build", 1_000, false, Size::new(1_400, 2_000, 0)));
             owner.office.into_state()
         };
@@ -122,7 +123,7 @@
     });
 }
 
-fn control_round(c: &mut Criterion) {
+fn bench_control_round(c: &mut Criterion) {
     let mut owners = cell(WORKERS_PER_RACK, 1);
     c.bench_function("control-round-of-a-shard", |b| {
         b.iter(|| {
@@ -134,7 +135,7 @@
     });
 }
 
-fn slots(c: &mut Criterion) {
+fn bench_slots(c: &mut Criterion) {
     let now = Millis(1_000_000);
     let mut slots = Slots::default();
     let names = (0..48).map(|i| (format!("r{i}").into(), "rack".into(), false));
@@ -164,7 +165,7 @@
     });
 }
 
-fn tables(c: &mut Criterion) {
+fn bench_tables(c: &mut Criterion) {
     let header =
         "kind,team,class,weight,limit,queue,deadline,repeat,retries,pack,spread,quota,site:d\n";
     let rows = (0..200).map(|i| format!("kind{i},t,batch,5,10,10,60000,yes,2,1,1,0,1\n"));
@@ -175,9 +176,9 @@
 }
 
 /// A request of one shard to a home for parts of 10 limits that all shards of the cell use.
-fn lend_parts(c: &mut Criterion) {
+fn bench_lend_parts(c: &mut Criterion) {
     let mut group = c.benchmark_group("lend-parts");
-    for workers in CELL_SIZES {
+    for workers in CELL_WORKERS {
         let count = workers.div_ceil(WORKERS_PER_RACK);
         let shards: BTreeSet<Name> = (0..count).map(|rack| format!("rack{rack}").into()).collect();
         let mut pool = Pool::new(1);
@@ -207,6 +208,6 @@
         .warm_up_time(Duration::from_millis(300))
         .measurement_time(Duration::from_secs(1))
         .sample_size(20);
-    targets = place, gang, cancel, take_over, control_round, slots, lend_parts, tables
+    targets = bench_place, bench_gang, bench_cancel, bench_take_over, bench_control_round, bench_slots, bench_lend_parts, bench_tables
 }
 criterion_main!(all);
