--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::gossip::Delta;
-use sprucerudder::controller::offer::Room;
-use sprucerudder::controller::quota::{Limit, PartAsk, Question};
+use sprucerudder::controller::quota::{HomeRequest, Limit, ShareRequest};
 use sprucerudder::controller::shard::owner::Event;
-use sprucerudder::controller::slots::SlotUse;
+use sprucerudder::controller::shard_ranking::ShardCapacity;
+use sprucerudder::controller::slots::SlotUsage;
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
 use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, SyncOrder};
@@ -85,7 +85,13 @@
 }
 
 fn shard_beat(i: u32, owned: bool) -> ShardBeat {
-    let room = Room { largest: WORKER, free: WORKER, spare: WORKER, backlog: 100_000, urgent: 100 };
+    let room = ShardCapacity {
+        largest: WORKER,
+        max_free: WORKER,
+        total_free: WORKER,
+        backlog: 100_000,
+        max_weight: 100,
+    };
     ShardBeat {
         shard: format!("nasr-hall-rack-{i}").into(),
         epoch: 300,
@@ -194,7 +200,7 @@
     println!("slots: runners of the shard, bytes of the question");
     for runners in [2, 8, 48] {
         let usage =
-            |i| SlotUse { runner: format!("nasr-hall-runner-{i}").into(), held: 4, used: 2 };
+            |i| SlotUsage { runner: format!("nasr-hall-runner-{i}").into(), held: 4, used: 2 };
         let ask = Ask::Slots {
             shard: "nasr-hall-rack-12".into(),
             entry: "nasr-hall-entry-1".into(),
@@ -212,8 +218,9 @@
             0 => Limit::Row(format!("campaign-{i}").into()),
             _ => Limit::Team(format!("team-{i}").into()),
         };
-        let ask = |i| PartAsk { limit: limit(i), held: 9_000, used: 8_000, need: 9_500, step: 500 };
-        let question = Question {
+        let ask =
+            |i| ShareRequest { limit: limit(i), held: 9_000, used: 8_000, need: 9_500, step: 500 };
+        let question = HomeRequest {
             shard: "nasr-hall-rack-12".into(),
             epoch: 300,
             seq: 1_000_000,
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -6,10 +6,10 @@
 use common::{OwnerHarness, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use sprucerudder::clock::Millis;
-use sprucerudder::controller::quota::{Limit, PartAsk, Pool, Question};
+use sprucerudder::controller::quota::{HomeRequest, Limit, LimitPool, ShareRequest};
 use sprucerudder::controller::shard::StateSource;
 use sprucerudder::controller::shard::owner::ShardOwner;
-use sprucerudder::controller::slots::{Lender, Slots, Turn, Waiting};
+use sprucerudder::controller::slots::{SlotDecision, SlotLender, SlotRequest, Slots};
 use sprucerudder::id::{EntryId, JobId, Name};
 use sprucerudder::job::TaskOutcome;
 use sprucerudder::record::Claim;
@@ -142,7 +142,7 @@
     slots.lent(now, &loans);
     c.bench_function("take-a-slot-of-48-runners", |b| {
         b.iter(|| {
-            let request = Waiting {
+            let request = SlotRequest {
                 id: 1,
                 kind: "preview".into(),
                 weight: 100,
@@ -151,11 +151,13 @@
                 came: now,
                 due: now + Millis(1_000),
             };
-            let Turn::Go { runner, .. } = slots.ask(now, request) else { panic!("no slot") };
+            let SlotDecision::Go { runner, .. } = slots.ask(now, request) else {
+                panic!("no slot")
+            };
             slots.release(now, &runner, &"preview".into(), Millis(10), true);
         });
     });
-    let mut lender = Lender::first();
+    let mut lender = SlotLender::first();
     lender.set_runners((0..8).map(|i| (format!("r{i}").into(), 8)).collect::<BTreeMap<_, _>>());
     lender.set_entries(["e1", "e2", "e3"].map(Into::into).into());
     c.bench_function("lend-slots-of-a-shard", |b| {
@@ -179,11 +181,11 @@
     for workers in CELL_SIZES {
         let count = workers.div_ceil(WORKERS_PER_RACK);
         let shards: BTreeSet<Name> = (0..count).map(|rack| format!("rack{rack}").into()).collect();
-        let mut pool = Pool::new(1);
+        let mut pool = LimitPool::new(1);
         let mut seq = 0;
         let mut ask = |rack: usize| {
             seq += 1;
-            let asks = (0..10).map(|i| PartAsk {
+            let asks = (0..10).map(|i| ShareRequest {
                 limit: Limit::Row(format!("kind{i}").into()),
                 held: 10,
                 used: 8,
@@ -191,7 +193,7 @@
                 step: 1,
             });
             let (shard, asks) = (format!("rack{rack}").into(), asks.collect());
-            let question = Question { shard, epoch: 1, seq, home: 1, shards: count, asks };
+            let question = HomeRequest { shard, epoch: 1, seq, home: 1, shards: count, asks };
             pool.lend(&question, count, &shards, |_| 10 * count as u64)
         };
         (0..count).for_each(|rack| drop(ask(rack)));
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -9,7 +9,7 @@
 
 use common::{Decision, OwnerHarness, START, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use sprucerudder::clock::Millis;
-use sprucerudder::controller::offer::{self, Candidate, Offer};
+use sprucerudder::controller::shard_ranking::{self, Candidate, JobDemand};
 use sprucerudder::id::{JobId, Name, TaskId};
 use sprucerudder::job::TaskOutcome;
 use sprucerudder::size::Size;
@@ -193,13 +193,13 @@
         let open = self.owners.iter().enumerate().filter(|(at, _)| !is_rack_lost(now, *at));
         let candidates = open.map(|(at, owner)| {
             let room = owner.shard_owner.capacity();
-            Candidate { shard: format!("{at}").into(), far: false, weight: 1, room }
+            Candidate { shard: format!("{at}").into(), is_remote: false, weight: 1, capacity: room }
         });
         let candidates: Vec<Candidate> = candidates.collect();
         let count = if job.gang { job.tasks } else { 1 };
         let weight = self.weights[job.kind];
-        let offer = Offer { size: job.size, count, weight };
-        let order = offer::order(&candidates, &offer, self.rng.next());
+        let offer = JobDemand { size: job.size, count, weight };
+        let order = shard_ranking::rank_shards(&candidates, &offer, self.rng.next());
         order[0].parse().expect("rack")
     }
 }
--- a/benches/slots.rs
+++ b/benches/slots.rs
@@ -6,7 +6,7 @@
 
 use common::SplitMix64;
 use sprucerudder::clock::Millis;
-use sprucerudder::controller::slots::{Lender, Slots, Turn, Waiting};
+use sprucerudder::controller::slots::{SlotDecision, SlotLender, SlotRequest, Slots};
 use sprucerudder::id::Name;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -96,7 +96,7 @@
 
 /// The product's own: the first entry owns the shard.
 struct Leases {
-    lender: Lender,
+    lender: SlotLender,
     slots: Vec<Slots>,
     runners: BTreeMap<usize, Name>,
 }
@@ -108,7 +108,7 @@
 impl Leases {
     fn new() -> Self {
         let runners: Vec<Name> = (0..RUNNERS).map(|i| format!("r{i}").into()).collect();
-        let mut lender = Lender::first();
+        let mut lender = SlotLender::first();
         lender.set_runners(runners.iter().map(|name| (name.clone(), SLOTS_PER_RUNNER)).collect());
         lender.set_entries((0..ENTRIES).map(entry_name).collect());
         let known = || runners.iter().map(|name| (name.clone(), SHARD.into(), false)).collect();
@@ -125,14 +125,14 @@
         turns.into_iter().filter_map(|turn| self.start(turn)).collect()
     }
 
-    fn start(&mut self, turn: Turn) -> Option<usize> {
+    fn start(&mut self, turn: SlotDecision) -> Option<usize> {
         match turn {
-            Turn::Go { id, runner } => {
+            SlotDecision::Go { id, runner } => {
                 self.runners.insert(id as usize, runner);
                 Some(id as usize)
             }
-            Turn::Wait => None,
-            Turn::GiveUp { .. } => panic!("nothing is given up within a minute"),
+            SlotDecision::Wait => None,
+            SlotDecision::GiveUp { .. } => panic!("nothing is given up within a minute"),
         }
     }
 }
@@ -144,7 +144,7 @@
 
 impl SharingPolicy for Leases {
     fn arrive(&mut self, now: u64, id: usize, entry: usize) -> Vec<usize> {
-        let request = Waiting {
+        let request = SlotRequest {
             id: id as u64,
             kind: "preview".into(),
             weight: 100,
--- a/src/controller/book.rs
+++ b/src/controller/book.rs
@@ -4,7 +4,7 @@
 //! steps that may follow.
 
 use crate::clock::Millis;
-use crate::controller::fold::LogJob;
+use crate::controller::log_state::LogJob;
 use crate::id::{EntryId, JobId, Name, TaskId};
 use crate::job::{JobSpec, JobStatus, StateChange, TaskOutcome};
 use serde::{Deserialize, Serialize};
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An owner not heard for this long is suspected.
-pub const SUSPECT: Millis = Millis(3_000);
+pub const OWNER_TIMEOUT: Millis = Millis(3_000);
 /// Each further candidate waits this much longer before it claims.
-const STAGGER: Millis = Millis(500);
+const CLAIM_STAGGER: Millis = Millis(500);
 /// A claim not read back after this long is decided again.
 const CLAIM_TIMEOUT: Millis = Millis(2_000);
 
@@ -17,7 +17,7 @@
 /// without end.
 const MAX_DOUBLINGS: u32 = 8;
 /// Claims without an owner at work that make nobody wait.
-const FREE_CLAIMS: u32 = 3;
+const UNDELAYED_CLAIMS: u32 = 3;
 
 /// The claims on all shards, folded in the order of the log: from the last owner that got to work
 /// on, or from the first.
@@ -98,14 +98,14 @@
     me: EntryId,
     domain: Name,
     since: Millis,
-    tried: BTreeMap<Name, (u64, Millis)>,
+    last_claims: BTreeMap<Name, (u64, Millis)>,
     released: BTreeMap<Name, u64>,
 }
 
 impl Claimant {
     /// A claimant that starts at `now`; peers get the suspicion time to be heard first.
     pub fn new(me: EntryId, domain: Name, now: Millis) -> Self {
-        Self { me, domain, since: now, tried: BTreeMap::new(), released: BTreeMap::new() }
+        Self { me, domain, since: now, last_claims: BTreeMap::new(), released: BTreeMap::new() }
     }
 
     /// The owner of `epoch` gave this shard up in favour of this entry.
@@ -123,19 +123,21 @@
     ) -> Option<Claim> {
         let last = claims.last(shard);
         let epoch = last.map_or(0, |claim| claim.epoch);
-        let pending = self.tried.get(shard);
-        if pending.is_some_and(|(tried, at)| *tried > epoch && now.since(*at) < CLAIM_TIMEOUT) {
+        let pending = self.last_claims.get(shard);
+        if pending
+            .is_some_and(|(last_claims, at)| *last_claims > epoch && now.since(*at) < CLAIM_TIMEOUT)
+        {
             return None;
         }
         let idle = claims.history(shard).len() as u32;
-        let doublings = idle.saturating_sub(FREE_CLAIMS).min(MAX_DOUBLINGS);
-        let patience = Millis((STAGGER.0 << doublings) - STAGGER.0);
-        if pending.is_some_and(|(_, at)| now.since(*at) < patience) {
+        let doublings = idle.saturating_sub(UNDELAYED_CLAIMS).min(MAX_DOUBLINGS);
+        let delay = Millis((CLAIM_STAGGER.0 << doublings) - CLAIM_STAGGER.0);
+        if pending.is_some_and(|(_, at)| now.since(*at) < delay) {
             return None;
         }
         let replicas = self.replicas(now, peers);
         let wanted = match last {
-            None => now.since(self.since) >= SUSPECT + self.turn(now, shard, peers),
+            None => now.since(self.since) >= OWNER_TIMEOUT + self.claim_delay(now, shard, peers),
             Some(claim) if claim.owner == self.me => self.wants_change(now, claim, &replicas),
             Some(claim) if self.released.get(shard) == Some(&claim.epoch) => true,
             Some(claim) => self.suspects(now, claim, shard, peers),
@@ -143,13 +145,14 @@
         if !wanted {
             return None;
         }
-        self.tried.insert(shard.clone(), (epoch + 1, now));
+        self.last_claims.insert(shard.clone(), (epoch + 1, now));
         let [shard, domain] = [shard, &self.domain].map(Name::clone);
         Some(Claim { shard, domain, epoch: epoch + 1, owner: self.me.clone(), replicas })
     }
 
     fn replicas(&self, now: Millis, peers: &BTreeMap<Name, Peer>) -> Vec<EntryId> {
-        let fresh = peers.values().filter(|peer| now.since(peer.heard) < SUSPECT && !peer.leaving);
+        let fresh =
+            peers.values().filter(|peer| now.since(peer.heard) < OWNER_TIMEOUT && !peer.leaving);
         fresh.map(|peer| peer.id.clone()).collect()
     }
 
@@ -157,7 +160,7 @@
     fn wants_change(&self, now: Millis, claim: &Claim, fresh: &[EntryId]) -> bool {
         let known: BTreeSet<&EntryId> = claim.replicas.iter().collect();
         let seen: BTreeSet<&EntryId> = fresh.iter().collect();
-        now.since(self.since) >= SUSPECT && known != seen
+        now.since(self.since) >= OWNER_TIMEOUT && known != seen
     }
 
     fn suspects(
@@ -167,10 +170,10 @@
         shard: &Name,
         peers: &BTreeMap<Name, Peer>,
     ) -> bool {
-        let limit = SUSPECT + self.turn(now, shard, peers);
+        let limit = OWNER_TIMEOUT + self.claim_delay(now, shard, peers);
         match peers.get(&claim.owner.name) {
             Some(peer) if peer.id.incarnation > claim.owner.incarnation => {
-                now.since(self.since) >= self.turn(now, shard, peers)
+                now.since(self.since) >= self.claim_delay(now, shard, peers)
             }
             Some(peer) => now.since(peer.heard.max(self.since)) >= limit,
             None => now.since(self.since) >= limit,
@@ -178,10 +181,10 @@
     }
 
     /// How long this entry waits for candidates that go first.
-    fn turn(&self, now: Millis, shard: &Name, peers: &BTreeMap<Name, Peer>) -> Millis {
+    fn claim_delay(&self, now: Millis, shard: &Name, peers: &BTreeMap<Name, Peer>) -> Millis {
         let weight = |name: &Name| hash(&[shard.as_bytes(), name.as_bytes()]);
         let mine = weight(&self.me.name);
         let first = self.replicas(now, peers).iter().filter(|id| weight(&id.name) > mine).count();
-        Millis(STAGGER.0 * first as u64)
+        Millis(CLAIM_STAGGER.0 * first as u64)
     }
 }
--- a/src/controller/fold.rs
+++ b/src/controller/log_state.rs
@@ -15,13 +15,13 @@
 
 /// What a folded record changed.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
+pub enum LogChange {
     /// A new table is in force here.
     Table,
     /// A claim is in force.
     Claim(Claim),
     /// The log holds a shard's notes up to this number.
-    Noted {
+    StateStored {
         /// The shard.
         shard: Name,
         /// The epoch.
@@ -48,12 +48,12 @@
 
 /// The fold.
 #[derive(Debug)]
-pub struct Fold {
+pub struct LogState {
     domain: Name,
     next: u64,
     synced: bool,
-    first: u64,
-    held: Vec<(u64, Record)>,
+    gap_end: u64,
+    buffered: Vec<(u64, Record)>,
     snapshot: u64,
     /// The tables.
     pub tables: Tables,
@@ -63,15 +63,15 @@
     jobs: BTreeMap<JobId, LogJob>,
 }
 
-impl Fold {
+impl LogState {
     /// An empty fold for an entry of `domain`: shards of other failure domains are passed over.
     pub fn new(domain: Name) -> Self {
         Self {
             domain,
             next: 0,
             synced: true,
-            first: 0,
-            held: Vec::new(),
+            gap_end: 0,
+            buffered: Vec::new(),
             snapshot: 0,
             tables: Tables::default(),
             claims: Claims::default(),
@@ -85,7 +85,7 @@
         self.next
     }
 
-    /// Whether everything before [`Fold::next`] is known.
+    /// Whether everything before [`LogState::next`] is known.
     pub fn synced(&self) -> bool {
         self.synced
     }
@@ -98,34 +98,34 @@
     /// The log begins at `first`, later than the offset to read next: records were missed.
     pub fn gap(&mut self, first: u64) {
         self.next = first;
-        self.first = first;
+        self.gap_end = first;
         self.synced = false;
-        self.held.clear();
+        self.buffered.clear();
     }
 
     /// Folds the records of the append at `offset`.
-    pub fn apply(&mut self, offset: u64, records: Vec<Record>) -> Vec<Change> {
+    pub fn apply(&mut self, offset: u64, records: Vec<Record>) -> Vec<LogChange> {
         let mut changes = Vec::new();
         self.next = offset + 1;
         for record in records {
-            self.record(offset, record, &mut changes);
+            self.apply_record(offset, record, &mut changes);
         }
         changes
     }
 
-    fn record(&mut self, offset: u64, record: Record, changes: &mut Vec<Change>) {
+    fn apply_record(&mut self, offset: u64, record: Record, changes: &mut Vec<LogChange>) {
         match record {
             Record::Publish(_) | Record::Claim(_) | Record::Active { .. } if !self.synced => {
-                self.held.push((offset, record));
+                self.buffered.push((offset, record));
             }
             Record::Publish(publish) => {
                 if self.tables.publish(&publish) {
-                    changes.push(Change::Table);
+                    changes.push(LogChange::Table);
                 }
             }
             Record::Claim(claim) => {
                 if self.claims.fold(&claim) {
-                    changes.push(Change::Claim(claim));
+                    changes.push(LogChange::Claim(claim));
                 }
             }
             Record::Active { shard, epoch } => self.claims.active(&shard, epoch),
@@ -138,16 +138,16 @@
             Record::Job { job, spec, at } => {
                 let fresh = LogJob { spec, at, offset, ended: BTreeMap::new() };
                 self.jobs.entry(job.clone()).or_insert(fresh).offset = offset;
-                changes.push(Change::Job(job));
+                changes.push(LogChange::Job(job));
             }
-            Record::Ended { job, index, outcome } => self.ended(&job, index, outcome),
+            Record::Ended { job, index, outcome } => self.apply_task_end(&job, index, outcome),
             Record::Closed { job } => drop(self.jobs.remove(&job)),
             Record::Base { shard, state } => {
                 let (epoch, seq) = (state.epoch, state.seq);
-                self.noted(shard, epoch, Some(state), seq + 1, Vec::new(), changes);
+                self.apply_state(shard, epoch, Some(state), seq + 1, Vec::new(), changes);
             }
             Record::Notes { shard, epoch, first, notes } => {
-                self.noted(shard, epoch, None, first, notes, changes);
+                self.apply_state(shard, epoch, None, first, notes, changes);
             }
         }
     }
@@ -157,29 +157,29 @@
         upto: u64,
         table: Option<Revision>,
         claims: Vec<Vec<Claim>>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<LogChange>,
     ) {
-        if upto < self.first {
+        if upto < self.gap_end {
             return;
         }
         self.synced = true;
         if self.tables.restore(table) {
-            changes.push(Change::Table);
+            changes.push(LogChange::Table);
         }
         for history in claims {
             let last = history.last().cloned();
             if self.claims.restore(&history) {
-                changes.extend(last.map(Change::Claim));
+                changes.extend(last.map(LogChange::Claim));
             }
         }
-        for (offset, record) in std::mem::take(&mut self.held) {
+        for (offset, record) in std::mem::take(&mut self.buffered) {
             if offset >= upto {
-                self.record(offset, record, changes);
+                self.apply_record(offset, record, changes);
             }
         }
     }
 
-    fn ended(&mut self, job: &JobId, index: u32, outcome: TaskOutcome) {
+    fn apply_task_end(&mut self, job: &JobId, index: u32, outcome: TaskOutcome) {
         let Some(known) = self.jobs.get_mut(job) else { return };
         known.ended.insert(index, outcome);
         if known.ended.len() as u32 >= known.spec.tasks {
@@ -187,14 +187,14 @@
         }
     }
 
-    fn noted(
+    fn apply_state(
         &mut self,
         shard: Name,
         epoch: u64,
         base: Option<State>,
         first: u64,
         notes: Vec<StateChange>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<LogChange>,
     ) {
         let last = self.claims.last(&shard);
         if !last.is_some_and(|claim| claim.epoch == epoch && claim.domain == self.domain) {
@@ -202,7 +202,7 @@
         }
         let replica = self.states.entry(shard.clone()).or_default();
         if let Ok(seq) = replica.update(Update { epoch, base, first, notes }) {
-            changes.push(Change::Noted { shard, epoch, seq });
+            changes.push(LogChange::StateStored { shard, epoch, seq });
         }
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,12 +4,11 @@
 
 pub mod book;
 pub mod claims;
-pub mod fold;
 pub mod gossip;
 pub mod health;
 pub mod in_flight;
 pub mod list;
-pub mod offer;
+pub mod log_state;
 pub mod place;
 pub mod queue;
 pub mod quota;
@@ -17,5 +16,6 @@
 pub mod replica;
 pub mod retry;
 pub mod shard;
+pub mod shard_ranking;
 pub mod slots;
 pub mod table;
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 /// The score lost for each task of the same kind on a worker, in thousandths of a whole worker.
-const SAME_KIND: i64 = 100;
+const SAME_KIND_PENALTY: i64 = 100;
 /// A full share, in thousandths.
-const FULL: i64 = 1000;
+const FULL_SHARE_PERMILLE: i64 = 1000;
 
 /// The room of one worker: what it has and what is set aside.
 #[derive(Debug, Clone, Default)]
@@ -44,22 +44,22 @@
     }
 
     /// Sets room aside; `false`, and no change, if there is not enough.
-    pub fn take(&mut self, kind: &Name, size: &Size) -> bool {
+    pub fn reserve(&mut self, kind: &Name, size: &Size) -> bool {
         let fits = self.free().can_fit(size);
         if fits {
-            self.force(kind, size);
+            self.reserve_unchecked(kind, size);
         }
         fits
     }
 
     /// Counts room that is taken already, whether or not it fits: a task found running.
-    pub fn force(&mut self, kind: &Name, size: &Size) {
+    pub fn reserve_unchecked(&mut self, kind: &Name, size: &Size) {
         self.used = self.used.checked_add(size).unwrap_or(Size::new(u32::MAX, u32::MAX, u32::MAX));
         *self.kinds.entry(kind.clone()).or_insert(0) += 1;
     }
 
     /// Gives room back.
-    pub fn give(&mut self, kind: &Name, size: &Size) {
+    pub fn release(&mut self, kind: &Name, size: &Size) {
         self.used = self.used.saturating_sub(size);
         if let Some(n) = self.kinds.get_mut(kind) {
             *n = n.saturating_sub(1);
@@ -76,7 +76,7 @@
     fn score(&self, kind: &str, size: &Size, weights: Weights) -> i64 {
         let after = self.used.checked_add(size).unwrap_or(self.total);
         let full = self.total.dominant_share(&after) as i64;
-        let apart = FULL - SAME_KIND * self.kind(kind) as i64;
+        let apart = FULL_SHARE_PERMILLE - SAME_KIND_PENALTY * self.kind(kind) as i64;
         full * weights.pack as i64 + apart * weights.spread as i64
     }
 }
@@ -115,15 +115,15 @@
     count: u32,
     weights: Weights,
 ) -> Option<Vec<Name>> {
-    let mut trial: BTreeMap<&Name, Ledger> = open.map(|(name, at)| (name, at.clone())).collect();
-    let room: u64 = trial.values().map(|ledger| ledger.free().max_copies(size) as u64).sum();
-    if room < count as u64 {
+    let mut ledgers: BTreeMap<&Name, Ledger> = open.map(|(name, at)| (name, at.clone())).collect();
+    let copies: u64 = ledgers.values().map(|ledger| ledger.free().max_copies(size) as u64).sum();
+    if copies < count as u64 {
         return None;
     }
     let mut picked = Vec::with_capacity(count as usize);
     for _ in 0..count {
-        let name = pick(trial.iter().map(|(name, at)| (*name, at)), kind, size, weights)?.clone();
-        trial.get_mut(&name)?.take(kind, size);
+        let name = pick(ledgers.iter().map(|(name, at)| (*name, at)), kind, size, weights)?.clone();
+        ledgers.get_mut(&name)?.reserve(kind, size);
         picked.push(name);
     }
     Some(picked)
--- a/src/controller/queue.rs
+++ b/src/controller/queue.rs
@@ -36,9 +36,9 @@
 
 /// Why the tasks of a shape cannot run now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Block {
+pub enum BlockReason {
     /// No open worker has room.
-    Room,
+    Resources,
     /// A limit or quota is reached.
     Limit,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct Bucket {
     jobs: BTreeMap<(Millis, JobId), BTreeSet<u32>>,
-    blocked: Option<Block>,
+    blocked: Option<BlockReason>,
 }
 
 /// The waiting tasks of a shard.
@@ -129,7 +129,7 @@
     }
 
     /// Marks a shape as blocked.
-    pub fn block(&mut self, shape: &Shape, why: Block) {
+    pub fn block(&mut self, shape: &Shape, why: BlockReason) {
         if let Some(bucket) = self.buckets.get_mut(shape) {
             bucket.blocked = Some(why);
             self.open.remove(shape);
@@ -141,8 +141,8 @@
         for (shape, bucket) in &mut self.buckets {
             let helps = match bucket.blocked {
                 None => false,
-                Some(Block::Limit) => true,
-                Some(Block::Room) => free.can_fit(&shape.size),
+                Some(BlockReason::Limit) => true,
+                Some(BlockReason::Resources) => free.can_fit(&shape.size),
             };
             if helps {
                 bucket.blocked = None;
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -17,9 +17,9 @@
 use std::fmt;
 
 /// The floors of all shards together are one part in this many of a limit.
-const FLOORS: u64 = 2;
+const GUARANTEE_DIVISOR: u64 = 2;
 /// A shard wants this part more than it needs, so that the next task finds room at once.
-const HEADROOM: u64 = 4;
+const HEADROOM_DIVISOR: u64 = 4;
 
 /// What is limited in the whole cell.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 
 /// What a shard says of one limit when it asks its home for a part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartAsk {
+pub struct ShareRequest {
     /// The limit.
     pub limit: Limit,
     /// The part that it holds.
@@ -57,7 +57,7 @@
 /// A shard's question to a home: all limits of that home of which it holds or needs a part. A shard
 /// has one question under way at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct HomeRequest {
     /// The shard that asks.
     pub shard: Name,
     /// Its epoch.
@@ -69,10 +69,10 @@
     /// The shards that the asker knows; they decide which shard is home to what.
     pub shards: usize,
     /// The parts.
-    pub asks: Vec<PartAsk>,
+    pub asks: Vec<ShareRequest>,
 }
 
-impl PartAsk {
+impl ShareRequest {
     /// A part that holds whole steps, the next one above `part`.
     fn steps_up(&self, part: u64) -> u64 {
         self.used + part.saturating_sub(self.used).next_multiple_of(self.step.max(1))
@@ -101,13 +101,13 @@
 }
 
 /// The part of a limit that each of `shards` may use in any case.
-fn floor(whole: u64, shards: usize) -> u64 {
-    whole / FLOORS / shards.max(1) as u64
+fn guaranteed_share(whole: u64, shards: usize) -> u64 {
+    whole / GUARANTEE_DIVISOR / shards.max(1) as u64
 }
 
 /// A part that is held.
 #[derive(Debug, Clone, Copy, Default)]
-struct Part {
+struct Share {
     amount: u64,
     /// Given back, but its home has not answered since: it may still count it as lent.
     returned: bool,
@@ -115,17 +115,17 @@
 
 /// What a shard gets while there is enough for all: its need and some to spare.
 fn with_headroom(need: u64, least: u64, whole: u64) -> u64 {
-    (need + (need / HEADROOM).max(least)).min(whole.max(need))
+    (need + (need / HEADROOM_DIVISOR).max(least)).min(whole.max(need))
 }
 
 /// The borrower's side: the parts that one shard holds.
 #[derive(Debug)]
-pub struct Parts {
+pub struct LimitShares {
     shards: usize,
-    held: BTreeMap<Limit, Part>,
+    held: BTreeMap<Limit, Share>,
 }
 
-impl Parts {
+impl LimitShares {
     /// The parts of one of `shards`, none lent yet.
     pub fn new(shards: usize) -> Self {
         Self { shards, held: BTreeMap::new() }
@@ -139,29 +139,35 @@
     /// What may be in use of a limit here.
     pub fn allowed(&self, limit: &Limit, whole: u64) -> u64 {
         let held = self.held.get(limit).map_or(0, |part| part.amount);
-        held.max(floor(whole, self.shards)).min(whole)
+        held.max(guaranteed_share(whole, self.shards)).min(whole)
     }
 
     /// The question to the homes. What is not needed any more is given back first: nothing above
     /// `held` is used from here on.
-    pub fn ask(&mut self, needs: &[Need]) -> Vec<PartAsk> {
+    pub fn ask(&mut self, needs: &[Need]) -> Vec<ShareRequest> {
         let unneeded = |limit: &Limit| !needs.iter().any(|need| need.limit == *limit);
         let mut asks = Vec::with_capacity(needs.len());
         for (limit, part) in self.held.iter_mut().filter(|(limit, _)| unneeded(limit)) {
-            *part = Part { amount: 0, returned: true };
-            asks.push(PartAsk { limit: limit.clone(), held: 0, used: 0, need: 0, step: 1 });
+            *part = Share { amount: 0, returned: true };
+            asks.push(ShareRequest { limit: limit.clone(), held: 0, used: 0, need: 0, step: 1 });
         }
         asks.extend(needs.iter().map(|need| self.ask_one(need)));
         asks
     }
 
-    fn ask_one(&mut self, need: &Need) -> PartAsk {
-        let least = floor(need.whole, self.shards);
+    fn ask_one(&mut self, need: &Need) -> ShareRequest {
+        let least = guaranteed_share(need.whole, self.shards);
         let all = need.used + need.waiting.min(need.whole);
         let before = self.allowed(&need.limit, need.whole);
         let held = before.min(with_headroom(all, least, need.whole)).max(need.used);
-        self.held.insert(need.limit.clone(), Part { amount: held, returned: false });
-        PartAsk { limit: need.limit.clone(), held, used: need.used, need: all, step: need.step }
+        self.held.insert(need.limit.clone(), Share { amount: held, returned: false });
+        ShareRequest {
+            limit: need.limit.clone(),
+            held,
+            used: need.used,
+            need: all,
+            step: need.step,
+        }
     }
 
     /// Takes what a home lent; `true` if something grew.
@@ -184,7 +190,7 @@
 
 /// One shard's part of a limit, as its home knows it.
 #[derive(Debug, Clone, Copy, Default)]
-struct Loan {
+struct GrantedShare {
     /// At most this much is held.
     lent: u64,
     need: u64,
@@ -192,16 +198,16 @@
 
 /// The home's side: who holds which part.
 #[derive(Debug)]
-pub struct Pool {
+pub struct LimitPool {
     epoch: u64,
     /// Shards that said what they hold, with the number of shards that they knew.
     heard: BTreeMap<Name, usize>,
     /// The last question of each shard: its epoch and number.
     last: BTreeMap<Name, (u64, u64)>,
-    loans: BTreeMap<Limit, BTreeMap<Name, Loan>>,
+    loans: BTreeMap<Limit, BTreeMap<Name, GrantedShare>>,
 }
 
-impl Pool {
+impl LimitPool {
     /// The pool of an owner of the home in `epoch`.
     pub fn new(epoch: u64) -> Self {
         let (heard, last, loans) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -218,12 +224,12 @@
     /// says a limit's size.
     pub fn lend(
         &mut self,
-        question: &Question,
+        question: &HomeRequest,
         known: usize,
         shards: &BTreeSet<Name>,
         whole: impl Fn(&Limit) -> u64,
     ) -> Option<Vec<(Limit, u64)>> {
-        let Question { shard, asks, .. } = question;
+        let HomeRequest { shard, asks, .. } = question;
         let number = (question.epoch, question.seq);
         if question.home != self.epoch || self.last.get(shard).is_some_and(|at| *at >= number) {
             return None;
@@ -232,7 +238,7 @@
         self.heard.insert(shard.clone(), question.shards);
         self.forget(shard, asks, shards);
         let certain = shards.iter().all(|shard| self.heard.get(shard) == Some(&known));
-        let lend = |ask: &PartAsk| {
+        let lend = |ask: &ShareRequest| {
             let part = self.part(shard, ask, shards.len(), whole(&ask.limit), certain);
             (ask.limit.clone(), part)
         };
@@ -241,7 +247,7 @@
 
     /// A shard holds nothing of limits that it does not name, and a shard that is gone nothing at
     /// all.
-    fn forget(&mut self, shard: &Name, asks: &[PartAsk], shards: &BTreeSet<Name>) {
+    fn forget(&mut self, shard: &Name, asks: &[ShareRequest], shards: &BTreeSet<Name>) {
         for (limit, loans) in &mut self.loans {
             loans.retain(|other, _| shards.contains(other));
             if !asks.iter().any(|ask| ask.limit == *limit) {
@@ -252,8 +258,15 @@
     }
 
     /// Decides on a part and keeps it as lent. `sure` is whether all that others hold is known.
-    fn part(&mut self, shard: &Name, ask: &PartAsk, shards: usize, whole: u64, sure: bool) -> u64 {
-        let least = floor(whole, shards);
+    fn part(
+        &mut self,
+        shard: &Name,
+        ask: &ShareRequest,
+        shards: usize,
+        whole: u64,
+        sure: bool,
+    ) -> u64 {
+        let least = guaranteed_share(whole, shards);
         let loans = self.loans.entry(ask.limit.clone()).or_default();
         let others = || loans.iter().filter(|(other, _)| *other != shard).map(|(_, loan)| loan);
         let silent = shards.saturating_sub(others().count() + 1) as u64 * least;
@@ -261,20 +274,20 @@
         let needs = others().map(|loan| loan.need).chain([ask.need]);
         let needs: Vec<u64> = needs.map(|need| need.max(least)).collect();
         let spare = whole.saturating_sub(silent + needs.iter().sum::<u64>());
-        let wish = match fair(needs, whole.saturating_sub(silent)) {
+        let wish = match fair_cap(needs, whole.saturating_sub(silent)) {
             _ if !sure => ask.held,
             None => with_headroom(ask.need, least, whole).min(ask.need + spare / shards as u64),
             Some(most) => ask.need.min(ask.steps_up(most)),
         };
         let part = ask.steps_down(wish.min(whole.saturating_sub(taken))).max(least);
-        loans.insert(shard.clone(), Loan { lent: part.max(ask.held), need: ask.need });
+        loans.insert(shard.clone(), GrantedShare { lent: part.max(ask.held), need: ask.need });
         part
     }
 }
 
 /// The most that each may have so that all needs, cut to it, are no more than `whole`; `None` if
 /// there is enough for all.
-fn fair(mut needs: Vec<u64>, whole: u64) -> Option<u64> {
+fn fair_cap(mut needs: Vec<u64>, whole: u64) -> Option<u64> {
     needs.sort_unstable();
     let mut left = whole;
     for (index, need) in needs.iter().enumerate() {
--- a/src/controller/shard/lifecycle.rs
+++ b/src/controller/shard/lifecycle.rs
@@ -214,7 +214,7 @@
         let Some(runtime) = self.runtimes.remove(task) else { return };
         if let Some(worker) = self.workers.get_mut(&runtime.worker) {
             worker.tasks.remove(task);
-            worker.ledger.give(&runtime.kind, &runtime.size);
+            worker.ledger.release(&runtime.kind, &runtime.size);
             self.queue.unblock_for(&worker.ledger.free());
         }
         let load = self.load_mut(&runtime.kind);
@@ -226,9 +226,9 @@
     }
 
     fn record_outcome(&mut self, now: Millis, worker: &Name, kind: &Name, ok: bool) {
-        let before = self.health.aside().len();
-        self.health.outcome(now, worker, kind, ok, self.workers.len());
-        if self.health.aside().len() > before {
+        let before = self.health.excluded().len();
+        self.health.record_outcome(now, worker, kind, ok, self.workers.len());
+        if self.health.excluded().len() > before {
             self.actions.push(Action::Trace(EventKind::WorkerSetAside { worker: worker.clone() }));
         }
     }
@@ -293,7 +293,7 @@
         let stop =
             stop.or(self.restarting_gangs.contains(&task.job).then_some(StopReason::Restart));
         let Some(worker) = self.workers.get_mut(name) else { return };
-        worker.ledger.force(&kind, &size);
+        worker.ledger.reserve_unchecked(&kind, &size);
         worker.tasks.insert(task.clone());
         self.load_mut(&kind).running += 1;
         *self.team_cpu.entry(team.clone()).or_insert(0) += size.cpu as u64;
@@ -366,7 +366,7 @@
             match report.running.iter().any(|running| running.task == task) {
                 true => drop(worker.unbound_tasks.insert(task, (kind, size))),
                 false => {
-                    worker.ledger.give(&kind, &size);
+                    worker.ledger.release(&kind, &size);
                     self.queue.unblock_for(&worker.ledger.free());
                     self.needs_scheduling = true;
                 }
@@ -399,7 +399,7 @@
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         if !worker.unbound_tasks.contains_key(&task) {
-            worker.ledger.force(&running.kind, &running.size);
+            worker.ledger.reserve_unchecked(&running.kind, &running.size);
             worker.unbound_tasks.insert(task.clone(), (running.kind, running.size));
         }
         let stop = Effect::StopUnbound { worker: name.clone(), task };
--- a/src/controller/shard/limits.rs
+++ b/src/controller/shard/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of rows and teams at one shard: its shares of the limits that the table sets for the cell.
 
 use crate::controller::queue::Shape;
-use crate::controller::quota::{Limit, Need, PartAsk, Parts};
+use crate::controller::quota::{Limit, LimitShares, Need, ShareRequest};
 use crate::controller::shard::event::Action;
 use crate::controller::shard::owner::ShardOwner;
 use crate::table::Row;
@@ -11,7 +11,7 @@
     pub fn set_shards(&mut self, shards: usize) {
         match &mut self.limit_shares {
             Some(parts) => parts.set_shards(shards),
-            None => self.limit_shares = Some(Parts::new(shards)),
+            None => self.limit_shares = Some(LimitShares::new(shards)),
         }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// The share requests to the home shards of all limits that tasks of this shard use or wait for.
-    pub fn share_requests(&mut self) -> Vec<PartAsk> {
+    pub fn share_requests(&mut self) -> Vec<ShareRequest> {
         let needs = self.limit_needs();
         self.limit_shares.as_mut().map_or_else(Vec::new, |parts| parts.ask(&needs))
     }
--- a/src/controller/shard/owner.rs
+++ b/src/controller/shard/owner.rs
@@ -3,13 +3,12 @@
 
 use crate::clock::Millis;
 use crate::controller::book::{Book, Job, Task};
-use crate::controller::fold::LogJob;
 use crate::controller::health::Health;
 use crate::controller::in_flight::InFlightStarts;
-use crate::controller::offer::Room;
+use crate::controller::log_state::LogJob;
 use crate::controller::place::Ledger;
 use crate::controller::queue::{Queue, Shape};
-use crate::controller::quota::Parts;
+use crate::controller::quota::LimitShares;
 use crate::controller::replica::{State, Update};
 use crate::controller::shard::StateSource;
 pub use crate::controller::shard::event::{Action, Answer, Event, Refusal, refusal_name};
@@ -17,6 +16,7 @@
 use crate::controller::shard::reservation::Reservation;
 pub use crate::controller::shard::runtime::Load;
 use crate::controller::shard::runtime::{Effect, EndedTask, TaskRuntime, Worker};
+use crate::controller::shard_ranking::ShardCapacity;
 use crate::id::{EntryId, JobId, Name, TaskId};
 use crate::job::{JobSpec, JobStatus, StateChange};
 use crate::platform::api::SyncOrder;
@@ -76,7 +76,7 @@
     pub(super) schedulable: Vec<Name>,
     pub(super) reservation: Option<Reservation>,
     /// This shard's shares of the limits of the cell; `None` if it is the only shard and has them all.
-    pub(super) limit_shares: Option<Parts>,
+    pub(super) limit_shares: Option<LimitShares>,
     /// Finished jobs with the time when they finished.
     closed_jobs: BTreeMap<JobId, Millis>,
     /// The last epoch for which this owner appended [`Record::Active`].
@@ -391,19 +391,21 @@
     }
 
     /// A summary of the free resources and the waiting work of the shard.
-    pub fn capacity(&self) -> Room {
-        let mut room = Room::default();
+    pub fn capacity(&self) -> ShardCapacity {
+        let mut capacity = ShardCapacity::default();
         for worker in self.workers.values() {
             let free = worker.ledger.free();
-            room.largest = room.largest.component_max(&worker.ledger.total());
-            room.free = room.free.component_max(&free);
-            room.spare = room.spare.checked_add(&free).unwrap_or(room.spare);
+            capacity.largest = capacity.largest.component_max(&worker.ledger.total());
+            capacity.max_free = capacity.max_free.component_max(&free);
+            capacity.total_free =
+                capacity.total_free.checked_add(&free).unwrap_or(capacity.total_free);
         }
         for (kind, load) in self.loads.iter().filter(|(_, load)| load.waiting > 0) {
-            room.backlog += load.backlog;
-            room.urgent = room.urgent.max(self.row(kind).map_or(0, |row| row.weight));
+            capacity.backlog += load.backlog;
+            capacity.max_weight =
+                capacity.max_weight.max(self.row(kind).map_or(0, |row| row.weight));
         }
-        room
+        capacity
     }
 
     /// Numbers of waiting and running tasks by kind of work.
@@ -413,7 +415,7 @@
 
     /// Workers that get no tasks because too many tasks failed there.
     pub fn excluded_workers(&self) -> Vec<Name> {
-        self.health.aside()
+        self.health.excluded()
     }
 
     /// The replicated state.
--- a/src/controller/shard/requests.rs
+++ b/src/controller/shard/requests.rs
@@ -50,7 +50,7 @@
         let row = self.table.rows.get(&spec.kind).ok_or(Refusal::UnknownKind)?;
         let waiting = self.loads.get(&spec.kind).map_or(0, |load| load.waiting);
         let fits = |worker: &Worker| worker.ledger.total().max_copies(&spec.size);
-        let room: u64 = self.workers.values().map(|worker| fits(worker) as u64).sum();
+        let copies: u64 = self.workers.values().map(|worker| fits(worker) as u64).sum();
         let need = if spec.gang { spec.tasks as u64 } else { 1 };
         match () {
             _ if row.class == WorkClass::Request => Err(Refusal::UnknownKind),
@@ -58,7 +58,7 @@
             _ if spec.tasks == 0 || spec.tasks > MAX_TASKS => Err(Refusal::BadSize),
             _ if spec.size == Size::default() => Err(Refusal::BadSize),
             _ if self.workers.is_empty() => Err(Refusal::NoWorkers),
-            _ if room < need => Err(Refusal::NeverFits),
+            _ if copies < need => Err(Refusal::NeverFits),
             _ if waiting + spec.tasks > row.queue => Err(Refusal::QueueFull),
             _ => Ok(()),
         }
--- a/src/controller/shard/reservation.rs
+++ b/src/controller/shard/reservation.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Millis;
 use crate::controller::place::Ledger;
-use crate::controller::queue::{Block, Shape};
+use crate::controller::queue::{BlockReason, Shape};
 use crate::controller::shard::owner::ShardOwner;
 use crate::id::Name;
 use std::cmp::Reverse;
@@ -34,16 +34,16 @@
 
     /// Handles a shape that cannot be placed: reserves workers for it if it is the most urgent one that
     /// fits nowhere.
-    pub(super) fn reserve(&mut self, now: Millis, shape: &Shape, priority: u64, why: Block) {
+    pub(super) fn reserve(&mut self, now: Millis, shape: &Shape, priority: u64, why: BlockReason) {
         let less = self.reservation.as_ref().is_none_or(|held| held.priority < priority);
         match why {
-            Block::Limit if self.is_reserved(shape) => self.end_reservation(),
-            Block::Room if less && !self.is_reserved(shape) => {
+            BlockReason::Limit if self.is_reserved(shape) => self.end_reservation(),
+            BlockReason::Resources if less && !self.is_reserved(shape) => {
                 let (shape, all_since) = (shape.clone(), Some(now));
                 let workers = self.schedulable.iter().cloned().collect();
                 self.reservation = Some(Reservation { shape, priority, all_since, workers });
             }
-            Block::Limit | Block::Room => {}
+            BlockReason::Limit | BlockReason::Resources => {}
         }
     }
 
@@ -51,14 +51,14 @@
     fn fewest_workers(&self, shape: &Shape) -> BTreeSet<Name> {
         let able =
             self.schedulable_ledgers().filter(|(_, ledger)| ledger.total().can_fit(&shape.size));
-        let mut rooms: Vec<(&Name, &Ledger)> = able.collect();
-        rooms.sort_by_key(|(_, ledger)| {
+        let mut ledgers: Vec<(&Name, &Ledger)> = able.collect();
+        ledgers.sort_by_key(|(_, ledger)| {
             let free = ledger.free();
             Reverse((free.max_copies(&shape.size), free.cpu))
         });
         let mut left = shape.gang.max(1);
         let mut workers = BTreeSet::new();
-        for (name, ledger) in rooms {
+        for (name, ledger) in ledgers {
             if left == 0 {
                 break;
             }
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -1,9 +1,9 @@
 //! The scheduler of a shard: picks the next waiting task and a worker for it.
 
 use crate::clock::Millis;
-use crate::controller::health::Standing;
+use crate::controller::health::WorkerHealth;
 use crate::controller::place::{Ledger, Weights, pick, pick_gang};
-use crate::controller::queue::{Block, Head, Shape};
+use crate::controller::queue::{BlockReason, Head, Shape};
 use crate::controller::shard::event::Action;
 use crate::controller::shard::owner::{ShardOwner, WORKER_REPORT_TTL, shape};
 use crate::controller::shard::runtime::{Effect, TaskRuntime, Worker};
@@ -25,7 +25,7 @@
 /// The result of placing the oldest waiting task of a shape.
 enum Placement {
     Placed,
-    Blocked(Block),
+    Blocked(BlockReason),
 }
 
 impl ShardOwner {
@@ -78,7 +78,7 @@
         }
         if self.exceeded_limit(&head.shape).is_some() {
             self.request_larger_share();
-            return Placement::Blocked(Block::Limit);
+            return Placement::Blocked(BlockReason::Limit);
         }
         match head.shape.gang {
             0 => self.place_one(now, head, priority),
@@ -108,7 +108,7 @@
     fn is_schedulable(&self, now: Millis, name: &Name, worker: &Worker) -> bool {
         let fresh = worker.last_report.is_some_and(|heard| now.since(heard) < WORKER_REPORT_TTL);
         let leaving = worker.leaving || self.table.excluded_vms.contains(name);
-        fresh && !leaving && self.health.standing(now, name) != Standing::Aside
+        fresh && !leaving && self.health.worker_health(now, name) != WorkerHealth::Excluded
     }
 
     fn place_one(&mut self, now: Millis, head: &Head, priority: u64) -> Placement {
@@ -119,7 +119,9 @@
             &head.shape.size,
             weights,
         );
-        let Some(worker) = picked.cloned() else { return Placement::Blocked(Block::Room) };
+        let Some(worker) = picked.cloned() else {
+            return Placement::Blocked(BlockReason::Resources);
+        };
         if let Some(index) = self.queue.take(head) {
             self.bind(now, &head.job, index, &worker);
         }
@@ -130,7 +132,7 @@
         let weights = self.weights(&head.shape.kind);
         let (kind, size) = (&head.shape.kind, &head.shape.size);
         let picked = pick_gang(self.ledgers_for(&head.shape, priority), kind, size, count, weights);
-        let Some(workers) = picked else { return Placement::Blocked(Block::Room) };
+        let Some(workers) = picked else { return Placement::Blocked(BlockReason::Resources) };
         for worker in workers {
             if let Some(index) = self.queue.take(head) {
                 self.bind(now, &head.job, index, &worker);
@@ -147,14 +149,14 @@
         let (kind, team, size) = (job.spec.kind.clone(), job.spec.team.clone(), job.spec.size);
         let waited = now.since(job.at);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if !worker.ledger.take(&kind, &size) {
+        if !worker.ledger.reserve(&kind, &size) {
             return;
         }
         let task = TaskId { job: id.clone(), index, attempt };
         worker.tasks.insert(task.clone());
         let incarnation = worker.incarnation;
-        if self.health.standing(now, name) == Standing::Probe {
-            self.health.probe(name);
+        if self.health.worker_health(now, name) == WorkerHealth::Probe {
+            self.health.start_probe(name);
             self.schedulable.retain(|open| open != name);
         }
         let load = self.load_mut(&kind);
--- a/src/controller/offer.rs
+++ b/src/controller/shard_ranking.rs
@@ -6,17 +6,17 @@
 
 /// What a shard could take, as its owner said last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Room {
+pub struct ShardCapacity {
     /// The largest worker.
     pub largest: Size,
     /// The most that is free on one worker.
-    pub free: Size,
+    pub max_free: Size,
     /// All that is free.
-    pub spare: Size,
+    pub total_free: Size,
     /// Processors that waiting tasks need, in thousandths of a core.
     pub backlog: u64,
     /// The highest weight of what waits.
-    pub urgent: u32,
+    pub max_weight: u32,
 }
 
 /// A shard that a job may be offered to.
@@ -25,16 +25,16 @@
     /// The shard.
     pub shard: Name,
     /// Whether it lies in another failure domain than the caller's entry.
-    pub far: bool,
+    pub is_remote: bool,
     /// The weight of its failure domain.
     pub weight: u32,
     /// What it could take.
-    pub room: Room,
+    pub capacity: ShardCapacity,
 }
 
 /// What is offered.
 #[derive(Debug, Clone, Copy)]
-pub struct Offer {
+pub struct JobDemand {
     /// What a task needs.
     pub size: Size,
     /// How many tasks have to start at once.
@@ -43,19 +43,24 @@
     pub weight: u32,
 }
 
-/// The shards that may take an offer, best first: near ones, then those with room now where
+/// The shards that may take an offer, best first: near ones, then those with capacity now where
 /// nothing as urgent waits, then those with the least to do. `seed` spreads jobs over equals.
-pub fn order(candidates: &[Candidate], offer: &Offer, seed: u64) -> Vec<Name> {
-    let fitting = candidates.iter().filter(|at| at.room.largest.can_fit(&offer.size));
+pub fn rank_shards(candidates: &[Candidate], demand: &JobDemand, seed: u64) -> Vec<Name> {
+    let fitting =
+        candidates.iter().filter(|candidate| candidate.capacity.largest.can_fit(&demand.size));
     let mut rated: Vec<_> = fitting
-        .map(|at| {
-            let room = &at.room;
-            let fits = room.free.can_fit(&offer.size);
-            let first = room.backlog == 0 || room.urgent < offer.weight;
-            let now = first && fits && room.spare.max_copies(&offer.size) >= offer.count;
-            let load = room.backlog as i64 - room.spare.cpu as i64;
-            let spread = hash(&[at.shard.as_bytes(), &seed.to_le_bytes()]);
-            ((at.far, !now, u32::MAX - at.weight, load, spread), &at.shard)
+        .map(|candidate| {
+            let capacity = &candidate.capacity;
+            let fits = capacity.max_free.can_fit(&demand.size);
+            let is_first = capacity.backlog == 0 || capacity.max_weight < demand.weight;
+            let fits_now =
+                is_first && fits && capacity.total_free.max_copies(&demand.size) >= demand.count;
+            let load = capacity.backlog as i64 - capacity.total_free.cpu as i64;
+            let tie_breaker = hash(&[candidate.shard.as_bytes(), &seed.to_le_bytes()]);
+            (
+                (candidate.is_remote, !fits_now, u32::MAX - candidate.weight, load, tie_breaker),
+                &candidate.shard,
+            )
         })
         .collect();
     rated.sort();
--- a/src/controller/slots.rs
+++ b/src/controller/slots.rs
@@ -2,8 +2,8 @@
 //! each entry gives them to its waiting requests.
 //!
 //! A lease counts from when the entry asked, at the owner from when it answered, so it ends at the
-//! entry first. The owner counts it for [`OWNER_PROOF`] longer: it may not know yet that the entry
-//! has renewed it with a new owner. An entry whose lease ran out keeps [`FLOOR`] slots of each runner, which the owner
+//! entry first. The owner counts it for [`OWNERSHIP_PROOF_TTL`] longer: it may not know yet that the entry
+//! has renewed it with a new owner. An entry whose lease ran out keeps [`GUARANTEED_SLOTS`] slots of each runner, which the owner
 //! never lends to others while the entry may exist.
 
 use crate::clock::Millis;
@@ -14,19 +14,19 @@
 /// How long lent slots may be used without renewal.
 pub const SLOT_LEASE: Millis = Millis(10_000);
 /// How lately an owner must have known that it still owns the shard, to lend slots.
-pub const OWNER_PROOF: Millis = Millis(3_000);
+pub const OWNERSHIP_PROOF_TTL: Millis = Millis(3_000);
 /// Slots of each runner that an entry may use after its lease ran out.
-const FLOOR: u32 = 1;
+const GUARANTEED_SLOTS: u32 = 1;
 /// A runner that could not be reached is left alone for this long.
-const BACKOFF: Millis = Millis(1_000);
+const UNREACHABLE_BACKOFF: Millis = Millis(1_000);
 /// A request of weight 0 ranks as if it had come this much later, in milliseconds.
-const HANDICAP: u64 = 5_000;
+const LOW_WEIGHT_DELAY_MS: u64 = 5_000;
 /// The weight of the past in the mean service time, in parts of 8.
-const PAST: u64 = 7;
+const MEAN_PAST_WEIGHT: u64 = 7;
 
 /// What an entry says of one runner when it asks for slots.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotUse {
+pub struct SlotUsage {
     /// The runner.
     pub runner: Name,
     /// Slots held under a lease.
@@ -37,22 +37,22 @@
 
 /// Slots of one runner lent to one entry.
 #[derive(Debug, Clone, Copy)]
-struct Loan {
+struct SlotLoan {
     count: u32,
     until: Millis,
 }
 
 /// The owner's side: who holds which slots of a shard's runners.
 #[derive(Debug)]
-pub struct Lender {
+pub struct SlotLender {
     since: Millis,
     runners: BTreeMap<Name, u32>,
-    loans: BTreeMap<(Name, Name), Loan>,
-    starved: BTreeSet<Name>,
+    loans: BTreeMap<(Name, Name), SlotLoan>,
+    waiting_entries: BTreeSet<Name>,
     entries: BTreeSet<Name>,
 }
 
-impl Lender {
+impl SlotLender {
     /// A lender that begins at `now`. Until all that its predecessor lent has run out, it renews
     /// what entries hold and lends no more.
     pub fn new(now: Millis) -> Self {
@@ -60,7 +60,7 @@
             since: now,
             runners: BTreeMap::new(),
             loans: BTreeMap::new(),
-            starved: BTreeSet::new(),
+            waiting_entries: BTreeSet::new(),
             entries: BTreeSet::new(),
         }
     }
@@ -76,7 +76,7 @@
         self.runners = runners;
     }
 
-    /// The entries of the failure domain: each may use [`FLOOR`] slots, heard or not.
+    /// The entries of the failure domain: each may use [`GUARANTEED_SLOTS`] slots, heard or not.
     pub fn set_entries(&mut self, entries: BTreeSet<Name>) {
         self.entries = entries;
     }
@@ -84,7 +84,7 @@
     /// An entry is gone for good: what it held is free.
     pub fn gone(&mut self, entry: &Name) {
         self.entries.remove(entry);
-        self.starved.remove(entry);
+        self.waiting_entries.remove(entry);
         self.loans.retain(|(_, holder), _| holder != entry);
     }
 
@@ -95,13 +95,13 @@
         &mut self,
         now: Millis,
         entry: &Name,
-        uses: &[SlotUse],
+        uses: &[SlotUsage],
         waiting: u32,
     ) -> Vec<(Name, u32)> {
         self.entries.insert(entry.clone());
         match waiting {
-            0 => drop(self.starved.remove(entry)),
-            _ => drop(self.starved.insert(entry.clone())),
+            0 => drop(self.waiting_entries.remove(entry)),
+            _ => drop(self.waiting_entries.insert(entry.clone())),
         }
         let runners: Vec<(Name, u32)> = self.runners.iter().map(|(n, s)| (n.clone(), *s)).collect();
         let mut lent = Vec::with_capacity(runners.len());
@@ -109,8 +109,8 @@
             let said = uses.iter().find(|said| said.runner == runner);
             let (held, used) = said.map_or((0, 0), |said| (said.held, said.used));
             let count = self.count(now, entry, &runner, total, held, used, waiting);
-            let until = now + SLOT_LEASE + OWNER_PROOF;
-            let loan = Loan { count: count.max(held).max(used), until };
+            let until = now + SLOT_LEASE + OWNERSHIP_PROOF_TTL;
+            let loan = SlotLoan { count: count.max(held).max(used), until };
             self.loans.insert((runner.clone(), entry.clone()), loan);
             lent.push((runner, count));
         }
@@ -135,14 +135,14 @@
             .map(|other| self.held(now, runner, other))
             .sum();
         let free = total.saturating_sub(others);
-        if now.since(self.since) < SLOT_LEASE + OWNER_PROOF {
+        if now.since(self.since) < SLOT_LEASE + OWNERSHIP_PROOF_TTL {
             return held.min(free);
         }
         let fair = total.div_ceil(self.entries.len().max(1) as u32);
-        let rivals = self.starved.iter().any(|other| other != entry);
+        let rivals = self.waiting_entries.iter().any(|other| other != entry);
         let want = match waiting {
-            0 if rivals => used.max(FLOOR),
-            0 => fair.max(used + FLOOR),
+            0 if rivals => used.max(GUARANTEED_SLOTS),
+            0 => fair.max(used + GUARANTEED_SLOTS),
             _ if rivals => fair.max(used),
             _ => total,
         };
@@ -152,8 +152,8 @@
     /// Slots of a runner that an entry may be using.
     fn held(&self, now: Millis, runner: &Name, entry: &Name) -> u32 {
         match self.loans.get(&(runner.clone(), entry.clone())) {
-            Some(loan) if loan.until > now => loan.count.max(FLOOR),
-            _ => FLOOR,
+            Some(loan) if loan.until > now => loan.count.max(GUARANTEED_SLOTS),
+            _ => GUARANTEED_SLOTS,
         }
     }
 }
@@ -166,12 +166,12 @@
     until: Millis,
     used: u32,
     leaving: bool,
-    avoid: Millis,
+    backoff_until: Millis,
 }
 
 /// A request that asks for a slot.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct SlotRequest {
     /// Names the request within the entry.
     pub id: u64,
     /// The kind of work.
@@ -190,7 +190,7 @@
 
 /// What became of a request that asked for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Turn {
+pub enum SlotDecision {
     /// It may go to this runner.
     Go { id: u64, runner: Name },
     /// It waits.
@@ -203,7 +203,7 @@
 #[derive(Debug, Default)]
 pub struct Slots {
     runners: BTreeMap<Name, Runner>,
-    waiting: BTreeMap<(u64, u64), Waiting>,
+    waiting: BTreeMap<(u64, u64), SlotRequest>,
     running: BTreeMap<Name, u32>,
     means: BTreeMap<Name, u64>,
 }
@@ -217,8 +217,14 @@
             runner.leaving = true;
         }
         for (name, shard, leaving) in runners {
-            let fresh =
-                Runner { shard, lent: 0, until: Millis(0), used: 0, leaving, avoid: Millis(0) };
+            let fresh = Runner {
+                shard,
+                lent: 0,
+                until: Millis(0),
+                used: 0,
+                leaving,
+                backoff_until: Millis(0),
+            };
             self.runners.entry(name).or_insert(fresh).leaving = leaving;
         }
     }
@@ -241,49 +247,56 @@
     }
 
     /// What to tell the owner of a shard: the use of each runner, and how many wait.
-    pub fn uses(&self, now: Millis, shard: &str) -> (Vec<SlotUse>, u32) {
+    pub fn uses(&self, now: Millis, shard: &str) -> (Vec<SlotUsage>, u32) {
         let here = self.runners.iter().filter(|(_, runner)| *runner.shard == *shard);
         let uses = here.map(|(name, runner)| {
             let held = if runner.until > now { runner.lent } else { 0 };
-            SlotUse { runner: name.clone(), held, used: runner.used }
+            SlotUsage { runner: name.clone(), held, used: runner.used }
         });
         (uses.collect(), self.waiting.len() as u32)
     }
 
     /// A request wants a slot.
-    pub fn ask(&mut self, now: Millis, request: Waiting) -> Turn {
+    pub fn ask(&mut self, now: Millis, request: SlotRequest) -> SlotDecision {
         let id = request.id;
         let alike = self.waiting.values().filter(|other| other.kind == request.kind).count();
         let ahead = self.wait_ahead(now, &request);
         match () {
             _ if self.waiting.is_empty() && self.may_go(now, &request) => self.go(now, &request),
-            _ if alike as u32 >= request.queue => Turn::GiveUp { id, after: ahead, full: true },
-            _ if now + ahead >= request.due => Turn::GiveUp { id, after: ahead, full: false },
+            _ if alike as u32 >= request.queue => {
+                SlotDecision::GiveUp { id, after: ahead, full: true }
+            }
+            _ if now + ahead >= request.due => {
+                SlotDecision::GiveUp { id, after: ahead, full: false }
+            }
             _ => {
                 self.waiting.insert((rank(&request), id), request);
-                Turn::Wait
+                SlotDecision::Wait
             }
         }
     }
 
-    fn may_go(&self, now: Millis, request: &Waiting) -> bool {
+    fn may_go(&self, now: Millis, request: &SlotRequest) -> bool {
         let running = self.running.get(&request.kind).copied().unwrap_or(0);
         running < request.limit && self.free(now).is_some()
     }
 
-    fn go(&mut self, now: Millis, request: &Waiting) -> Turn {
-        let Some(name) = self.free(now) else { return Turn::Wait };
+    fn go(&mut self, now: Millis, request: &SlotRequest) -> SlotDecision {
+        let Some(name) = self.free(now) else { return SlotDecision::Wait };
         *self.running.entry(request.kind.clone()).or_insert(0) += 1;
         let id = request.id;
         if let Some(runner) = self.runners.get_mut(&name) {
             runner.used += 1;
         }
-        Turn::Go { id, runner: name }
+        SlotDecision::Go { id, runner: name }
     }
 
     /// The runner with most free slots.
     fn free(&self, now: Millis) -> Option<Name> {
-        let open = self.runners.iter().filter(|(_, runner)| !runner.leaving && runner.avoid <= now);
+        let open = self
+            .runners
+            .iter()
+            .filter(|(_, runner)| !runner.leaving && runner.backoff_until <= now);
         let rated =
             open.map(|(name, runner)| (runner.allowed(now).saturating_sub(runner.used), name));
         let best = rated.filter(|(free, _)| *free > 0).max_by_key(|(free, _)| *free);
@@ -291,7 +304,7 @@
     }
 
     /// How long a request would wait behind those that go before it, from mean service times.
-    fn wait_ahead(&self, now: Millis, request: &Waiting) -> Millis {
+    fn wait_ahead(&self, now: Millis, request: &SlotRequest) -> Millis {
         let slots: u32 = self.runners.values().map(|runner| runner.allowed(now)).sum();
         let before = self.waiting.range(..(rank(request), request.id));
         let work: u64 = before.map(|(_, other)| self.mean(&other.kind).0).sum();
@@ -307,19 +320,20 @@
     pub fn release(&mut self, now: Millis, name: &str, kind: &Name, took: Millis, reached: bool) {
         if let Some(runner) = self.runners.get_mut(name) {
             runner.used = runner.used.saturating_sub(1);
-            runner.avoid = if reached { runner.avoid } else { now + BACKOFF };
+            runner.backoff_until =
+                if reached { runner.backoff_until } else { now + UNREACHABLE_BACKOFF };
         }
         if let Some(running) = self.running.get_mut(kind) {
             *running = running.saturating_sub(1);
         }
         if reached {
             let mean = self.means.entry(kind.clone()).or_insert(took.0 * 1000);
-            *mean = (*mean * PAST + took.0 * 1000) / (PAST + 1);
+            *mean = (*mean * MEAN_PAST_WEIGHT + took.0 * 1000) / (MEAN_PAST_WEIGHT + 1);
         }
     }
 
     /// Requests that may go now, and requests whose time is over.
-    pub fn turns(&mut self, now: Millis) -> Vec<Turn> {
+    pub fn turns(&mut self, now: Millis) -> Vec<SlotDecision> {
         let late = self
             .waiting
             .iter()
@@ -328,7 +342,7 @@
         let mut turns = Vec::new();
         for key in late {
             self.waiting.remove(&key);
-            turns.push(Turn::GiveUp { id: key.1, after: BACKOFF, full: false });
+            turns.push(SlotDecision::GiveUp { id: key.1, after: UNREACHABLE_BACKOFF, full: false });
         }
         let order: Vec<(u64, u64)> = self.waiting.keys().copied().collect();
         for key in order {
@@ -373,11 +387,11 @@
 
 impl Runner {
     fn allowed(&self, now: Millis) -> u32 {
-        if self.until > now { self.lent } else { self.lent.min(FLOOR) }
+        if self.until > now { self.lent } else { self.lent.min(GUARANTEED_SLOTS) }
     }
 }
 
 /// Lower goes first: the arrival, later by a handicap for low weights. Everyone's turn comes.
-fn rank(request: &Waiting) -> u64 {
-    request.came.0 + HANDICAP / (request.weight as u64 + 1)
+fn rank(request: &SlotRequest) -> u64 {
+    request.came.0 + LOW_WEIGHT_DELAY_MS / (request.weight as u64 + 1)
 }
--- a/src/entry/log.rs
+++ b/src/entry/log.rs
@@ -1,8 +1,8 @@
 //! This entry's reader and writer of the platform's log.
 
 use crate::clock::Millis;
-use crate::controller::fold::Change;
-use crate::controller::slots::OWNER_PROOF;
+use crate::controller::log_state::LogChange;
+use crate::controller::slots::OWNERSHIP_PROOF_TTL;
 use crate::entry::{Entry, lock};
 use crate::platform::api::{AppendReply, LogRecord, ReadReply, ReadRequest};
 use crate::platform::http::HttpError;
@@ -20,7 +20,7 @@
 /// How long an exchange with the log may take.
 const LOG_LIMIT: Millis = Millis(5_000);
 /// The log counts as reachable if its end was read this lately.
-const LOG_FRESH: Millis = OWNER_PROOF;
+const LOG_FRESH: Millis = OWNERSHIP_PROOF_TTL;
 /// Pause after a failed exchange.
 const PAUSE: Millis = Millis(200);
 /// The largest batch, in bytes of JSON, unless a single record is larger.
@@ -255,12 +255,14 @@
         }
     }
 
-    fn take_change(self: &Arc<Self>, change: Change) {
+    fn take_change(self: &Arc<Self>, change: LogChange) {
         match change {
-            Change::Table => self.take_table(),
-            Change::Claim(claim) if claim.domain == self.settings.domain => self.take_claim(claim),
-            Change::Claim(_) | Change::Job(_) => {}
-            Change::Noted { shard, epoch, seq } => self.take_noted(&shard, epoch, seq),
+            LogChange::Table => self.take_table(),
+            LogChange::Claim(claim) if claim.domain == self.settings.domain => {
+                self.take_claim(claim)
+            }
+            LogChange::Claim(_) | LogChange::Job(_) => {}
+            LogChange::StateStored { shard, epoch, seq } => self.take_noted(&shard, epoch, seq),
         }
     }
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,15 +18,15 @@
 
 use crate::clock::Millis;
 use crate::controller::claims::Claimant;
-use crate::controller::fold::Fold;
 use crate::controller::gossip::Outbox;
 use crate::controller::in_flight::InFlightStarts;
 use crate::controller::list::Lists;
-use crate::controller::quota::Pool;
-use crate::controller::retry::Budget;
+use crate::controller::log_state::LogState;
+use crate::controller::quota::LimitPool;
+use crate::controller::retry::RetryBudget;
 use crate::controller::shard::Shard;
 use crate::controller::shard::owner::Answer;
-use crate::controller::slots::{Lender, Slots, Turn};
+use crate::controller::slots::{SlotDecision, SlotLender, Slots};
 use crate::id::{EntryId, Name};
 use crate::platform::http::HttpClient;
 use crate::server::serve;
@@ -64,9 +64,9 @@
 pub(crate) struct ShardHandle {
     pub id: Name,
     shard: Mutex<Shard>,
-    lender: Mutex<Lender>,
+    lender: Mutex<SlotLender>,
     /// Limits of the cell that this shard is home to.
-    pool: Mutex<Pool>,
+    pool: Mutex<LimitPool>,
     /// Tasks wait for a part of a limit.
     short: Notify,
     /// There is something to replicate.
@@ -82,8 +82,8 @@
         Self {
             id: id.clone(),
             shard: Mutex::new(Shard::new(id, me)),
-            lender: Mutex::new(Lender::new(now)),
-            pool: Mutex::new(Pool::new(0)),
+            lender: Mutex::new(SlotLender::new(now)),
+            pool: Mutex::new(LimitPool::new(0)),
             short: Notify::new(),
             kick: Notify::new(),
             searching: AtomicBool::new(false),
@@ -99,11 +99,11 @@
         lock(&self.flights)
     }
 
-    pub fn pool(&self) -> MutexGuard<'_, Pool> {
+    pub fn pool(&self) -> MutexGuard<'_, LimitPool> {
         lock(&self.pool)
     }
 
-    pub fn lender(&self) -> MutexGuard<'_, Lender> {
+    pub fn lender(&self) -> MutexGuard<'_, SlotLender> {
         lock(&self.lender)
     }
 }
@@ -117,7 +117,7 @@
     pub(crate) http: HttpClient,
     pub(crate) quic: Arc<Quic>,
     pub(crate) metrics: Metrics,
-    fold: Mutex<Fold>,
+    fold: Mutex<LogState>,
     table: RwLock<Arc<Table>>,
     lists: Mutex<Lists>,
     peers: Mutex<Peers>,
@@ -125,8 +125,8 @@
     claimant: Mutex<Claimant>,
     shards: RwLock<BTreeMap<Name, Arc<ShardHandle>>>,
     slots: Mutex<Slots>,
-    budget: Mutex<Budget>,
-    turns: Mutex<HashMap<u64, oneshot::Sender<Turn>>>,
+    budget: Mutex<RetryBudget>,
+    turns: Mutex<HashMap<u64, oneshot::Sender<SlotDecision>>>,
     replies: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     counter: AtomicU64,
     writer: log::Writer,
@@ -165,7 +165,7 @@
             http: HttpClient::default(),
             quic,
             metrics: Metrics::new()?,
-            fold: Mutex::new(Fold::new(domain.clone())),
+            fold: Mutex::new(LogState::new(domain.clone())),
             table: RwLock::default(),
             lists: Mutex::default(),
             outbox: Mutex::default(),
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -2,11 +2,11 @@
 //! actions towards workers.
 
 use crate::clock::Millis;
-use crate::controller::quota::Pool;
+use crate::controller::quota::LimitPool;
 use crate::controller::replica::{ReplicaError, State};
 use crate::controller::shard::owner::{Action, Event, ShardOwner};
 use crate::controller::shard::{RecoveryStep, StateSource};
-use crate::controller::slots::Lender;
+use crate::controller::slots::SlotLender;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{EntryId, Name, TaskId, hash};
 use crate::platform::api::{Report, StartOrder, StopOrder, SyncOrder, TaskReply};
@@ -194,8 +194,9 @@
         epoch: u64,
         what: EventKind,
     ) {
-        *handle.lender() = if epoch == 1 { Lender::first() } else { Lender::new(self.now()) };
-        *handle.pool() = Pool::new(epoch);
+        *handle.lender() =
+            if epoch == 1 { SlotLender::first() } else { SlotLender::new(self.now()) };
+        *handle.pool() = LimitPool::new(epoch);
         self.trace.record(what);
         self.set_list(handle);
         self.drop_gone_entries(handle);
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -4,8 +4,8 @@
 use crate::controller::claims::Peer;
 use crate::controller::gossip::{Inbox, Taken};
 use crate::controller::list::{Role, VmList};
-use crate::controller::offer::Room;
-use crate::controller::slots::OWNER_PROOF;
+use crate::controller::shard_ranking::ShardCapacity;
+use crate::controller::slots::OWNERSHIP_PROOF_TTL;
 use crate::id::{EntryId, Name};
 use crate::settings::Settings;
 use crate::wire::msg::{Beat, DeltaBeat};
@@ -114,7 +114,7 @@
     }
 
     /// What the shards owned by peers could take, as last heard.
-    pub fn rooms(&self, now: Millis) -> Vec<(Name, Name, Room)> {
+    pub fn rooms(&self, now: Millis) -> Vec<(Name, Name, ShardCapacity)> {
         let fresh = self.known.values().filter(|known| known.is_fresh(now));
         let beats = fresh.filter_map(|known| known.beat.as_ref());
         let rooms = beats.flat_map(|(_, beat)| {
@@ -149,7 +149,7 @@
         here.all(|known| {
             let Some((heard, beat)) = &known.beat else { return false };
             let later = beat.shards.iter().any(|at| *at.shard == *shard && at.epoch > epoch);
-            (beat.leaving || now.since(*heard) < OWNER_PROOF) && !later
+            (beat.leaving || now.since(*heard) < OWNERSHIP_PROOF_TTL) && !later
         })
     }
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -1,7 +1,7 @@
 //! Slots for requests: renewing leases, waiting for a turn, giving slots back.
 
 use crate::clock::Millis;
-use crate::controller::slots::{SlotUse, Turn, Waiting};
+use crate::controller::slots::{SlotDecision, SlotRequest, SlotUsage};
 use crate::entry::{Entry, lock};
 use crate::id::Name;
 use crate::wire::msg::{Ask, Tell};
@@ -42,24 +42,24 @@
     /// When to come again, if the request is given up, and whether the queue was full.
     pub(crate) async fn take_slot(
         self: &Arc<Self>,
-        request: Waiting,
+        request: SlotRequest,
     ) -> Result<Slot, (Millis, bool)> {
         let (kind, id) = (request.kind.clone(), request.id);
         let (give, turn) = oneshot::channel();
         lock(&self.turns).insert(id, give);
         let first = lock(&self.slots).ask(self.now(), request);
         let turn = match first {
-            Turn::Wait => turn.await.unwrap_or(Turn::Wait),
+            SlotDecision::Wait => turn.await.unwrap_or(SlotDecision::Wait),
             other => other,
         };
         lock(&self.turns).remove(&id);
         let since = self.now();
         match turn {
-            Turn::Go { runner, .. } => {
+            SlotDecision::Go { runner, .. } => {
                 Ok(Slot { entry: self.clone(), kind, since, runner, reached: false })
             }
-            Turn::GiveUp { after, full, .. } => Err((after, full)),
-            Turn::Wait => {
+            SlotDecision::GiveUp { after, full, .. } => Err((after, full)),
+            SlotDecision::Wait => {
                 lock(&self.slots).forget(id);
                 Err((RENEW, false))
             }
@@ -72,8 +72,8 @@
         let mut waiting = lock(&self.turns);
         for turn in turns {
             let id = match &turn {
-                Turn::Go { id, .. } | Turn::GiveUp { id, .. } => *id,
-                Turn::Wait => continue,
+                SlotDecision::Go { id, .. } | SlotDecision::GiveUp { id, .. } => *id,
+                SlotDecision::Wait => continue,
             };
             if let Some(give) = waiting.remove(&id) {
                 let _ = give.send(turn);
@@ -114,7 +114,7 @@
         }
     }
 
-    async fn ask_slots(&self, shard: Name, uses: Vec<SlotUse>, waiting: u32) -> Tell {
+    async fn ask_slots(&self, shard: Name, uses: Vec<SlotUsage>, waiting: u32) -> Tell {
         let Some(owner) = self.owner_of(&shard).filter(|owner| *owner != self.me.name) else {
             return Tell::NotOwner;
         };
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,8 +1,8 @@
 //! Finding the owner of a shard, and the shard for a job or a key.
 
 use crate::clock::Millis;
-use crate::controller::offer::{self, Candidate, Offer, Room};
 use crate::controller::shard::owner::{Answer, Event, Refusal};
+use crate::controller::shard_ranking::{self, Candidate, JobDemand, ShardCapacity};
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{JobId, Name, rendezvous};
 use crate::job::{JobSpec, JobStatus};
@@ -150,7 +150,7 @@
     }
 
     /// What the shards of the cell could take, as far as this entry knows.
-    fn known_rooms(&self) -> Vec<(Name, Name, Room)> {
+    fn known_rooms(&self) -> Vec<(Name, Name, ShardCapacity)> {
         let mut rooms = lock(&self.peers).rooms(self.now());
         for handle in self.shards() {
             let mut shard = handle.shard();
@@ -179,14 +179,14 @@
             .filter(|(_, domain, _)| row.domain_weight(domain) > 0)
             .map(|(shard, domain, room)| Candidate {
                 shard: shard.clone(),
-                far: domain != local && row.domain_weight(local) > 0,
+                is_remote: domain != local && row.domain_weight(local) > 0,
                 weight: row.domain_weight(domain),
-                room: *room,
+                capacity: *room,
             })
             .collect();
         let count = if spec.gang { spec.tasks } else { 1 };
-        let offer = Offer { size: spec.size, count, weight: row.weight };
-        let order = offer::order(&candidates, &offer, seed);
+        let demand = JobDemand { size: spec.size, count, weight: row.weight };
+        let order = shard_ranking::rank_shards(&candidates, &demand, seed);
         match order.is_empty() {
             false => Ok(order),
             true if self.knows_all_rooms(row, &rooms) => {
@@ -197,7 +197,7 @@
     }
 
     /// Whether the owners of all shards that may take a row's work have said what they have.
-    fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, Room)]) -> bool {
+    fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, ShardCapacity)]) -> bool {
         let fold = lock(&self.fold);
         let mut shards =
             fold.claims.all().filter(|claim| row.domain_weight(&claim.domain) > 0).peekable();
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,6 +1,6 @@
 //! Answers to other entries.
 
-use crate::controller::slots::SlotUse;
+use crate::controller::slots::SlotUsage;
 use crate::entry::{Entry, lock};
 use crate::filter::{Exchange, run_forwarded};
 use crate::id::Name;
@@ -57,7 +57,13 @@
     }
 
     /// Lends slots if this entry surely owned the shard a moment ago.
-    pub(super) fn lend(&self, shard: &Name, entry: &Name, uses: &[SlotUse], waiting: u32) -> Tell {
+    pub(super) fn lend(
+        &self,
+        shard: &Name,
+        entry: &Name,
+        uses: &[SlotUsage],
+        waiting: u32,
+    ) -> Tell {
         let Some(handle) = self.handle(shard) else { return Tell::NotOwner };
         let Some(epoch) = handle.shard().owner().map(|owner| owner.epoch()) else {
             return Tell::NotOwner;
--- a/src/entry/share.rs
+++ b/src/entry/share.rs
@@ -2,7 +2,7 @@
 //! this entry lends parts of the limits that its shards are home to.
 
 use crate::clock::Millis;
-use crate::controller::quota::{Limit, PartAsk, Question};
+use crate::controller::quota::{HomeRequest, Limit, ShareRequest};
 use crate::controller::shard::owner::Event;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{Name, rendezvous};
@@ -53,13 +53,18 @@
     }
 
     /// One question to each home.
-    fn questions(&self, shard: &Name, epoch: u64, asks: Vec<PartAsk>) -> BTreeMap<Name, Question> {
+    fn questions(
+        &self,
+        shard: &Name,
+        epoch: u64,
+        asks: Vec<ShareRequest>,
+    ) -> BTreeMap<Name, HomeRequest> {
         let fold = lock(&self.fold);
         let known: Vec<Name> = fold.claims.all().map(|claim| claim.shard.clone()).collect();
-        let mut questions: BTreeMap<Name, Question> = BTreeMap::new();
+        let mut questions: BTreeMap<Name, HomeRequest> = BTreeMap::new();
         for ask in asks {
             let Some(home) = rendezvous(&ask.limit.to_string(), known.iter()) else { continue };
-            let fresh = || Question {
+            let fresh = || HomeRequest {
                 shard: shard.clone(),
                 epoch,
                 seq: self.next(),
@@ -72,7 +77,7 @@
         questions
     }
 
-    async fn ask_home(&self, home: &Name, question: Question) -> Tell {
+    async fn ask_home(&self, home: &Name, question: HomeRequest) -> Tell {
         match self.owner_of(home) {
             Some(owner) if owner == self.me.name => self.lend_parts(home, &question),
             Some(owner) => self.ask_home_at(owner, home.clone(), question).await,
@@ -80,7 +85,7 @@
         }
     }
 
-    async fn ask_home_at(&self, owner: Name, home: Name, question: Question) -> Tell {
+    async fn ask_home_at(&self, owner: Name, home: Name, question: HomeRequest) -> Tell {
         let Some(addr) = lock(&self.peers).addr(&owner) else { return Tell::NotOwner };
         let ask = |version| (version >= V2).then_some(Ask::Parts { home, question });
         let answer = self.quic.ask_by_version(&owner, addr, ask, HOME_LIMIT).await;
@@ -88,7 +93,7 @@
     }
 
     /// Lends parts of the limits that a shard owned here is home to.
-    pub(super) fn lend_parts(&self, home: &Name, question: &Question) -> Tell {
+    pub(super) fn lend_parts(&self, home: &Name, question: &HomeRequest) -> Tell {
         let Some(handle) = self.handle(home) else { return Tell::NotOwner };
         let Some(epoch) = handle.shard().owner().map(|owner| owner.epoch()) else {
             return Tell::NotOwner;
--- a/src/filter/hold.rs
+++ b/src/filter/hold.rs
@@ -1,6 +1,6 @@
 //! The bounded queue for a slot of a runner.
 
-use crate::controller::slots::Waiting;
+use crate::controller::slots::SlotRequest;
 use crate::entry::{Entry, Slot};
 use crate::filter::{Classified, not_run};
 use crate::wire::msg::{Reason, Refused};
@@ -12,7 +12,7 @@
 /// At once if the queue is full or the turn would come too late; when it should come again.
 pub async fn apply(entry: &Arc<Entry>, classified: &Classified) -> Result<Slot, Refused> {
     let now = entry.now();
-    let request = Waiting {
+    let request = SlotRequest {
         id: entry.next(),
         kind: classified.row.kind.clone(),
         weight: classified.row.weight,
--- a/src/wire/msg.rs
+++ b/src/wire/msg.rs
@@ -7,11 +7,11 @@
 use crate::clock::Millis;
 use crate::controller::gossip::Delta;
 use crate::controller::list::VmList;
-use crate::controller::offer::Room;
-use crate::controller::quota::{Limit, Question};
+use crate::controller::quota::{HomeRequest, Limit};
 use crate::controller::replica::{ReplicaError, State, Update};
 use crate::controller::shard::owner::{Answer, Load, Refusal};
-use crate::controller::slots::SlotUse;
+use crate::controller::shard_ranking::ShardCapacity;
+use crate::controller::slots::SlotUsage;
 use crate::controller::table::Revision;
 use crate::id::{EntryId, JobId, Name};
 use crate::job::{JobSpec, JobStatus};
@@ -51,7 +51,7 @@
     /// Something for the owner of a shard.
     Owner { shard: Name, ask: OwnerAsk },
     /// Lend me slots of a shard's runners.
-    Slots { shard: Name, entry: Name, uses: Vec<SlotUse>, waiting: u32 },
+    Slots { shard: Name, entry: Name, uses: Vec<SlotUsage>, waiting: u32 },
     /// What table is in force?
     Table,
     /// What VM list do you have?
@@ -61,7 +61,7 @@
     /// I live; of the shards only what changed. Since version 2.
     Delta(DeltaBeat),
     /// Lend a shard parts of the limits that this shard is home to. Since version 2.
-    Parts { home: Name, question: Question },
+    Parts { home: Name, question: HomeRequest },
     /// I gave up a shard that I owned in this epoch: you, and nobody else, go on from this state.
     /// Since version 2.
     HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: State },
@@ -163,7 +163,7 @@
     /// Whether a start that the sender sent may still arrive.
     pub flying: bool,
     /// What the owner could take, from the owner only.
-    pub room: Option<Room>,
+    pub room: Option<ShardCapacity>,
 }
 
 /// A shard's state for operators.
--- a/tests/fold.rs
+++ b/tests/fold.rs
@@ -2,7 +2,7 @@
 //! whatever retention has dropped before it.
 
 use proptest::prelude::*;
-use sprucerudder::controller::fold::Fold;
+use sprucerudder::controller::log_state::LogState;
 use sprucerudder::controller::table::{Revision, Verdict};
 use sprucerudder::id::EntryId;
 use sprucerudder::record::{Claim, Record, TablePublish};
@@ -23,8 +23,8 @@
     Claim { shard: shard.into(), domain: "d".into(), epoch, owner, replicas: Vec::new() }
 }
 
-fn fold() -> Fold {
-    Fold::new("d".into())
+fn fold() -> LogState {
+    LogState::new("d".into())
 }
 
 #[test]
@@ -113,7 +113,7 @@
     log
 }
 
-fn read(log: &[Record], first: usize) -> Fold {
+fn read(log: &[Record], first: usize) -> LogState {
     let mut fold = fold();
     if first > 0 {
         fold.gap(first as u64);
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sprucerudder::clock::Millis;
-use sprucerudder::controller::offer::Room;
-use sprucerudder::controller::slots::SlotUse;
+use sprucerudder::controller::shard_ranking::ShardCapacity;
+use sprucerudder::controller::slots::SlotUsage;
 use sprucerudder::id::{EntryId, JobId};
 use sprucerudder::settings::Settings;
 use sprucerudder::table::Table;
@@ -169,7 +169,7 @@
 #[test]
 fn version_1_keeps_its_bytes() {
     let from = EntryId { name: "e1".into(), incarnation: 300 };
-    let room = Room { urgent: 9, backlog: 5, ..Room::default() };
+    let room = ShardCapacity { max_weight: 9, backlog: 5, ..ShardCapacity::default() };
     let shard =
         ShardBeat { shard: "r".into(), epoch: 2, owner: true, flying: false, room: Some(room) };
     let beat = Beat {
@@ -181,7 +181,7 @@
         list: 1,
         shards: vec![shard],
     };
-    let uses = vec![SlotUse { runner: "x".into(), held: 2, used: 1 }];
+    let uses = vec![SlotUsage { runner: "x".into(), held: 2, used: 1 }];
     let asks = [
         (
             Ask::Beat(beat),
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -4,7 +4,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucerudder::controller::quota::{Limit, Need, Parts, Pool, Question};
+use sprucerudder::controller::quota::{HomeRequest, Limit, LimitPool, LimitShares, Need};
 use sprucerudder::id::Name;
 use std::collections::BTreeSet;
 
@@ -53,18 +53,18 @@
 struct Shard {
     name: Name,
     epoch: u64,
-    parts: Parts,
+    parts: LimitShares,
     used: u64,
     waiting: u64,
     /// The home's epoch, as known here.
     home: u64,
     /// The questions, as they may come again.
-    asked: Vec<Question>,
+    asked: Vec<HomeRequest>,
 }
 
 struct Cell {
     /// The home's owners by epoch: a former one may not know that it is none.
-    pools: Vec<Pool>,
+    pools: Vec<LimitPool>,
     shards: Vec<Shard>,
     seq: u64,
 }
@@ -74,21 +74,21 @@
         let shard = |index| Shard {
             name: format!("rack{index}").into(),
             epoch: 1,
-            parts: Parts::new(SHARDS),
+            parts: LimitShares::new(SHARDS),
             used: 0,
             waiting: 0,
             home: 0,
             asked: Vec::new(),
         };
         let shards = (0..SHARDS).map(shard).collect();
-        Self { pools: vec![Pool::new(0)], shards, seq: 0 }
+        Self { pools: vec![LimitPool::new(0)], shards, seq: 0 }
     }
 
     fn names(&self) -> BTreeSet<Name> {
         self.shards.iter().map(|shard| shard.name.clone()).collect()
     }
 
-    fn lend(&mut self, question: &Question) -> Option<Vec<(Limit, u64)>> {
+    fn lend(&mut self, question: &HomeRequest) -> Option<Vec<(Limit, u64)>> {
         let names = self.names();
         self.pools[question.home as usize].lend(question, SHARDS, &names, |_| WHOLE)
     }
@@ -100,7 +100,7 @@
         let need = Need { limit: limit(), whole: WHOLE, used: *used, waiting: *waiting, step: 1 };
         let asks = parts.ask(&[need]);
         let (shard, epoch, home) = (name.clone(), *epoch, *home);
-        let question = Question { shard, epoch, seq, home, shards: SHARDS, asks };
+        let question = HomeRequest { shard, epoch, seq, home, shards: SHARDS, asks };
         asked.push(question.clone());
         let lent = self.lend(&question);
         let shard = &mut self.shards[index];
@@ -135,12 +135,12 @@
             }
             Step::Ask(index, lost) => self.ask(index, lost),
             Step::Again(index) => self.again(index),
-            Step::Home => self.pools.push(Pool::new(self.pools.len() as u64)),
+            Step::Home => self.pools.push(LimitPool::new(self.pools.len() as u64)),
             Step::Learn(index) => self.shards[index].home = self.pools.len() as u64 - 1,
             Step::Owner(index) => {
                 let shard = &mut self.shards[index];
                 shard.epoch += 1;
-                shard.parts = Parts::new(SHARDS);
+                shard.parts = LimitShares::new(SHARDS);
             }
         }
     }
@@ -226,11 +226,11 @@
 
 #[test]
 fn a_home_lends_no_more_until_all_shards_agree_on_which_there_are() {
-    let mut pool = Pool::new(7);
+    let mut pool = LimitPool::new(7);
     let names: BTreeSet<Name> = ["a".into(), "b".into()].into();
     let question = |shard: &str, seq, home, shards| {
-        let (shard, asks) = (shard.into(), Parts::new(2).ask(&[need(9)]));
-        Question { shard, epoch: 1, seq, home, shards, asks }
+        let (shard, asks) = (shard.into(), LimitShares::new(2).ask(&[need(9)]));
+        HomeRequest { shard, epoch: 1, seq, home, shards, asks }
     };
     let mut lend = |question| pool.lend(&question, 2, &names, |_| WHOLE).map(|lent| lent[0].1);
     assert_eq!(lend(question("a", 1, 6, 2)), None, "for an earlier home");
@@ -248,14 +248,14 @@
 
 #[test]
 fn parts_come_in_steps_that_are_of_use() {
-    let mut pool = Pool::new(1);
+    let mut pool = LimitPool::new(1);
     let names: BTreeSet<Name> = ["a".into(), "b".into()].into();
-    let mut parts = [Parts::new(2), Parts::new(2)];
+    let mut parts = [LimitShares::new(2), LimitShares::new(2)];
     for seq in 1..4 {
         for (shard, parts) in ["a", "b"].into_iter().zip(&mut parts) {
             let need = Need { limit: limit(), whole: 50, used: 0, waiting: 80, step: 10 };
             let (shard, asks) = (shard.into(), parts.ask(&[need]));
-            let question = Question { shard, epoch: 1, seq, home: 1, shards: 2, asks };
+            let question = HomeRequest { shard, epoch: 1, seq, home: 1, shards: 2, asks };
             let lent = pool.lend(&question, 2, &names, |_| 50).expect("lent");
             parts.lent(&lent, |_| 0);
         }
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -3,8 +3,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRng, TestRunner};
 use sprucerudder::clock::Millis;
-use sprucerudder::controller::retry::Budget;
-use sprucerudder::controller::slots::{Lender, OWNER_PROOF, Slots, Turn, Waiting};
+use sprucerudder::controller::retry::RetryBudget;
+use sprucerudder::controller::slots::{
+    OWNERSHIP_PROOF_TTL, SlotDecision, SlotLender, SlotRequest, Slots,
+};
 use sprucerudder::id::Name;
 use std::collections::BTreeMap;
 
@@ -41,7 +43,7 @@
 
 struct Desk {
     slots: Slots,
-    lender: Option<Lender>,
+    lender: Option<SlotLender>,
     /// When this entry last knew for certain who owns the shard, and who that was.
     proof: Millis,
     believes: usize,
@@ -68,11 +70,11 @@
             Desk { slots, lender: None, proof: now, believes: 0, at_runner: 0 }
         });
         let mut world = Self { now, owner: 0, ids: 0, desks: desks.collect() };
-        world.desks[0].lender = Some(world.lender(Lender::first()));
+        world.desks[0].lender = Some(world.lender(SlotLender::first()));
         world
     }
 
-    fn lender(&self, mut lender: Lender) -> Lender {
+    fn lender(&self, mut lender: SlotLender) -> SlotLender {
         lender.set_runners(BTreeMap::from([(RUNNER.into(), TOTAL)]));
         lender.set_entries((0..ENTRIES).map(name).collect());
         lender
@@ -84,7 +86,7 @@
             Op::Renew(entry, lost) => self.renew(entry, lost),
             Op::TakeOver(entry) => {
                 self.owner = entry;
-                self.desks[entry].lender = Some(self.lender(Lender::new(self.now)));
+                self.desks[entry].lender = Some(self.lender(SlotLender::new(self.now)));
                 self.learn(entry);
             }
             Op::Learn(entry) => self.learn(entry),
@@ -99,7 +101,8 @@
         }
         for desk in &mut self.desks {
             let turns = desk.slots.turns(self.now);
-            desk.at_runner += turns.iter().filter(|t| matches!(t, Turn::Go { .. })).count() as u32;
+            desk.at_runner +=
+                turns.iter().filter(|t| matches!(t, SlotDecision::Go { .. })).count() as u32;
         }
         self.check();
     }
@@ -118,7 +121,7 @@
         let asked = self.now;
         let (uses, waiting) = self.desks[entry].slots.uses(asked, SHARD);
         let owner = self.desks[entry].believes;
-        let proven = asked.since(self.desks[owner].proof) < OWNER_PROOF;
+        let proven = asked.since(self.desks[owner].proof) < OWNERSHIP_PROOF_TTL;
         let Some(lender) = self.desks[owner].lender.as_mut().filter(|_| proven) else { return };
         let lent = lender.lend(asked, &name(entry), &uses, waiting);
         if !lost {
@@ -130,7 +133,7 @@
         self.ids += 1;
         let request = waiting(self.ids, self.now, 60_000);
         let turn = self.desks[entry].slots.ask(self.now, request);
-        if matches!(turn, Turn::Go { .. }) {
+        if matches!(turn, SlotDecision::Go { .. }) {
             self.desks[entry].at_runner += 1;
         }
     }
@@ -141,8 +144,8 @@
     }
 }
 
-fn waiting(id: u64, now: Millis, wait: u64) -> Waiting {
-    Waiting {
+fn waiting(id: u64, now: Millis, wait: u64) -> SlotRequest {
+    SlotRequest {
         id,
         kind: "k".into(),
         weight: 10,
@@ -194,16 +197,16 @@
 fn a_request_that_cannot_be_in_time_is_given_up_at_once() {
     let (mut slots, now) = holding(1);
     let go = slots.ask(now, waiting(1, now, 5_000));
-    assert_eq!(go, Turn::Go { id: 1, runner: RUNNER.into() });
+    assert_eq!(go, SlotDecision::Go { id: 1, runner: RUNNER.into() });
     let later = now + Millis(1_000);
     slots.release(later, RUNNER, &"k".into(), Millis(1_000), true);
-    assert!(matches!(slots.ask(later, waiting(2, later, 5_000)), Turn::Go { .. }));
-    assert_eq!(slots.ask(later, waiting(3, later, 5_000)), Turn::Wait);
+    assert!(matches!(slots.ask(later, waiting(2, later, 5_000)), SlotDecision::Go { .. }));
+    assert_eq!(slots.ask(later, waiting(3, later, 5_000)), SlotDecision::Wait);
     let hopeless = slots.ask(later, waiting(4, later, 500));
-    assert!(matches!(hopeless, Turn::GiveUp { id: 4, full: false, .. }), "{hopeless:?}");
+    assert!(matches!(hopeless, SlotDecision::GiveUp { id: 4, full: false, .. }), "{hopeless:?}");
     let late = later + Millis(5_000);
     let turns = slots.turns(late);
-    assert!(matches!(turns[..], [Turn::GiveUp { id: 3, .. }]), "{turns:?}");
+    assert!(matches!(turns[..], [SlotDecision::GiveUp { id: 3, .. }]), "{turns:?}");
 }
 
 #[test]
@@ -211,18 +214,18 @@
     let (mut slots, now) = holding(1);
     slots.ask(now, waiting(1, now, 60_000));
     for id in 2..7 {
-        assert_eq!(slots.ask(now, waiting(id, now, 60_000)), Turn::Wait);
+        assert_eq!(slots.ask(now, waiting(id, now, 60_000)), SlotDecision::Wait);
     }
     let full = slots.ask(now, waiting(7, now, 60_000));
-    assert!(matches!(full, Turn::GiveUp { id: 7, full: true, .. }), "{full:?}");
+    assert!(matches!(full, SlotDecision::GiveUp { id: 7, full: true, .. }), "{full:?}");
 }
 
 #[test]
 fn a_leaving_runner_gets_nothing_new() {
     let (mut slots, now) = holding(2);
-    assert!(matches!(slots.ask(now, waiting(1, now, 5_000)), Turn::Go { .. }));
+    assert!(matches!(slots.ask(now, waiting(1, now, 5_000)), SlotDecision::Go { .. }));
     slots.leave(RUNNER);
-    assert_eq!(slots.ask(now, waiting(2, now, 5_000)), Turn::Wait);
+    assert_eq!(slots.ask(now, waiting(2, now, 5_000)), SlotDecision::Wait);
     slots.release(now, RUNNER, &"k".into(), Millis(10), true);
     assert!(slots.turns(now).is_empty());
 }
@@ -231,21 +234,21 @@
 fn urgent_requests_go_first_and_old_ones_in_their_turn() {
     let (mut slots, now) = holding(1);
     slots.ask(now, waiting(1, now, 60_000));
-    let light = Waiting { weight: 0, ..waiting(2, now, 60_000) };
+    let light = SlotRequest { weight: 0, ..waiting(2, now, 60_000) };
     slots.ask(now, light);
     let later = now + Millis(1_000);
-    slots.ask(later, Waiting { weight: 100, ..waiting(3, later, 60_000) });
+    slots.ask(later, SlotRequest { weight: 100, ..waiting(3, later, 60_000) });
     slots.release(later, RUNNER, &"k".into(), Millis(10), true);
-    assert!(matches!(slots.turns(later)[..], [Turn::Go { id: 3, .. }]));
+    assert!(matches!(slots.turns(later)[..], [SlotDecision::Go { id: 3, .. }]));
     let late = now + Millis(6_000);
-    slots.ask(late, Waiting { weight: 100, ..waiting(4, late, 60_000) });
+    slots.ask(late, SlotRequest { weight: 100, ..waiting(4, late, 60_000) });
     slots.release(late, RUNNER, &"k".into(), Millis(10), true);
-    assert!(matches!(slots.turns(late)[..], [Turn::Go { id: 2, .. }]));
+    assert!(matches!(slots.turns(late)[..], [SlotDecision::Go { id: 2, .. }]));
 }
 
 #[test]
 fn retries_end_when_the_budget_is_spent() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     let granted = (0..1_000).filter(|_| {
         budget.deposit();
         budget.withdraw()
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -4,9 +4,9 @@
 
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::claims::{Claimant, Peer};
-use sprucerudder::controller::fold::{Change, Fold};
 use sprucerudder::controller::in_flight::InFlightStarts;
 use sprucerudder::controller::list::{Role, Vm};
+use sprucerudder::controller::log_state::{LogChange, LogState};
 use sprucerudder::controller::replica::{ReplicaError, State, Update};
 use sprucerudder::controller::shard::owner::{
     Action, Answer, Event, MAX_MESSAGE_DELAY, ShardOwner,
@@ -74,7 +74,7 @@
 pub struct Entry {
     pub id: EntryId,
     pub shard: Shard,
-    pub fold: Fold,
+    pub fold: LogState,
     pub paused: bool,
     /// It cannot reach the log.
     pub cut_off: bool,
@@ -166,7 +166,7 @@
 
     fn new_entry(&mut self, name: Name) -> Entry {
         let id = EntryId { name, incarnation: self.next() };
-        let mut fold = Fold::new("d".into());
+        let mut fold = LogState::new("d".into());
         let table = Table::parse(TABLE).expect("table");
         assert!(!table.rows.is_empty());
         for (offset, record) in self.log.iter().enumerate() {
@@ -396,13 +396,15 @@
         let Some(record) = self.log.get(offset as usize).cloned() else { return };
         for change in entry.fold.apply(offset, vec![record]) {
             match change {
-                Change::Claim(claim) => {
+                LogChange::Claim(claim) => {
                     let history = self.entries[index].fold.claims.history(SHARD).to_vec();
                     let state = self.entries[index].fold.state(SHARD);
                     self.entries[index].shard.on_claim(now, &claim, &history, state);
                 }
-                Change::Noted { epoch, seq, .. } => self.step(index, Event::Logged { epoch, seq }),
-                Change::Table | Change::Job(_) => {}
+                LogChange::StateStored { epoch, seq, .. } => {
+                    self.step(index, Event::Logged { epoch, seq })
+                }
+                LogChange::Table | LogChange::Job(_) => {}
             }
         }
     }
