--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -146,7 +146,7 @@
             epoch: 9,
             base: None,
             first: 1_000_000,
-            notes,
+            changes: notes,
         };
         println!(
             "  {count:>5} {:>7} {:>7}",
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -4,7 +4,7 @@
 
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::list::{Role, Vm};
-use sprucerudder::controller::replica::State;
+use sprucerudder::controller::replica::StateSnapshot;
 use sprucerudder::controller::shard::StateSource;
 use sprucerudder::controller::shard::owner::{Action, Event, ShardOwner};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
@@ -70,7 +70,7 @@
             owner,
             replicas: Vec::new(),
         };
-        let source = StateSource::State(Box::<State>::default());
+        let source = StateSource::State(Box::<StateSnapshot>::default());
         let shard_owner =
             ShardOwner::new(&claim, source, BTreeSet::new(), Vec::new(), table, START);
         let mut desk =
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -194,7 +194,7 @@
             });
             let (shard, asks) = (format!("rack{rack}").into(), asks.collect());
             let question = HomeRequest { shard, epoch: 1, seq, home: 1, shards: count, asks };
-            pool.lend(&question, count, &shards, |_| 10 * count as u64)
+            pool.grant(&question, count, &shards, |_| 10 * count as u64)
         };
         (0..count).for_each(|rack| drop(ask(rack)));
         group.bench_function(BenchmarkId::from_parameter(count), |b| b.iter(|| ask(0)));
--- a/src/controller/gossip.rs
+++ b/src/controller/gossip.rs
@@ -80,33 +80,35 @@
 
 /// What became of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum DeltaOutcome {
     /// The peer's state is now the one of the message.
-    Yes,
+    Applied,
     /// A newer one is held already.
     Stale,
     /// The state that it builds on is missing: nothing is held any more, so that the sender
     /// learns of it.
-    Gap,
+    MissingBase,
 }
 
 impl Inbox {
     /// Takes in a message from a run of the peer.
-    pub fn take(&mut self, from: &EntryId, delta: Delta) -> Taken {
+    pub fn take(&mut self, from: &EntryId, delta: Delta) -> DeltaOutcome {
         match () {
-            _ if from.incarnation < self.inc => return Taken::Stale,
-            _ if from.incarnation == self.inc && delta.seq <= self.seq => return Taken::Stale,
+            _ if from.incarnation < self.inc => return DeltaOutcome::Stale,
+            _ if from.incarnation == self.inc && delta.seq <= self.seq => {
+                return DeltaOutcome::Stale;
+            }
             _ if delta.base == 0 => self.shards.clear(),
             _ if from.incarnation > self.inc || delta.base > self.seq => {
                 *self = Self { inc: from.incarnation, ..Self::default() };
-                return Taken::Gap;
+                return DeltaOutcome::MissingBase;
             }
             _ => {}
         }
         (self.inc, self.seq) = (from.incarnation, delta.seq);
         let named = delta.shards.into_iter().map(|beat| (beat.shard.clone(), beat));
         self.shards.extend(named);
-        Taken::Yes
+        DeltaOutcome::Applied
     }
 
     /// The newest state held of a run of the peer; 0: none.
--- a/src/controller/log_state.rs
+++ b/src/controller/log_state.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Millis;
 use crate::controller::claims::Claims;
-use crate::controller::replica::{Replica, State, Update};
+use crate::controller::replica::{Replica, StateSnapshot, Update};
 use crate::controller::table::{Revision, Tables};
 use crate::id::{EntryId, JobId, Name};
 use crate::job::{JobSpec, StateChange, TaskOutcome};
@@ -191,7 +191,7 @@
         &mut self,
         shard: Name,
         epoch: u64,
-        base: Option<State>,
+        base: Option<StateSnapshot>,
         first: u64,
         notes: Vec<StateChange>,
         changes: &mut Vec<LogChange>,
@@ -201,13 +201,13 @@
             return;
         }
         let replica = self.states.entry(shard.clone()).or_default();
-        if let Ok(seq) = replica.update(Update { epoch, base, first, notes }) {
+        if let Ok(seq) = replica.update(Update { epoch, base, first, changes: notes }) {
             changes.push(LogChange::StateStored { shard, epoch, seq });
         }
     }
 
     /// What the log holds of a shard from epochs without replicas.
-    pub fn state(&self, shard: &str) -> State {
+    pub fn state(&self, shard: &str) -> StateSnapshot {
         self.states.get(shard).map(|replica| replica.state().clone()).unwrap_or_default()
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,7 +2,6 @@
 //!
 //! Each takes the time and an event and returns what has to be done; the entry's shell does it.
 
-pub mod book;
 pub mod claims;
 pub mod gossip;
 pub mod health;
@@ -17,5 +16,6 @@
 pub mod retry;
 pub mod shard;
 pub mod shard_ranking;
+pub mod shard_state;
 pub mod slots;
 pub mod table;
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -144,18 +144,18 @@
 
     /// The question to the homes. What is not needed any more is given back first: nothing above
     /// `held` is used from here on.
-    pub fn ask(&mut self, needs: &[Need]) -> Vec<ShareRequest> {
+    pub fn share_requests(&mut self, needs: &[Need]) -> Vec<ShareRequest> {
         let unneeded = |limit: &Limit| !needs.iter().any(|need| need.limit == *limit);
         let mut asks = Vec::with_capacity(needs.len());
         for (limit, part) in self.held.iter_mut().filter(|(limit, _)| unneeded(limit)) {
             *part = Share { amount: 0, returned: true };
             asks.push(ShareRequest { limit: limit.clone(), held: 0, used: 0, need: 0, step: 1 });
         }
-        asks.extend(needs.iter().map(|need| self.ask_one(need)));
+        asks.extend(needs.iter().map(|need| self.share_request(need)));
         asks
     }
 
-    fn ask_one(&mut self, need: &Need) -> ShareRequest {
+    fn share_request(&mut self, need: &Need) -> ShareRequest {
         let least = guaranteed_share(need.whole, self.shards);
         let all = need.used + need.waiting.min(need.whole);
         let before = self.allowed(&need.limit, need.whole);
@@ -171,7 +171,7 @@
     }
 
     /// Takes what a home lent; `true` if something grew.
-    pub fn lent(&mut self, parts: &[(Limit, u64)], used: impl Fn(&Limit) -> u64) -> bool {
+    pub fn apply_grants(&mut self, parts: &[(Limit, u64)], used: impl Fn(&Limit) -> u64) -> bool {
         let mut grew = false;
         for (limit, amount) in parts {
             match self.held.get_mut(limit) {
@@ -201,7 +201,7 @@
 pub struct LimitPool {
     epoch: u64,
     /// Shards that said what they hold, with the number of shards that they knew.
-    heard: BTreeMap<Name, usize>,
+    known_counts: BTreeMap<Name, usize>,
     /// The last question of each shard: its epoch and number.
     last: BTreeMap<Name, (u64, u64)>,
     loans: BTreeMap<Limit, BTreeMap<Name, GrantedShare>>,
@@ -210,8 +210,8 @@
 impl LimitPool {
     /// The pool of an owner of the home in `epoch`.
     pub fn new(epoch: u64) -> Self {
-        let (heard, last, loans) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Self { epoch, heard, last, loans }
+        let (known_counts, last, loans) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        Self { epoch, known_counts, last, loans }
     }
 
     /// The same owner goes on in a later epoch.
@@ -222,7 +222,7 @@
     /// Answers a question; `None` if it is for another home, or a later one was answered. `known`
     /// is the number of shards that the home knows, `shards` are those that may hold parts, `whole`
     /// says a limit's size.
-    pub fn lend(
+    pub fn grant(
         &mut self,
         question: &HomeRequest,
         known: usize,
@@ -235,14 +235,14 @@
             return None;
         }
         self.last.insert(shard.clone(), number);
-        self.heard.insert(shard.clone(), question.shards);
+        self.known_counts.insert(shard.clone(), question.shards);
         self.forget(shard, asks, shards);
-        let certain = shards.iter().all(|shard| self.heard.get(shard) == Some(&known));
-        let lend = |ask: &ShareRequest| {
+        let certain = shards.iter().all(|shard| self.known_counts.get(shard) == Some(&known));
+        let grant = |ask: &ShareRequest| {
             let part = self.part(shard, ask, shards.len(), whole(&ask.limit), certain);
             (ask.limit.clone(), part)
         };
-        Some(asks.iter().map(lend).collect())
+        Some(asks.iter().map(grant).collect())
     }
 
     /// A shard holds nothing of limits that it does not name, and a shard that is gone nothing at
@@ -257,14 +257,14 @@
         self.loans.retain(|_, loans| !loans.is_empty());
     }
 
-    /// Decides on a part and keeps it as lent. `sure` is whether all that others hold is known.
+    /// Decides on a part and keeps it as lent. `certain` is whether all that others hold is known.
     fn part(
         &mut self,
         shard: &Name,
         ask: &ShareRequest,
         shards: usize,
         whole: u64,
-        sure: bool,
+        certain: bool,
     ) -> u64 {
         let least = guaranteed_share(whole, shards);
         let loans = self.loans.entry(ask.limit.clone()).or_default();
@@ -275,7 +275,7 @@
         let needs: Vec<u64> = needs.map(|need| need.max(least)).collect();
         let spare = whole.saturating_sub(silent + needs.iter().sum::<u64>());
         let wish = match fair_cap(needs, whole.saturating_sub(silent)) {
-            _ if !sure => ask.held,
+            _ if !certain => ask.held,
             None => with_headroom(ask.need, least, whole).min(ask.need + spare / shards as u64),
             Some(most) => ask.need.min(ask.steps_up(most)),
         };
--- a/src/controller/recover.rs
+++ b/src/controller/recover.rs
@@ -4,7 +4,7 @@
 //! one, holds the note that binds it. A claimant may decide once no such commit can follow its
 //! seals, which [`Recovery`] works out; docs/design/ownership.md has the argument.
 
-use crate::controller::replica::State;
+use crate::controller::replica::StateSnapshot;
 use crate::id::EntryId;
 use crate::record::Claim;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
     /// Ask any of these entries to seal the shard; wait for an answer.
     Ask(BTreeSet<EntryId>),
     /// This state has all that was committed.
-    Found(Box<State>),
+    Found(Box<StateSnapshot>),
     /// Every holder is gone for good: rebuild from the log's jobs and the workers' lists.
     Rebuild,
 }
@@ -27,14 +27,14 @@
     earlier: Vec<Claim>,
     /// The first epoch of the history: if it is not 1, its owner got to work.
     floor: u64,
-    log: State,
-    answers: BTreeMap<EntryId, State>,
+    log: StateSnapshot,
+    answers: BTreeMap<EntryId, StateSnapshot>,
 }
 
 impl Recovery {
     /// A search below `mine`: `history` has the claims in order, `log` the state that the log
     /// holds from epochs without replicas, read at least up to `mine`.
-    pub fn new(mine: &Claim, history: &[Claim], log: State) -> Self {
+    pub fn new(mine: &Claim, history: &[Claim], log: StateSnapshot) -> Self {
         let below = history.iter().filter(|claim| claim.epoch < mine.epoch);
         let earlier: Vec<Claim> = below.cloned().collect();
         let floor = earlier.first().map_or(mine.epoch, |first| first.epoch);
@@ -42,7 +42,7 @@
     }
 
     /// Takes the answer of an entry that sealed itself.
-    pub fn answer(&mut self, from: &EntryId, state: State) {
+    pub fn answer(&mut self, from: &EntryId, state: StateSnapshot) {
         self.answers.insert(from.clone(), state);
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// The newest state that a holder of this epoch had when it was sealed, if it was used at all.
-    fn newest(&self, claim: &Claim) -> Option<&State> {
+    fn newest(&self, claim: &Claim) -> Option<&StateSnapshot> {
         let holders = claim.replicas.iter().chain([&claim.owner]);
         let states = holders.filter_map(|id| self.answers.get(id));
         let used = states.filter(|state| state.epoch >= claim.epoch);
--- a/src/controller/replica.rs
+++ b/src/controller/replica.rs
@@ -1,11 +1,11 @@
 //! A replica of a shard's state at an entry that does not own the shard.
 //!
-//! The owner sends a whole [`Book`] once an epoch and numbered notes after it. Once a replica is
+//! The owner sends a whole [`ShardState`] once an epoch and numbered notes after it. Once a replica is
 //! sealed for a claimant it takes nothing from earlier epochs, so the former owner, which needs
 //! every replica's answer before it starts a task, can commit nothing more.
 
-use crate::controller::book::Book;
 use crate::controller::shard::owner::LEASE;
+use crate::controller::shard_state::ShardState;
 use crate::id::Name;
 use crate::job::StateChange;
 use crate::platform::api::SyncOrder;
@@ -15,13 +15,14 @@
 
 /// The state of a shard up to a note.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct StateSnapshot {
     /// The epoch in which the state was sent; 0: never.
     pub epoch: u64,
     /// The number of the last note in it.
     pub seq: u64,
     /// The state.
-    pub book: Book,
+    #[serde(rename = "book")]
+    pub contents: ShardState,
 }
 
 /// What an owner sends to a replica.
@@ -30,11 +31,11 @@
     /// The owner's epoch.
     pub epoch: u64,
     /// The whole state, at first contact in an epoch.
-    pub base: Option<State>,
+    pub base: Option<StateSnapshot>,
     /// The number of the first note.
     pub first: u64,
     /// The notes.
-    pub notes: Vec<StateChange>,
+    pub changes: Vec<StateChange>,
 }
 
 /// Why a replica did not take an update.
@@ -52,7 +53,7 @@
 #[derive(Debug, Default)]
 pub struct Replica {
     sealed: u64,
-    state: State,
+    state: StateSnapshot,
 }
 
 impl Replica {
@@ -66,7 +67,7 @@
         }
         match update.base {
             Some(base) if update.epoch > self.state.epoch || base.seq > self.state.seq => {
-                self.state = State { epoch: update.epoch, ..base };
+                self.state = StateSnapshot { epoch: update.epoch, ..base };
             }
             Some(_) => {}
             None if update.epoch != self.state.epoch => return Err(ReplicaError::Gap(0)),
@@ -75,9 +76,9 @@
         if update.first > self.state.seq + 1 {
             return Err(ReplicaError::Gap(self.state.seq));
         }
-        for (seq, note) in (update.first..).zip(&update.notes) {
+        for (seq, change) in (update.first..).zip(&update.changes) {
             if seq > self.state.seq {
-                self.state.book.apply(note);
+                self.state.contents.apply(change);
                 self.state.seq = seq;
             }
         }
@@ -86,7 +87,7 @@
     }
 
     /// Refuses every epoch before `epoch` from now on and returns what is held.
-    pub fn seal(&mut self, epoch: u64) -> &State {
+    pub fn seal(&mut self, epoch: u64) -> &StateSnapshot {
         self.sealed = self.sealed.max(epoch);
         &self.state
     }
@@ -97,14 +98,14 @@
     }
 
     /// What is held.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &StateSnapshot {
         &self.state
     }
 
     /// The leases that keep the shard's tasks running, by worker.
     pub fn renewals(&self) -> BTreeMap<Name, SyncOrder> {
         let mut orders: BTreeMap<Name, SyncOrder> = BTreeMap::new();
-        for (task, _, bound) in self.state.book.all_bound() {
+        for (task, _, bound) in self.state.contents.all_bound() {
             let order = orders.entry(bound.worker.clone()).or_default();
             order.lease = LEASE;
             order.renew.push(task);
@@ -113,7 +114,7 @@
     }
 
     /// Takes over the state of a deposed owner at this entry, so that a claimant can ask for it.
-    pub fn restore(&mut self, state: State) {
+    pub fn restore(&mut self, state: StateSnapshot) {
         if state.epoch >= self.state.epoch {
             self.state = state;
         }
--- a/src/controller/shard/journal.rs
+++ b/src/controller/shard/journal.rs
@@ -1,7 +1,7 @@
 //! State changes that replicas or the log do not hold yet, and the effects that wait for them.
 
-use crate::controller::book::Book;
-use crate::controller::replica::{State, Update};
+use crate::controller::replica::{StateSnapshot, Update};
+use crate::controller::shard_state::ShardState;
 use crate::id::{EntryId, Name};
 use crate::job::StateChange;
 use crate::record::{Claim, Record};
@@ -89,16 +89,16 @@
     }
 
     /// The next update for a replica; `None` if it holds everything.
-    pub fn update(&self, id: &EntryId, book: &Book) -> Option<Update> {
+    pub fn update(&self, id: &EntryId, state: &ShardState) -> Option<Update> {
         let progress = self.replicas.get(id)?;
         if !progress.has_base {
-            let base = State { epoch: self.epoch, seq: self.seq, book: book.clone() };
+            let base = StateSnapshot { epoch: self.epoch, seq: self.seq, contents: state.clone() };
             let (epoch, first) = (self.epoch, self.seq + 1);
-            return Some(Update { epoch, base: Some(base), first, notes: Vec::new() });
+            return Some(Update { epoch, base: Some(base), first, changes: Vec::new() });
         }
-        let notes = self.changes_after(progress.acked);
+        let changes = self.changes_after(progress.acked);
         let first = progress.acked + 1;
-        (!notes.is_empty()).then_some(Update { epoch: self.epoch, base: None, first, notes })
+        (!changes.is_empty()).then_some(Update { epoch: self.epoch, base: None, first, changes })
     }
 
     fn changes_after(&self, seq: u64) -> Vec<StateChange> {
@@ -107,13 +107,13 @@
     }
 
     /// The next record to append in an epoch without replicas; `None` if every change was handed out.
-    pub fn next_record(&mut self, shard: &Name, book: &Book) -> Option<Record> {
+    pub fn next_record(&mut self, shard: &Name, state: &ShardState) -> Option<Record> {
         let log = self.log.as_mut()?;
         let (epoch, shard) = (self.epoch, shard.clone());
         if !log.has_base {
             log.has_base = true;
             self.last_appended = self.seq;
-            let state = State { epoch, seq: self.seq, book: book.clone() };
+            let state = StateSnapshot { epoch, seq: self.seq, contents: state.clone() };
             return Some(Record::Base { shard, state });
         }
         let notes = self.changes_after(self.last_appended);
--- a/src/controller/shard/lifecycle.rs
+++ b/src/controller/shard/lifecycle.rs
@@ -21,8 +21,8 @@
     /// Sends the start of a task whose binding every replica holds.
     pub(super) fn send_start(&mut self, now: Millis, task: &TaskId) {
         let lease = super::owner::LEASE;
-        let Some(bound) = self.book.bound(task) else { return };
-        let Some(job) = self.book.jobs.get(&task.job) else { return };
+        let Some(bound) = self.state.bound(task) else { return };
+        let Some(job) = self.state.jobs.get(&task.job) else { return };
         let (worker, spec) = (bound.worker.clone(), &job.spec);
         let order = StartOrder {
             task: task.clone(),
@@ -52,7 +52,7 @@
 
     /// Stops a bound task. A task whose start was never sent ends immediately.
     pub(super) fn stop_task(&mut self, now: Millis, id: &JobId, index: u32, why: StopReason) {
-        let bound = self.book.jobs.get(id).and_then(|job| job.bound_at(index));
+        let bound = self.state.jobs.get(id).and_then(|job| job.bound_at(index));
         let Some(attempt) = bound.map(|bound| bound.attempt) else { return };
         let task = TaskId { job: id.clone(), index, attempt };
         let Some(runtime) = self.runtimes.get_mut(&task) else { return };
@@ -101,7 +101,7 @@
 
     /// Handles the end of a task as reported by its worker.
     fn on_task_ended(&mut self, now: Millis, task: &TaskId, outcome: TaskOutcome) {
-        if self.book.bound(task).is_none() {
+        if self.state.bound(task).is_none() {
             return;
         }
         let Some(runtime) = self.runtimes.get(task).cloned() else { return };
@@ -120,7 +120,7 @@
 
     /// Whether a task with this outcome goes back to the queue.
     fn should_retry(&self, task: &TaskId, outcome: TaskOutcome) -> bool {
-        let Some(job) = self.book.jobs.get(&task.job) else { return false };
+        let Some(job) = self.state.jobs.get(&task.job) else { return false };
         let retries = self.row(&job.spec.kind).map_or(0, |row| row.retries);
         match outcome {
             _ if job.cancelled => false,
@@ -133,7 +133,7 @@
 
     /// Requeues or ends a task whose worker is gone or no longer has it.
     fn on_task_lost(&mut self, now: Millis, task: &TaskId) {
-        let job = self.book.jobs.get(&task.job);
+        let job = self.state.jobs.get(&task.job);
         let (repeat, cancelled) = job.map_or((false, true), |j| (j.spec.repeatable, j.cancelled));
         let sent = self.runtimes.get(task).is_none_or(|runtime| runtime.start_sent);
         match () {
@@ -159,7 +159,7 @@
         self.release(task);
         self.record_change(StateChange::Requeue { task: task.clone() }, None);
         self.actions.push(Action::Trace(EventKind::Requeued { task: task.clone() }));
-        let Some(job) = self.book.jobs.get(&task.job) else { return };
+        let Some(job) = self.state.jobs.get(&task.job) else { return };
         let (at, shape, cancelled) = (job.at, shape(&job.spec), job.cancelled);
         match job.spec.gang {
             _ if cancelled => self.close_if_finished(now, &task.job),
@@ -174,7 +174,7 @@
     /// Stops the other tasks of a gang after one of them could not run, so that all start again together.
     fn restart_gang(&mut self, now: Millis, id: &JobId) {
         if self.restarting_gangs.insert(id.clone()) {
-            let job = self.book.jobs.get(id);
+            let job = self.state.jobs.get(id);
             let bound: Vec<u32> = job.map_or(Vec::new(), |job| job.bound.iter().copied().collect());
             for index in bound {
                 self.stop_task(now, id, index, StopReason::Restart);
@@ -186,7 +186,7 @@
     /// Once no task of a restarting gang is bound, queues the whole gang again, or ends its remaining
     /// tasks if some have ended for good.
     fn requeue_stopped_gang(&mut self, now: Millis, id: &JobId) {
-        let job = self.book.jobs.get(id).filter(|job| job.bound.is_empty());
+        let job = self.state.jobs.get(id).filter(|job| job.bound.is_empty());
         let Some(job) = job.filter(|_| self.restarting_gangs.contains(id)) else { return };
         let (at, all, queued, cancelled) = (job.at, job.spec.tasks, job.queued, job.cancelled);
         let shape = shape(&job.spec);
@@ -235,10 +235,10 @@
 
     /// Applies version `rev` of the VM list to the workers of the shard.
     pub(super) fn set_workers(&mut self, now: Millis, rev: u64, vms: Vec<Vm>) {
-        if rev < self.book.list {
+        if rev < self.state.list {
             return;
         }
-        if rev > self.book.list {
+        if rev > self.state.list {
             self.record_change(StateChange::List { rev }, None);
         }
         let vms = vms.into_iter().filter(|vm| vm.role == Role::Worker && vm.rack == self.shard);
@@ -277,7 +277,7 @@
             leaving: vm.leaving,
         };
         self.workers.insert(vm.name.clone(), worker);
-        let here = self.book.all_bound().filter(|(_, _, bound)| bound.worker == vm.name);
+        let here = self.state.all_bound().filter(|(_, _, bound)| bound.worker == vm.name);
         let tasks: Vec<TaskId> = here.map(|(task, _, _)| task).collect();
         for task in tasks {
             self.restore_binding(task, &vm.name);
@@ -287,7 +287,7 @@
     /// Reserves resources for a task that is bound to a worker already, by a former owner or because it
     /// was found running during a rebuild.
     fn restore_binding(&mut self, task: TaskId, name: &Name) {
-        let Some(job) = self.book.jobs.get(&task.job) else { return };
+        let Some(job) = self.state.jobs.get(&task.job) else { return };
         let (kind, team, size) = (job.spec.kind.clone(), job.spec.team.clone(), job.spec.size);
         let stop = job.cancelled.then_some(StopReason::Cancel);
         let stop =
@@ -325,7 +325,7 @@
 
     /// Requeues or ends tasks bound to workers that were gone before this entry became the owner.
     fn handle_orphans(&mut self, now: Millis) {
-        let bound = self.book.all_bound();
+        let bound = self.state.all_bound();
         let gone = bound.filter(|(_, _, bound)| !self.workers.contains_key(&bound.worker));
         let tasks: Vec<TaskId> = gone.map(|(task, _, _)| task).collect();
         for task in tasks {
@@ -382,13 +382,13 @@
         running: Running,
     ) {
         let task = running.task;
-        if self.book.bound(&task).is_some_and(|bound| bound.worker == *name) {
+        if self.state.bound(&task).is_some_and(|bound| bound.worker == *name) {
             if let Some(runtime) = self.runtimes.get_mut(&task) {
                 runtime.last_seen = Some(now);
             }
             return;
         }
-        if self.unreported.is_some() && self.book.queued(&task.job, task.index).is_some() {
+        if self.unreported.is_some() && self.state.queued(&task.job, task.index).is_some() {
             let (worker, owner) = (name.clone(), self.me.clone());
             self.record_change(
                 StateChange::Bind { task: task.clone(), worker, incarnation, owner },
@@ -407,11 +407,11 @@
     }
 
     fn on_reported_ended(&mut self, now: Millis, name: &Name, task: TaskId, outcome: TaskOutcome) {
-        if self.book.bound(&task).is_some_and(|bound| bound.worker == *name) {
+        if self.state.bound(&task).is_some_and(|bound| bound.worker == *name) {
             self.on_task_ended(now, &task, outcome);
         } else if self.unreported.is_some()
             && outcome == TaskOutcome::Done
-            && self.book.queued(&task.job, task.index).is_some()
+            && self.state.queued(&task.job, task.index).is_some()
         {
             self.finish(now, &task, outcome);
         }
@@ -428,7 +428,9 @@
         let fenced = self.unfenced.is_empty();
         let committed = self.journal.committed();
         match self.ended_tasks.get(task) {
-            _ if self.book.bound(task).is_some() || self.in_flight_starts.may_arrive(now, task) => {
+            _ if self.state.bound(task).is_some()
+                || self.in_flight_starts.may_arrive(now, task) =>
+            {
                 false
             }
             None => fenced,
@@ -438,7 +440,7 @@
 
     /// Handles a task that is missing from the report of the worker to which it is bound.
     fn on_missing_task(&mut self, now: Millis, asked: Millis, inc: u64, task: &TaskId) {
-        let Some(bound_inc) = self.book.bound(task).map(|bound| bound.inc) else { return };
+        let Some(bound_inc) = self.state.bound(task).map(|bound| bound.inc) else { return };
         let Some(runtime) = self.runtimes.get(task) else { return };
         let restarted = inc != bound_inc;
         let vanished =
@@ -460,7 +462,7 @@
         }
         self.unreported = None;
         self.record_change(StateChange::Rebuilt, None);
-        let jobs: Vec<JobId> = self.book.jobs.keys().cloned().collect();
+        let jobs: Vec<JobId> = self.state.jobs.keys().cloned().collect();
         for id in &jobs {
             self.end_uncertain_tasks(now, id);
             self.restore_job(id, now);
@@ -469,7 +471,7 @@
     }
 
     fn end_uncertain_tasks(&mut self, now: Millis, id: &JobId) {
-        let Some(job) = self.book.jobs.get(id).filter(|job| !job.spec.repeatable) else { return };
+        let Some(job) = self.state.jobs.get(id).filter(|job| !job.spec.repeatable) else { return };
         let tasks = (0..job.spec.tasks).filter_map(|index| {
             let attempt = job.queued_at(index)?;
             Some(TaskId { job: id.clone(), index, attempt })
@@ -524,7 +526,7 @@
     /// Whether the worker of a task has not restarted since the task was bound, so that a repeated
     /// start has no second effect there.
     fn is_same_incarnation(&self, task: &TaskId) -> bool {
-        let bound = self.book.bound(task);
+        let bound = self.state.bound(task);
         bound.is_some_and(|bound| {
             self.workers.get(&bound.worker).is_some_and(|worker| worker.incarnation == bound.inc)
         })
--- a/src/controller/shard/limits.rs
+++ b/src/controller/shard/limits.rs
@@ -56,7 +56,7 @@
     /// The share requests to the home shards of all limits that tasks of this shard use or wait for.
     pub fn share_requests(&mut self) -> Vec<ShareRequest> {
         let needs = self.limit_needs();
-        self.limit_shares.as_mut().map_or_else(Vec::new, |parts| parts.ask(&needs))
+        self.limit_shares.as_mut().map_or_else(Vec::new, |parts| parts.share_requests(&needs))
     }
 
     fn limit_needs(&self) -> Vec<Need> {
@@ -95,7 +95,7 @@
             return;
         }
         let Some(mut parts) = self.limit_shares.take() else { return };
-        let grew = parts.lent(lent, |limit| self.limit_usage(limit));
+        let grew = parts.apply_grants(lent, |limit| self.limit_usage(limit));
         self.limit_shares = Some(parts);
         if grew {
             self.queue.unblock();
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Millis;
 use crate::controller::recover::{Next, Recovery};
-use crate::controller::replica::{Replica, ReplicaError, State, Update};
+use crate::controller::replica::{Replica, ReplicaError, StateSnapshot, Update};
 use crate::id::{EntryId, Name};
 use crate::record::Claim;
 use owner::{MAX_MESSAGE_DELAY, ShardOwner};
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateSource {
     /// A complete state from a replica, the former owner or the log.
-    State(Box<State>),
+    State(Box<StateSnapshot>),
     /// No complete state exists: the state is rebuilt from the log's job records and the reports of
     /// the workers.
     Rebuild,
@@ -110,7 +110,7 @@
 
     /// Refuses earlier epochs from now on and returns the state held here to the claimant of `epoch`;
     /// `None` if this entry handed that state over, since its successor may have changed it.
-    pub fn seal(&mut self, epoch: u64) -> Option<State> {
+    pub fn seal(&mut self, epoch: u64) -> Option<StateSnapshot> {
         self.step_down(epoch);
         let state = self.replica.seal(epoch).clone();
         (!self.is_state_released()).then_some(state)
@@ -124,7 +124,7 @@
 
     /// Gives the shard up for the rest of its epoch. Returns the epoch and the state from which the
     /// successor continues; only one entry may ever receive them.
-    pub fn hand_over(&mut self) -> Option<(u64, State)> {
+    pub fn hand_over(&mut self) -> Option<(u64, StateSnapshot)> {
         let epoch = self.owner()?.epoch();
         let Phase::Owner(shard_owner) = std::mem::replace(&mut self.phase, Phase::Follower) else {
             return None;
@@ -138,7 +138,7 @@
     /// Whether this entry can continue from a state that the owner of `claim` handed over: it must be
     /// a replica of that epoch, know of no later epoch, and not have handed over or received the
     /// shard in this epoch before.
-    pub fn can_accept_handover(&self, claim: &Claim, state: &State) -> bool {
+    pub fn can_accept_handover(&self, claim: &Claim, state: &StateSnapshot) -> bool {
         let follows = matches!(self.phase, Phase::Follower);
         let held = self.replica.state();
         let newer = (state.epoch, state.seq) >= (held.epoch, held.seq);
@@ -169,7 +169,13 @@
 
     /// Handles the claim that won an epoch of this shard. Returns whether this entry lost the ownership
     /// by it.
-    pub fn on_claim(&mut self, now: Millis, claim: &Claim, history: &[Claim], log: State) -> bool {
+    pub fn on_claim(
+        &mut self,
+        now: Millis,
+        claim: &Claim,
+        history: &[Claim],
+        log: StateSnapshot,
+    ) -> bool {
         match &mut self.phase {
             Phase::Owner(shard_owner) if claim.owner == self.me => {
                 shard_owner.renew(claim);
@@ -191,7 +197,7 @@
     }
 
     /// Records the state of an entry that sealed itself for this entry's claim.
-    pub fn record_sealed(&mut self, from: &EntryId, epoch: u64, state: State) {
+    pub fn record_sealed(&mut self, from: &EntryId, epoch: u64, state: StateSnapshot) {
         if let Phase::Claimant { claim, recovery, .. } = &mut self.phase
             && claim.epoch == epoch
         {
--- a/src/controller/shard/owner.rs
+++ b/src/controller/shard/owner.rs
@@ -2,14 +2,13 @@
 //! tasks.
 
 use crate::clock::Millis;
-use crate::controller::book::{Book, Job, Task};
 use crate::controller::health::Health;
 use crate::controller::in_flight::InFlightStarts;
 use crate::controller::log_state::LogJob;
 use crate::controller::place::Ledger;
 use crate::controller::queue::{Queue, Shape};
 use crate::controller::quota::LimitShares;
-use crate::controller::replica::{State, Update};
+use crate::controller::replica::{StateSnapshot, Update};
 use crate::controller::shard::StateSource;
 pub use crate::controller::shard::event::{Action, Answer, Event, Refusal, refusal_name};
 use crate::controller::shard::journal::Journal;
@@ -17,6 +16,7 @@
 pub use crate::controller::shard::runtime::Load;
 use crate::controller::shard::runtime::{Effect, EndedTask, TaskRuntime, Worker};
 use crate::controller::shard_ranking::ShardCapacity;
+use crate::controller::shard_state::{Job, ShardState, Task};
 use crate::id::{EntryId, JobId, Name, TaskId};
 use crate::job::{JobSpec, JobStatus, StateChange};
 use crate::platform::api::SyncOrder;
@@ -44,7 +44,7 @@
     pub(super) shard: Name,
     pub(super) me: EntryId,
     /// The replicated state of the shard.
-    pub(super) book: Book,
+    pub(super) state: ShardState,
     pub(super) journal: Journal<Effect>,
     pub(super) workers: BTreeMap<Name, Worker>,
     pub(super) queue: Queue,
@@ -101,14 +101,16 @@
     ) -> Self {
         let state = match source {
             StateSource::State(state) => *state,
-            StateSource::Rebuild if claim.epoch == 1 => State::default(),
-            StateSource::Rebuild => State { epoch: 0, seq: 0, book: Book::from_log(jobs) },
+            StateSource::Rebuild if claim.epoch == 1 => StateSnapshot::default(),
+            StateSource::Rebuild => {
+                StateSnapshot { epoch: 0, seq: 0, contents: ShardState::from_log(jobs) }
+            }
         };
-        let unreported = state.book.rebuilding.then(BTreeSet::new);
+        let unreported = state.contents.rebuilding.then(BTreeSet::new);
         let mut shard_owner = Self {
             shard: claim.shard.clone(),
             me: claim.owner.clone(),
-            book: state.book,
+            state: state.contents,
             journal: Journal::new(claim, state.seq),
             workers: BTreeMap::new(),
             queue: Queue::default(),
@@ -155,7 +157,7 @@
     pub fn from_hand_over(
         claim: &Claim,
         me: &EntryId,
-        state: State,
+        state: StateSnapshot,
         former: BTreeSet<EntryId>,
         table: Arc<Table>,
         now: Millis,
@@ -176,8 +178,8 @@
     }
 
     /// Converts the owner into its replicated state, which an entry keeps when it loses the ownership.
-    pub fn into_state(self) -> State {
-        State { epoch: self.journal.epoch(), seq: self.journal.seq(), book: self.book }
+    pub fn into_state(self) -> StateSnapshot {
+        StateSnapshot { epoch: self.journal.epoch(), seq: self.journal.seq(), contents: self.state }
     }
 
     /// Continues under a new claim of the same entry, with other replicas.
@@ -189,7 +191,7 @@
 
     /// Sets up the queue and counters from the jobs of the replicated state.
     fn restore_jobs(&mut self, now: Millis) {
-        let jobs: Vec<JobId> = self.book.jobs.keys().cloned().collect();
+        let jobs: Vec<JobId> = self.state.jobs.keys().cloned().collect();
         for id in &jobs {
             self.restore_job(id, now);
         }
@@ -198,8 +200,8 @@
     }
 
     pub(super) fn restore_job(&mut self, id: &JobId, now: Millis) {
-        let Some(job) = self.book.jobs.get(id) else { return };
-        if job.over() {
+        let Some(job) = self.state.jobs.get(id) else { return };
+        if job.is_over() {
             self.closed_jobs.insert(id.clone(), now);
             return;
         }
@@ -252,7 +254,7 @@
     /// Applies a change to the state and queues it for the replicas. `effect` runs once every replica
     /// holds the change.
     pub(super) fn record_change(&mut self, change: StateChange, effect: Option<Effect>) -> u64 {
-        self.book.apply(&change);
+        self.state.apply(&change);
         self.actions.push(Action::Replicate);
         self.journal.push(change, effect)
     }
@@ -310,7 +312,7 @@
 
     /// Closes a job that has ended, in the log as well.
     pub(super) fn close_if_finished(&mut self, now: Millis, id: &JobId) {
-        if self.book.jobs.get(id).is_some_and(Job::over) && !self.closed_jobs.contains_key(id) {
+        if self.state.jobs.get(id).is_some_and(Job::is_over) && !self.closed_jobs.contains_key(id) {
             self.closed_jobs.insert(id.clone(), now);
             self.actions.push(Action::Append(Record::Closed { job: id.clone() }));
         }
@@ -346,19 +348,19 @@
     fn refresh_log(&mut self) {
         self.journal.reset_log_base();
         self.actions.push(Action::Replicate);
-        let open = self.book.jobs.iter().filter(|(_, job)| !job.over());
+        let open = self.state.jobs.iter().filter(|(_, job)| !job.is_over());
         let records = open.flat_map(|(id, job)| log_records(id, job));
         self.actions.extend(records.map(Action::Append));
     }
 
     /// The next update for a replica; `None` if it holds everything.
     pub fn update_for(&self, id: &EntryId) -> Option<Update> {
-        self.journal.update(id, &self.book)
+        self.journal.update(id, &self.state)
     }
 
     /// The next record to append to the log in an epoch without replicas.
     pub fn log_record(&mut self) -> Option<Record> {
-        self.journal.next_record(&self.shard, &self.book)
+        self.journal.next_record(&self.shard, &self.state)
     }
 
     /// The replicas of this epoch whose VMs still exist.
@@ -419,13 +421,13 @@
     }
 
     /// The replicated state.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn state(&self) -> &ShardState {
+        &self.state
     }
 
     /// The status of a job, with the reason why its tasks wait.
     pub fn status(&self, id: &JobId, now: Millis) -> Option<JobStatus> {
-        let mut status = self.book.jobs.get(id)?.status(id);
+        let mut status = self.state.jobs.get(id)?.status(id);
         if status.queued > 0 {
             status.wait_reason = self.wait_reason(now, &status.spec);
         }
--- a/src/controller/shard/requests.rs
+++ b/src/controller/shard/requests.rs
@@ -13,7 +13,7 @@
 
 impl ShardOwner {
     pub(super) fn submit(&mut self, now: Millis, token: u64, job: JobId, spec: JobSpec) {
-        if !self.book.jobs.contains_key(&job) {
+        if !self.state.jobs.contains_key(&job) {
             if let Err(why) = self.check_admission(&spec) {
                 let reason = refusal_name(why);
                 self.actions.push(Action::Trace(EventKind::Refused { job, reason }));
@@ -65,11 +65,11 @@
     }
 
     pub(super) fn cancel(&mut self, now: Millis, token: u64, id: JobId) {
-        let Some(job) = self.book.jobs.get(&id) else {
+        let Some(job) = self.state.jobs.get(&id) else {
             self.actions.push(Action::Reply { token, answer: Answer::NotFound });
             return;
         };
-        if !job.cancelled && !job.over() {
+        if !job.cancelled && !job.is_over() {
             let (kind, queued, cpu) = (job.spec.kind.clone(), job.queued, job.spec.size.cpu);
             let bound: Vec<u32> = job.bound.iter().copied().collect();
             if !self.restarting_gangs.contains(&id) {
@@ -82,13 +82,13 @@
             }
             self.close_if_finished(now, &id);
         }
-        let Some(job) = self.book.jobs.get(&id) else { return };
+        let Some(job) = self.state.jobs.get(&id) else { return };
         let answer = Answer::Cancelled(Box::new(job.status(&id)));
         self.record_change(StateChange::Cancel { job: id }, Some(Effect::Reply { token, answer }));
     }
 
     pub(super) fn take_key(&mut self, now: Millis, token: u64, key: Name, holder: Name) {
-        let known = self.book.keys.get(&key).map(|known| known.holder.clone());
+        let known = self.state.keys.get(&key).map(|known| known.holder.clone());
         let answer = match known {
             Some(known) => Answer::KeyKnown(known),
             None => Answer::KeyTaken,
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -71,7 +71,7 @@
     }
 
     fn place(&mut self, now: Millis, head: &Head, priority: u64) -> Placement {
-        let job = self.book.jobs.get(&head.job);
+        let job = self.state.jobs.get(&head.job);
         if job.is_none_or(|job| job.cancelled) {
             self.queue.drop_job(head);
             return Placement::Placed;
@@ -144,8 +144,8 @@
     /// Reserves resources on a worker and records the binding. The start is sent once every replica
     /// holds the binding.
     fn bind(&mut self, now: Millis, id: &JobId, index: u32, name: &Name) {
-        let Some(attempt) = self.book.queued(id, index) else { return };
-        let Some(job) = self.book.jobs.get(id) else { return };
+        let Some(attempt) = self.state.queued(id, index) else { return };
+        let Some(job) = self.state.jobs.get(id) else { return };
         let (kind, team, size) = (job.spec.kind.clone(), job.spec.team.clone(), job.spec.size);
         let waited = now.since(job.at);
         let Some(worker) = self.workers.get_mut(name) else { return };
--- a/src/controller/book.rs
+++ b/src/controller/shard_state.rs
@@ -96,7 +96,7 @@
 
 /// A shard's replicated state.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct ShardState {
     /// The jobs.
     pub jobs: BTreeMap<JobId, Job>,
     /// The keys.
@@ -117,7 +117,7 @@
     }
 
     /// Whether no task can run any more.
-    pub fn over(&self) -> bool {
+    pub fn is_over(&self) -> bool {
         self.bound.is_empty() && (self.cancelled || self.queued == 0)
     }
 
@@ -176,10 +176,10 @@
     }
 }
 
-impl Book {
+impl ShardState {
     /// Applies one note. A note that does not follow from the present state changes nothing.
-    pub fn apply(&mut self, note: &StateChange) {
-        match note {
+    pub fn apply(&mut self, change: &StateChange) {
+        match change {
             StateChange::Barrier => {}
             StateChange::Rebuilt => self.rebuilding = false,
             StateChange::Submit { job, spec, at } => {
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -1,7 +1,7 @@
 //! Leadership transfer of a shard from its owner to a replica, without a claim, while the log is down.
 
 use crate::clock::Millis;
-use crate::controller::replica::State;
+use crate::controller::replica::StateSnapshot;
 use crate::controller::shard::owner::ShardOwner;
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{EntryId, Name};
@@ -60,7 +60,7 @@
         shard: &Name,
         from: EntryId,
         epoch: u64,
-        state: State,
+        state: StateSnapshot,
     ) -> Tell {
         let claim = lock(&self.fold).claims.last(shard).cloned();
         let claim = claim.filter(|claim| claim.epoch == epoch);
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Millis;
 use crate::controller::quota::LimitPool;
-use crate::controller::replica::{ReplicaError, State};
+use crate::controller::replica::{ReplicaError, StateSnapshot};
 use crate::controller::shard::owner::{Action, Event, ShardOwner};
 use crate::controller::shard::{RecoveryStep, StateSource};
 use crate::controller::slots::SlotLender;
@@ -151,7 +151,7 @@
         join_all(asks).await;
     }
 
-    async fn ask_seal(&self, id: &EntryId, shard: &Name, epoch: u64) -> Option<State> {
+    async fn ask_seal(&self, id: &EntryId, shard: &Name, epoch: u64) -> Option<StateSnapshot> {
         let (addr, present) = {
             let peers = lock(&self.peers);
             (peers.addr(&id.name)?, peers.incarnation(&id.name)?)
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Millis;
 use crate::controller::claims::Peer;
-use crate::controller::gossip::{Inbox, Taken};
+use crate::controller::gossip::{DeltaOutcome, Inbox};
 use crate::controller::list::{Role, VmList};
 use crate::controller::shard_ranking::ShardCapacity;
 use crate::controller::slots::OWNERSHIP_PROOF_TTL;
@@ -77,7 +77,7 @@
         let fresh = Known::new(beat.domain.clone(), beat.addr);
         let known = self.known.entry(beat.from.name.clone()).or_insert(fresh);
         let taken = known.inbox.take(&beat.from, delta);
-        (taken == Taken::Yes).then(|| Beat { shards: known.inbox.shards(), ..beat })
+        (taken == DeltaOutcome::Applied).then(|| Beat { shards: known.inbox.shards(), ..beat })
     }
 
     /// The newest state held of a run of an entry; 0: none.
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -95,7 +95,7 @@
             },
             OwnerAsk::Jobs { team } => match handle.shard().owner() {
                 Some(shard_owner) => {
-                    let jobs = shard_owner.book().jobs.iter();
+                    let jobs = shard_owner.state().jobs.iter();
                     let wanted = jobs
                         .filter(|(_, job)| team.as_ref().is_none_or(|team| job.spec.team == *team));
                     Tell::Jobs(wanted.filter_map(|(id, _)| shard_owner.status(id, now)).collect())
--- a/src/entry/share.rs
+++ b/src/entry/share.rs
@@ -106,7 +106,7 @@
         };
         let mut pool = handle.pool();
         pool.renew(epoch);
-        pool.lend(question, known, &shards, whole).map_or(Tell::NotOwner, Tell::Parts)
+        pool.grant(question, known, &shards, whole).map_or(Tell::NotOwner, Tell::Parts)
     }
 
     /// The shards that may hold parts: not those whose workers and last owner are gone for good.
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,7 +1,7 @@
 //! Records of the platform's log. Each append holds one batch.
 
 use crate::clock::Millis;
-use crate::controller::replica::State;
+use crate::controller::replica::StateSnapshot;
 use crate::controller::table::Revision;
 use crate::id::{EntryId, JobId, Name};
 use crate::job::{JobSpec, StateChange, TaskOutcome};
@@ -108,7 +108,7 @@
         /// The shard.
         shard: Name,
         /// The state with its epoch.
-        state: State,
+        state: StateSnapshot,
     },
     /// Changes of a shard in an epoch that has no replicas.
     Notes {
--- a/src/wire/msg.rs
+++ b/src/wire/msg.rs
@@ -8,7 +8,7 @@
 use crate::controller::gossip::Delta;
 use crate::controller::list::VmList;
 use crate::controller::quota::{HomeRequest, Limit};
-use crate::controller::replica::{ReplicaError, State, Update};
+use crate::controller::replica::{ReplicaError, StateSnapshot, Update};
 use crate::controller::shard::owner::{Answer, Load, Refusal};
 use crate::controller::shard_ranking::ShardCapacity;
 use crate::controller::slots::SlotUsage;
@@ -64,7 +64,7 @@
     Parts { home: Name, question: HomeRequest },
     /// I gave up a shard that I owned in this epoch: you, and nobody else, go on from this state.
     /// Since version 2.
-    HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: State },
+    HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: StateSnapshot },
 }
 
 /// A question to the owner of a shard.
@@ -94,7 +94,7 @@
     /// The last note that this run of an entry holds.
     Updated { by: EntryId, result: Result<u64, ReplicaError> },
     /// What this run of an entry holds.
-    Sealed { by: EntryId, state: State },
+    Sealed { by: EntryId, state: StateSnapshot },
     /// Done.
     Done,
     /// I do not own that shard.
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -4,7 +4,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucerudder::controller::gossip::{Delta, Inbox, Outbox, Taken};
+use sprucerudder::controller::gossip::{Delta, DeltaOutcome, Inbox, Outbox};
 use sprucerudder::id::{EntryId, Name};
 use sprucerudder::wire::msg::ShardBeat;
 use std::collections::BTreeMap;
@@ -84,13 +84,16 @@
         self.sent.push(delta);
     }
 
-    fn arrive(&mut self, index: usize) -> Taken {
+    fn arrive(&mut self, index: usize) -> DeltaOutcome {
         let delta = self.sent[index].clone();
         let before = self.inbox.held(1);
         let taken = self.inbox.take(&entry("a", 1), delta.clone());
         let held = self.inbox.held(1);
-        assert!(held >= before || taken == Taken::Gap, "never back: {before} to {held}");
-        if taken == Taken::Yes {
+        assert!(
+            held >= before || taken == DeltaOutcome::MissingBase,
+            "never back: {before} to {held}"
+        );
+        if taken == DeltaOutcome::Applied {
             assert_eq!(held, delta.seq);
             assert_eq!(self.inbox.shards(), self.past[&held], "state {held} as it was sent");
         }
@@ -145,7 +148,7 @@
     let mut pair = Pair::new();
     pair.send();
     assert_eq!(pair.sent[0].shards.len(), SHARDS);
-    assert_eq!(pair.arrive(0), Taken::Yes);
+    assert_eq!(pair.arrive(0), DeltaOutcome::Applied);
     pair.outbox.acked(&entry("b", 1), 1);
     pair.send();
     assert_eq!(pair.sent[1].shards, Vec::new());
--- a/tests/office.rs
+++ b/tests/office.rs
@@ -2,7 +2,7 @@
 
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::list::{Role, Vm};
-use sprucerudder::controller::replica::State;
+use sprucerudder::controller::replica::StateSnapshot;
 use sprucerudder::controller::shard::StateSource;
 use sprucerudder::controller::shard::owner::{Action, Answer, Event, Refusal, ShardOwner};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
@@ -58,7 +58,7 @@
         let [shard, domain] = ["rack", "d"].map(Name::from);
         let claim = Claim { shard, domain, epoch: 1, owner, replicas: Vec::new() };
         let now = Millis(1_000_000);
-        let source = StateSource::State(Box::<State>::default());
+        let source = StateSource::State(Box::<StateSnapshot>::default());
         let shard_owner =
             ShardOwner::new(&claim, source, BTreeSet::new(), Vec::new(), table(), now);
         let (jobs, running, stopped, answers) = (0, BTreeMap::new(), Vec::new(), Vec::new());
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -90,7 +90,7 @@
 
     fn lend(&mut self, question: &HomeRequest) -> Option<Vec<(Limit, u64)>> {
         let names = self.names();
-        self.pools[question.home as usize].lend(question, SHARDS, &names, |_| WHOLE)
+        self.pools[question.home as usize].grant(question, SHARDS, &names, |_| WHOLE)
     }
 
     fn ask(&mut self, index: usize, lost: bool) {
@@ -98,14 +98,14 @@
         let seq = self.seq;
         let Shard { name, epoch, parts, used, waiting, home, asked } = &mut self.shards[index];
         let need = Need { limit: limit(), whole: WHOLE, used: *used, waiting: *waiting, step: 1 };
-        let asks = parts.ask(&[need]);
+        let asks = parts.share_requests(&[need]);
         let (shard, epoch, home) = (name.clone(), *epoch, *home);
         let question = HomeRequest { shard, epoch, seq, home, shards: SHARDS, asks };
         asked.push(question.clone());
         let lent = self.lend(&question);
         let shard = &mut self.shards[index];
         if let Some(lent) = lent.filter(|_| !lost) {
-            shard.parts.lent(&lent, |_| shard.used);
+            shard.parts.apply_grants(&lent, |_| shard.used);
         }
     }
 
@@ -229,10 +229,10 @@
     let mut pool = LimitPool::new(7);
     let names: BTreeSet<Name> = ["a".into(), "b".into()].into();
     let question = |shard: &str, seq, home, shards| {
-        let (shard, asks) = (shard.into(), LimitShares::new(2).ask(&[need(9)]));
+        let (shard, asks) = (shard.into(), LimitShares::new(2).share_requests(&[need(9)]));
         HomeRequest { shard, epoch: 1, seq, home, shards, asks }
     };
-    let mut lend = |question| pool.lend(&question, 2, &names, |_| WHOLE).map(|lent| lent[0].1);
+    let mut lend = |question| pool.grant(&question, 2, &names, |_| WHOLE).map(|lent| lent[0].1);
     assert_eq!(lend(question("a", 1, 6, 2)), None, "for an earlier home");
     assert_eq!(lend(question("a", 1, 7, 2)), Some(10), "b was not heard: the floor");
     assert_eq!(lend(question("b", 1, 7, 1)), Some(10), "b knows another set of shards");
@@ -254,10 +254,10 @@
     for seq in 1..4 {
         for (shard, parts) in ["a", "b"].into_iter().zip(&mut parts) {
             let need = Need { limit: limit(), whole: 50, used: 0, waiting: 80, step: 10 };
-            let (shard, asks) = (shard.into(), parts.ask(&[need]));
+            let (shard, asks) = (shard.into(), parts.share_requests(&[need]));
             let question = HomeRequest { shard, epoch: 1, seq, home: 1, shards: 2, asks };
-            let lent = pool.lend(&question, 2, &names, |_| 50).expect("lent");
-            parts.lent(&lent, |_| 0);
+            let lent = pool.grant(&question, 2, &names, |_| 50).expect("lent");
+            parts.apply_grants(&lent, |_| 0);
         }
     }
     let tasks = parts.map(|parts| parts.allowed(&limit(), 50) / 10);
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -143,9 +143,9 @@
         incarnation: 1_764_000_000_000,
         owner: EntryId { name: "nasr-hall-entry-1".into(), incarnation: 1_764_000_000_000 },
     };
-    let notes: Vec<StateChange> = (0..100).map(bind).collect();
+    let changes: Vec<StateChange> = (0..100).map(bind).collect();
     let update =
-        sprucerudder::controller::replica::Update { epoch: 9, base: None, first: 1, notes };
+        sprucerudder::controller::replica::Update { epoch: 9, base: None, first: 1, changes };
     let size = bytes(Ask::Update { shard: "nasr-hall-rack-12".into(), update });
     assert!(size <= BINDINGS, "{size} bytes for 100 bindings");
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use sprucerudder::controller::in_flight::InFlightStarts;
 use sprucerudder::controller::list::{Role, Vm};
 use sprucerudder::controller::log_state::{LogChange, LogState};
-use sprucerudder::controller::replica::{ReplicaError, State, Update};
+use sprucerudder::controller::replica::{ReplicaError, StateSnapshot, Update};
 use sprucerudder::controller::shard::owner::{
     Action, Answer, Event, MAX_MESSAGE_DELAY, ShardOwner,
 };
@@ -59,9 +59,9 @@
     Update { from: EntryId, to: EntryId, update: Update },
     Updated { to: EntryId, by: EntryId, epoch: u64, result: Result<u64, ReplicaError> },
     Seal { from: EntryId, to: EntryId, epoch: u64 },
-    Sealed { to: EntryId, by: EntryId, epoch: u64, state: State },
+    Sealed { to: EntryId, by: EntryId, epoch: u64, state: StateSnapshot },
     Beat { from: EntryId, to: EntryId, epoch: u64, owner: bool, flying: bool },
-    HandOver { from: EntryId, to: EntryId, epoch: u64, state: State },
+    HandOver { from: EntryId, to: EntryId, epoch: u64, state: StateSnapshot },
 }
 
 #[derive(Debug, Clone)]
@@ -313,7 +313,7 @@
             let Some(update) = shard_owner.update_for(&to) else { continue };
             if flaw == Flaw::NoWait {
                 let seq = update.base.as_ref().map_or(0, |base| base.seq);
-                let seq = seq.max(update.first - 1 + update.notes.len() as u64);
+                let seq = seq.max(update.first - 1 + update.changes.len() as u64);
                 done.push(Event::Acked { replica: to.clone(), epoch: update.epoch, seq });
             }
             entry.outbox.push(Message::Update { from: from.clone(), to, update });
@@ -569,7 +569,7 @@
         self.entries[index].outbox.push(Message::HandOver { from, to, epoch, state });
     }
 
-    fn succeed(&mut self, index: usize, epoch: u64, state: State) {
+    fn succeed(&mut self, index: usize, epoch: u64, state: StateSnapshot) {
         let (now, gone) = (self.now, self.gone.clone());
         let entry = &mut self.entries[index];
         let claim = entry.fold.claims.last(SHARD).filter(|claim| claim.epoch == epoch).cloned();
@@ -834,7 +834,7 @@
         let owners = self.owners();
         let [owner] = owners[..] else { return false };
         let Some(shard_owner) = self.entries[owner].shard.owner() else { return false };
-        let over = shard_owner.book().jobs.values().all(|job| job.over());
+        let over = shard_owner.state().jobs.values().all(|job| job.is_over());
         let empty = shard_owner.ledgers().all(|(_, ledger)| ledger.used() == Size::default());
         let idle = |w: &Worker| w.tasks.values().all(|t| matches!(t, Task::Ended(_)));
         over && empty && self.workers.values().all(idle)
