--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,14 +2,12 @@
 //!
 //! Each takes the time and an event and returns what has to be done; the entry's shell does it.
 
-pub mod book;
 pub mod claims;
-pub mod fold;
 pub mod gossip;
 pub mod health;
 pub mod in_flight;
 pub mod list;
-pub mod offer;
+pub mod log_state;
 pub mod place;
 pub mod queue;
 pub mod quota;
@@ -17,5 +15,7 @@
 pub mod replica;
 pub mod retry;
 pub mod shard;
+pub mod shard_ranking;
+pub mod shard_state;
 pub mod slots;
 pub mod table;
--- a/src/controller/shard/requests.rs
+++ b/src/controller/shard/requests.rs
@@ -13,7 +13,7 @@
 
 impl ShardOwner {
     pub(super) fn submit(&mut self, now: Millis, token: u64, job: JobId, spec: JobSpec) {
-        if !self.book.jobs.contains_key(&job) {
+        if !self.state.jobs.contains_key(&job) {
             if let Err(why) = self.check_admission(&spec) {
                 let reason = refusal_name(why);
                 self.actions.push(Action::Trace(EventKind::JobRefused { job, reason }));
@@ -50,7 +50,7 @@
         let row = self.table.rows.get(&spec.kind).ok_or(Refusal::UnknownKind)?;
         let waiting = self.loads.get(&spec.kind).map_or(0, |load| load.waiting);
         let fits = |worker: &Worker| worker.ledger.total().max_copies(&spec.size);
-        let room: u64 = self.workers.values().map(|worker| fits(worker) as u64).sum();
+        let copies: u64 = self.workers.values().map(|worker| fits(worker) as u64).sum();
         let need = if spec.gang { spec.tasks as u64 } else { 1 };
         match () {
             _ if row.class == WorkClass::Request => Err(Refusal::UnknownKind),
@@ -58,18 +58,18 @@
             _ if spec.tasks == 0 || spec.tasks > MAX_TASKS => Err(Refusal::BadSize),
             _ if spec.size == Size::default() => Err(Refusal::BadSize),
             _ if self.workers.is_empty() => Err(Refusal::NoWorkers),
-            _ if room < need => Err(Refusal::NeverFits),
+            _ if copies < need => Err(Refusal::NeverFits),
             _ if waiting + spec.tasks > row.queue => Err(Refusal::QueueFull),
             _ => Ok(()),
         }
     }
 
     pub(super) fn cancel(&mut self, now: Millis, token: u64, id: JobId) {
-        let Some(job) = self.book.jobs.get(&id) else {
+        let Some(job) = self.state.jobs.get(&id) else {
             self.actions.push(Action::Reply { token, answer: Answer::NotFound });
             return;
         };
-        if !job.cancelled && !job.over() {
+        if !job.cancelled && !job.is_over() {
             let (kind, queued, cpu) = (job.spec.kind.clone(), job.queued, job.spec.size.cpu);
             let bound: Vec<u32> = job.bound.iter().copied().collect();
             if !self.restarting_gangs.contains(&id) {
@@ -82,13 +82,13 @@
             }
             self.close_if_finished(now, &id);
         }
-        let Some(job) = self.book.jobs.get(&id) else { return };
+        let Some(job) = self.state.jobs.get(&id) else { return };
         let answer = Answer::Cancelled(Box::new(job.status(&id)));
         self.record_change(StateChange::Cancel { job: id }, Some(Effect::Reply { token, answer }));
     }
 
     pub(super) fn take_key(&mut self, now: Millis, token: u64, key: Name, holder: Name) {
-        let known = self.book.keys.get(&key).map(|known| known.holder.clone());
+        let known = self.state.keys.get(&key).map(|known| known.holder.clone());
         let answer = match known {
             Some(known) => Answer::KeyKnown(known),
             None => Answer::KeyTaken,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -2,10 +2,10 @@
 
 use crate::clock::Millis;
 use crate::controller::claims::Peer;
-use crate::controller::gossip::{Inbox, Taken};
+use crate::controller::gossip::{DeltaOutcome, Inbox};
 use crate::controller::list::{Role, VmList};
-use crate::controller::offer::Room;
-use crate::controller::slots::OWNER_PROOF;
+use crate::controller::shard_ranking::ShardCapacity;
+use crate::controller::slots::OWNERSHIP_PROOF_TTL;
 use crate::id::{EntryId, Name};
 use crate::settings::Settings;
 use crate::wire::msg::{DeltaHeartbeat, Heartbeat};
@@ -77,7 +77,7 @@
         let fresh = Known::new(heartbeat.domain.clone(), heartbeat.addr);
         let known = self.known.entry(heartbeat.from.name.clone()).or_insert(fresh);
         let taken = known.inbox.take(&heartbeat.from, delta);
-        (taken == Taken::Yes).then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
+        (taken == DeltaOutcome::Applied).then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
     }
 
     /// The newest state held of a run of an entry; 0: none.
@@ -114,7 +114,7 @@
     }
 
     /// What the shards owned by peers could take, as last heard.
-    pub fn rooms(&self, now: Millis) -> Vec<(Name, Name, Room)> {
+    pub fn rooms(&self, now: Millis) -> Vec<(Name, Name, ShardCapacity)> {
         let fresh = self.known.values().filter(|known| known.is_fresh(now));
         let beats = fresh.filter_map(|known| known.beat.as_ref());
         let rooms = beats.flat_map(|(_, beat)| {
@@ -149,7 +149,7 @@
         here.all(|known| {
             let Some((heard, beat)) = &known.beat else { return false };
             let later = beat.shards.iter().any(|at| *at.shard == *shard && at.epoch > epoch);
-            (beat.is_stopping || now.since(*heard) < OWNER_PROOF) && !later
+            (beat.is_stopping || now.since(*heard) < OWNERSHIP_PROOF_TTL) && !later
         })
     }
 
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,6 +1,6 @@
 //! Answers to other entries.
 
-use crate::controller::slots::SlotUse;
+use crate::controller::slots::SlotUsage;
 use crate::entry::{Entry, lock};
 use crate::filter::{Exchange, run_forwarded};
 use crate::id::Name;
@@ -63,7 +63,7 @@
         &self,
         shard: &Name,
         entry: &Name,
-        uses: &[SlotUse],
+        uses: &[SlotUsage],
         waiting: u32,
     ) -> PeerResponse {
         let Some(handle) = self.handle(shard) else { return PeerResponse::NotOwner };
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,7 +1,7 @@
 //! Records of the platform's log. Each append writes one batch of records.
 
 use crate::clock::Millis;
-use crate::controller::replica::State;
+use crate::controller::replica::StateSnapshot;
 use crate::controller::table::Revision;
 use crate::id::{EntryId, JobId, Name};
 use crate::job::{JobSpec, StateChange, TaskOutcome};
@@ -109,7 +109,7 @@
         /// The shard.
         shard: Name,
         /// State of the shard, with its epoch.
-        state: State,
+        state: StateSnapshot,
     },
     /// State changes of a shard in an epoch that has no replicas.
     Notes {
--- a/src/wire/msg.rs
+++ b/src/wire/msg.rs
@@ -7,11 +7,11 @@
 use crate::clock::Millis;
 use crate::controller::gossip::Delta;
 use crate::controller::list::VmList;
-use crate::controller::offer::Room;
-use crate::controller::quota::{Limit, Question};
-use crate::controller::replica::{ReplicaError, State, Update};
+use crate::controller::quota::{HomeRequest, Limit};
+use crate::controller::replica::{ReplicaError, StateSnapshot, Update};
 use crate::controller::shard::owner::{Answer, Load, Refusal};
-use crate::controller::slots::SlotUse;
+use crate::controller::shard_ranking::ShardCapacity;
+use crate::controller::slots::SlotUsage;
 use crate::controller::table::Revision;
 use crate::id::{EntryId, JobId, Name};
 use crate::job::{JobSpec, JobStatus};
@@ -51,7 +51,7 @@
     /// Something for the owner of a shard.
     Owner { shard: Name, request: OwnerRequest },
     /// Lend me slots of a shard's runners.
-    LendSlots { shard: Name, entry: Name, uses: Vec<SlotUse>, waiting: u32 },
+    LendSlots { shard: Name, entry: Name, uses: Vec<SlotUsage>, waiting: u32 },
     /// What table is in force?
     Table,
     /// What VM list do you have?
@@ -61,10 +61,10 @@
     /// I live; of the shards only what changed. Since version 2.
     DeltaHeartbeat(DeltaHeartbeat),
     /// Lend a shard parts of the limits that this shard is home to. Since version 2.
-    LendQuota { home: Name, question: Question },
+    LendQuota { home: Name, question: HomeRequest },
     /// I gave up a shard that I owned in this epoch: you, and nobody else, go on from this state.
     /// Since version 2.
-    HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: State },
+    HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: StateSnapshot },
 }
 
 /// A question to the owner of a shard.
@@ -94,7 +94,7 @@
     /// The last note that this run of an entry holds.
     Updated { by: EntryId, result: Result<u64, ReplicaError> },
     /// What this run of an entry holds.
-    Sealed { by: EntryId, state: State },
+    Sealed { by: EntryId, state: StateSnapshot },
     /// Done.
     Done,
     /// I do not own that shard.
@@ -163,7 +163,7 @@
     /// Whether a start that the sender sent may still arrive.
     pub start_pending: bool,
     /// What the owner could take, from the owner only.
-    pub room: Option<Room>,
+    pub room: Option<ShardCapacity>,
 }
 
 /// A shard's state for operators.
