--- a/src/wire/keys.rs
+++ b/src/wire/keys.rs
@@ -1,4 +1,5 @@
-//! Keys between entries: a certificate authority for the cell, a certificate for each entry.
+//! Mutual TLS between entries: a certificate authority for the cell, a certificate and a private
+//! key for each entry.
 
 use crate::id::Name;
 use crate::settings::Keys;
@@ -14,24 +15,24 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The protocol's name in the handshake, before the version.
+/// The part of the ALPN protocol name that precedes the protocol version.
 const ALPN_PREFIX: &str = "sprucerudder/";
 
-/// Keys that cannot be made or used.
+/// An error in creating, parsing or using keys and certificates.
 #[derive(Debug, Error)]
 pub enum KeyError {
-    /// Making them failed.
-    #[error("cannot make keys: {0}")]
+    /// A key or certificate could not be created or loaded.
+    #[error("cannot create or load keys: {0}")]
     Make(#[from] rcgen::Error),
-    /// The PEM text cannot be read.
-    #[error("cannot read PEM: {0}")]
+    /// The PEM text cannot be parsed.
+    #[error("cannot parse PEM: {0}")]
     Pem(String),
-    /// They do not fit together.
-    #[error("cannot use keys: {0}")]
+    /// TLS rejects the keys, for instance because they do not belong together.
+    #[error("cannot configure TLS with the keys: {0}")]
     Use(String),
 }
 
-/// A certificate authority.
+/// The certificate authority of a cell, which issues the certificates of its entries.
 pub struct Authority {
     cert: Certificate,
     key_pair: KeyPair,
@@ -39,10 +40,10 @@
 }
 
 impl Authority {
-    /// A new authority for a cell.
+    /// Creates an authority with a new key for a cell.
     ///
     /// # Errors
-    /// If keys cannot be made.
+    /// If the key or the certificate cannot be created.
     pub fn new(cell: &str) -> Result<Self, KeyError> {
         let key_pair = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
@@ -54,30 +55,31 @@
         Ok(Self { cert, key_pair, pem })
     }
 
-    /// An authority made earlier, from its certificate and private key.
+    /// Loads an authority from its certificate and private key, both as PEM.
     ///
     /// # Errors
-    /// If the texts are not a certificate and its key.
+    /// If the texts are not a certificate and its private key.
     pub fn load(pem: &str, secret: &str) -> Result<Self, KeyError> {
         let key_pair = KeyPair::from_pem(secret)?;
         let cert = CertificateParams::from_ca_cert_pem(pem)?.self_signed(&key_pair)?;
         Ok(Self { cert, key_pair, pem: pem.to_string() })
     }
 
-    /// The certificate, as PEM.
+    /// The authority's certificate, as PEM.
     pub fn certificate(&self) -> &str {
         &self.pem
     }
 
-    /// The private key, as PEM: whoever has it can make entries of the cell.
+    /// The authority's private key, as PEM. Whoever has it can issue certificates that the cell
+    /// accepts.
     pub fn private_key(&self) -> String {
         self.key_pair.serialize_pem()
     }
 
-    /// Keys for the entry `name`.
+    /// Issues a certificate and a private key for the entry `name`.
     ///
     /// # Errors
-    /// If keys cannot be made.
+    /// If the key or the certificate cannot be created.
     pub fn issue(&self, name: &str) -> Result<Keys, KeyError> {
         let key_pair = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![name.to_string()])?;
@@ -93,13 +95,13 @@
     }
 }
 
-/// The names of all versions up to `newest_version` for the handshake, best first.
+/// The ALPN protocol names of all supported versions up to `newest_version`, newest first.
 fn alpn_protocols(newest_version: u8) -> Vec<Vec<u8>> {
     let versions = (OLDEST_VERSION..=newest_version).rev();
     versions.map(|version| format!("{ALPN_PREFIX}{version}").into_bytes()).collect()
 }
 
-/// The version that a handshake agreed on.
+/// The protocol version in a negotiated ALPN protocol name.
 pub fn version_from_alpn(protocol: &[u8]) -> Option<u8> {
     std::str::from_utf8(protocol).ok()?.strip_prefix(ALPN_PREFIX)?.parse().ok()
 }
@@ -133,8 +135,8 @@
     KeyError::Use(err.to_string())
 }
 
-/// The server's side: only clients with a certificate of the cell are let in. Versions of messages
-/// up to `newest_version` are spoken.
+/// TLS configuration of the server, which accepts only clients with a certificate of the cell and
+/// supports protocol versions up to `newest_version`.
 ///
 /// # Errors
 /// If the keys cannot be used.
@@ -153,8 +155,8 @@
     QuicServerConfig::try_from(config).map_err(use_error)
 }
 
-/// The client's side: only servers with a certificate of the cell for their name are used. Versions
-/// of messages up to `newest_version` are spoken.
+/// TLS configuration of the client, which accepts only servers with a certificate of the cell for
+/// their name and supports protocol versions up to `newest_version`.
 ///
 /// # Errors
 /// If the keys cannot be used.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Entry to entry: typed messages over QUIC with mutual TLS.
+//! Communication between entries: typed messages over QUIC with mutual TLS.
 
 pub mod keys;
 pub mod msg;
--- a/src/wire/msg.rs
+++ b/src/wire/msg.rs
@@ -1,8 +1,9 @@
-//! The messages between entries, encoded by postcard behind one byte with their version.
+//! Messages between entries: one byte with the protocol version, then the message in postcard.
 //!
-//! Two entries use the highest version that both speak; the handshake agrees on it. A version only
-//! ever adds variants at the end of [`PeerRequest`] and [`PeerResponse`]: what earlier versions have keeps its bytes.
-//! Version 2 added heartbeats with only what changed, parts of limits, and hand-overs.
+//! Two entries negotiate the highest version that both support during the TLS handshake. A new
+//! version may only append variants to [`PeerRequest`] and [`PeerResponse`], so that messages of
+//! earlier versions keep their encoding. Version 2 added delta heartbeats, lending of quota and
+//! leadership transfer of shards.
 
 use crate::clock::Millis;
 use crate::controller::gossip::Delta;
@@ -21,137 +22,139 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The oldest version of the messages that is still spoken.
+/// The oldest protocol version that is still supported.
 pub const OLDEST_VERSION: u8 = 1;
-/// The newest version of the messages.
+/// The newest protocol version.
 pub const NEWEST_VERSION: u8 = 2;
-/// The first version with [`PeerRequest::DeltaHeartbeat`], [`PeerRequest::LendQuota`] and [`PeerRequest::HandOver`].
+/// The first version with [`PeerRequest::DeltaHeartbeat`], [`PeerRequest::LendQuota`] and
+/// [`PeerRequest::HandOver`].
 pub const VERSION_2: u8 = 2;
 
-/// A message with its sender's clock.
+/// A message with the logical time at which it was sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope<T> {
-    /// The sender's clock.
+    /// The sender's logical clock.
     pub stamp: Stamp,
     /// The message.
     pub body: T,
 }
 
-/// A question to another entry.
+/// A request to another entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// I live.
+    /// The sender's state, with all shards of its failure domain.
     Heartbeat(Heartbeat),
-    /// Hold this for a shard.
+    /// Replicates a state change of a shard.
     Update { shard: Name, update: Update },
-    /// Refuse earlier epochs of a shard and say what you hold.
+    /// Makes the replica reject earlier epochs of a shard and return its state.
     Seal { shard: Name, epoch: u64 },
-    /// I give up a shard that I own in this epoch: claim it.
+    /// Asks the receiver to claim a shard that the sender owns in this epoch and gives up.
     Release { shard: Name, epoch: u64 },
-    /// Something for the owner of a shard.
+    /// A request to the owner of a shard.
     Owner { shard: Name, request: OwnerRequest },
-    /// Lend me slots of a shard's runners.
+    /// Asks a shard's owner to lend or renew slots of its runners.
     LendSlots { shard: Name, entry: Name, uses: Vec<SlotUse>, waiting: u32 },
-    /// What table is in force?
+    /// Asks for the table in force.
     Table,
-    /// What VM list do you have?
+    /// Asks for the receiver's VM list.
     VmList,
-    /// Serve this request in your failure domain.
+    /// Forwards a request to be served in the receiver's failure domain.
     Forward(Box<ForwardedRequest>),
-    /// I live; of the shards only what changed. Since version 2.
+    /// The sender's state, with only the shards that changed. Since version 2.
     DeltaHeartbeat(DeltaHeartbeat),
-    /// Lend a shard parts of the limits that this shard is home to. Since version 2.
+    /// Asks the owner of the shard `home` to lend another shard parts of the limits that `home`
+    /// manages. Since version 2.
     LendQuota { home: Name, question: Question },
-    /// I gave up a shard that I owned in this epoch: you, and nobody else, go on from this state.
-    /// Since version 2.
+    /// Transfers a shard that the sender owned in this epoch to the entry `to`, the only one that
+    /// may continue from this state. Since version 2.
     HandOver { shard: Name, from: EntryId, to: EntryId, epoch: u64, state: State },
 }
 
-/// A question to the owner of a shard.
+/// A request to the owner of a shard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OwnerRequest {
-    /// Accept a job.
+    /// Submits a job.
     Submit { job: JobId, spec: JobSpec },
-    /// Withdraw a job.
+    /// Cancels a job.
     Cancel { job: JobId },
-    /// Take an idempotency key.
+    /// Reserves an idempotency key for `holder`.
     TakeKey { key: Name, holder: Name },
-    /// Give a key back: surely nothing was run under it.
+    /// Releases an idempotency key under which nothing was run.
     FreeKey { key: Name, holder: Name },
-    /// The state of a job.
+    /// Asks for the status of a job.
     JobStatus { job: JobId },
-    /// The jobs of one team, or of all.
+    /// Lists the jobs of one team, or of all teams.
     ListJobs { team: Option<Name> },
-    /// The state of the shard.
+    /// Asks for the status of the shard.
     ShardStatus,
 }
 
-/// An answer from another entry.
+/// A response from another entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// I live too.
+    /// The responder's state, with all shards of its failure domain.
     Heartbeat(Heartbeat),
-    /// The last note that this run of an entry holds.
+    /// The sequence number of the last state change that this incarnation of an entry holds.
     Updated { by: EntryId, result: Result<u64, ReplicaError> },
-    /// What this run of an entry holds.
+    /// The state that this incarnation of an entry holds.
     Sealed { by: EntryId, state: State },
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// I do not own that shard.
+    /// The responder does not own the shard, or cannot prove that it does.
     NotOwner,
-    /// I own that shard, but the answer is not certain yet.
+    /// The responder owns the shard, but the outcome is not known yet.
     Pending,
-    /// The owner's answer.
+    /// The owner's answer to a request that changes the shard's state.
     OwnerAnswer(Answer),
-    /// A job's state.
+    /// The status of a job; `None` if the owner does not know it.
     JobStatus(Option<JobStatus>),
-    /// Jobs.
+    /// The status of each job that was asked for.
     Jobs(Vec<JobStatus>),
-    /// A shard's state.
+    /// The status of a shard.
     ShardStatus(ShardStatus),
-    /// Slots of each runner.
+    /// The number of slots lent, by runner.
     LentSlots(Vec<(Name, u32)>),
-    /// The table in force.
+    /// The table in force, if there is one.
     Table(Option<Revision>),
-    /// The VM list.
+    /// The responder's VM list.
     VmList(VmList),
-    /// The request's answer.
+    /// The response to a forwarded request.
     Forwarded(ForwardedResponse),
-    /// I live too; of the shards only what changed. Since version 2.
+    /// The responder's state, with only the shards that changed. Since version 2.
     DeltaHeartbeat(DeltaHeartbeat),
-    /// Parts of limits. Since version 2.
+    /// The amount lent of each limit. Since version 2.
     LentQuota(Vec<(Limit, u64)>),
 }
 
-/// A heartbeat.
+/// An entry's state, sent periodically to its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The sending entry and its incarnation.
     pub from: EntryId,
     /// Its failure domain.
     pub domain: Name,
-    /// Its address for other entries.
+    /// The address at which it serves other entries.
     pub addr: SocketAddr,
     /// Whether it is stopping.
     pub is_stopping: bool,
-    /// The revision of its table.
+    /// The revision of the table that it has in force.
     pub table_rev: u64,
-    /// The version of its VM list.
+    /// The revision of its VM list.
     pub list_rev: u64,
-    /// The shards of its failure domain.
+    /// The shards of its failure domain, as it knows them.
     pub shards: Vec<ShardHeartbeat>,
 }
 
 /// A heartbeat with only the shards that changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DeltaHeartbeat {
-    /// The heartbeat, without shards.
+    /// The heartbeat, with an empty list of shards.
     pub heartbeat: Heartbeat,
-    /// The shards that changed.
+    /// The shards that changed since the state that the receiver acknowledged.
     pub delta: Delta,
 }
 
-/// One shard in a heartbeat.
+/// The state of one shard in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShardHeartbeat {
     /// The shard.
@@ -160,35 +163,35 @@
     pub epoch: u64,
     /// Whether the sender owns it in that epoch.
     pub is_owner: bool,
-    /// Whether a start that the sender sent may still arrive.
+    /// Whether a task start that the sender sent may still reach a worker.
     pub start_pending: bool,
-    /// What the owner could take, from the owner only.
+    /// The capacity that the shard can offer; sent by its owner only.
     pub room: Option<Room>,
 }
 
-/// A shard's state for operators.
+/// The status of a shard, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShardStatus {
     /// The shard.
     pub shard: Name,
     /// Its epoch.
     pub epoch: u64,
-    /// Its owner.
+    /// The entry that owns it.
     pub owner: EntryId,
-    /// Its replicas.
+    /// The entries that replicate its state.
     pub replicas: Vec<EntryId>,
-    /// Workers: what they have and what is set aside.
+    /// Workers with their total and their used capacity.
     pub workers: Vec<(Name, Size, Size)>,
-    /// Workers set aside because they fail their tasks.
+    /// Workers that get no tasks because tasks keep failing on them.
     pub set_aside: Vec<Name>,
-    /// Tasks by kind.
+    /// The task counts of each kind of work.
     pub loads: Vec<(Name, Load)>,
 }
 
-/// A request on its way to another failure domain.
+/// A caller's request, forwarded to another failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    /// Its id.
+    /// The request's id, unique in the cell.
     pub id: Name,
     /// The kind of work.
     pub kind: Name,
@@ -196,55 +199,55 @@
     pub team: Name,
     /// Its idempotency key.
     pub key: Option<Name>,
-    /// Whether its caller allows that it is run again.
+    /// Whether the caller allows the request to be run more than once.
     pub may_repeat: bool,
-    /// How long its answer may take from now on.
+    /// The time left until its deadline.
     pub remaining: Millis,
-    /// Headers that go to the runner.
+    /// The headers to pass on to the runner.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
-/// The answer to a forwarded request.
+/// The response to a forwarded request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedResponse {
-    /// The runner's whole answer.
+    /// The runner's complete response.
     Complete {
-        /// Its status.
+        /// The HTTP status code.
         status: u16,
-        /// Its content type.
+        /// The `Content-Type` header, if there is one.
         content_type: Option<String>,
-        /// Its body.
+        /// The response body.
         body: Vec<u8>,
     },
-    /// It was given up.
+    /// The request was refused or failed.
     Refused(RequestError),
 }
 
-/// Why a request got no answer from a runner.
+/// Why a request was refused or failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{reason:?}, run: {run:?}")]
 pub struct RequestError {
-    /// Why.
+    /// The reason, as reported to the caller.
     pub reason: Reason,
-    /// Whether any of it may have run.
+    /// Whether the request may have been run.
     pub run: Executed,
-    /// When to come again, if that helps.
+    /// The delay after which a retry may succeed, if a retry can help.
     pub after: Option<Millis>,
 }
 
-/// Whether a request that failed was run.
+/// Whether a request that failed was run by a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Executed {
-    /// Surely not.
+    /// It was certainly not run.
     No,
-    /// Perhaps.
+    /// It may have been run.
     Unknown,
 }
 
-/// Why something was refused: the fixed list of the API.
+/// The reason for a refusal: one of a fixed list that is part of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -252,68 +255,68 @@
     Unauthorized,
     /// The token does not allow this.
     Forbidden,
-    /// A header or body cannot be read.
+    /// A header or the body is malformed.
     Malformed,
     /// No table is in force yet.
     NoTable,
     /// The table has no such kind of work.
     UnknownKind,
-    /// The row belongs to another team.
+    /// The kind of work belongs to another team.
     WrongTeam,
     /// The body is too large.
     TooLarge,
-    /// Too many wait already.
+    /// The queue of this kind of work is full.
     QueueFull,
-    /// Its turn would come too late.
+    /// The deadline has passed, or would pass before a slot is free.
     TooLate,
-    /// It was not answered in time.
+    /// There was no response before the deadline.
     Timeout,
-    /// No upstream could be reached.
+    /// No upstream could be connected to.
     NoUpstream,
-    /// The upstream's answer broke off.
+    /// The upstream's response was incomplete or invalid.
     BrokenAnswer,
-    /// No failure domain with weight for this kind can be reached.
+    /// No reachable failure domain has a weight above zero for this kind of work.
     NoSite,
     /// The idempotency key was used before.
     KeyKnown,
-    /// The owner of the shard cannot be reached.
+    /// The shard has no owner, or its owner cannot be reached.
     NoOwner,
-    /// A job was refused.
+    /// The owner of the shard refused the job.
     Job(Refusal),
-    /// There is no such thing.
+    /// The requested resource does not exist.
     NotFound,
     /// The log cannot be reached.
     NoLog,
-    /// Another table was published first.
+    /// Another table was published in the meantime.
     Conflict,
 }
 
-/// A message that could not be read or written.
+/// An error in encoding or decoding a message.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The message is of another version than the handshake agreed on.
-    #[error("version {0}, agreed on {1}")]
+    /// The message has another protocol version (first) than the negotiated one (second).
+    #[error("message has protocol version {0}, but version {1} was negotiated")]
     Version(u8, u8),
-    /// The bytes are not a message.
+    /// The bytes cannot be decoded as a message.
     #[error("malformed message: {0}")]
     Malformed(#[from] postcard::Error),
-    /// Nothing came.
+    /// The message has no bytes.
     #[error("empty message")]
     Empty,
 }
 
-/// Encodes a message of a version.
+/// Encodes a message and puts the protocol version in front.
 ///
 /// # Errors
-/// If a value cannot be encoded.
+/// If the message cannot be encoded.
 pub fn encode<T: Serialize>(version: u8, message: &Envelope<T>) -> Result<Vec<u8>, CodecError> {
     Ok(postcard::to_extend(message, vec![version])?)
 }
 
-/// Decodes a message of a version.
+/// Decodes a message of the negotiated protocol version.
 ///
 /// # Errors
-/// If it is of another version, or malformed.
+/// If the message is empty, malformed, or of another version.
 pub fn decode<T: for<'de> Deserialize<'de>>(
     version: u8,
     bytes: &[u8],
--- a/src/wire/quic.rs
+++ b/src/wire/quic.rs
@@ -1,4 +1,5 @@
-//! QUIC between entries: one connection a peer, one stream an exchange.
+//! Requests between entries over QUIC: one connection per peer, one bidirectional stream per
+//! request.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -18,67 +19,68 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use thiserror::Error;
 
-/// The largest message, in bytes: a whole shard's state at the first contact of an epoch.
+/// The size limit of a message. The largest one carries the complete state of a shard, which a new
+/// owner exchanges with each replica at the start of an epoch.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
-/// A connection without traffic is closed after this long.
+/// A connection without traffic is closed after this time.
 const IDLE_TIMEOUT_MS: u32 = 10_000;
-/// Exchanges at once on one connection.
+/// The limit of concurrent requests from a peer on one connection.
 const MAX_CONCURRENT_STREAMS: u32 = 4_096;
 
-/// Why an exchange with another entry failed.
+/// Why a request to another entry failed.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// No connection: nothing was sent.
-    #[error("cannot connect to {0}")]
+    /// The connection could not be established: nothing was sent.
+    #[error("cannot connect to entry {0}")]
     Connect(Name),
-    /// The exchange broke off.
-    #[error("exchange with {0} broke off")]
+    /// The connection was lost before the response was complete.
+    #[error("connection to entry {0} was lost during a request")]
     Broken(Name),
-    /// No answer in time.
-    #[error("{0} did not answer in time")]
+    /// The peer did not respond in time.
+    #[error("request to entry {0} timed out")]
     Timeout(Name),
-    /// The peer's version has no such question: nothing was sent.
-    #[error("{0} is too old")]
+    /// The negotiated protocol version lacks the request: nothing was sent.
+    #[error("protocol version of entry {0} is too old for the request")]
     PeerTooOld(Name),
-    /// A message cannot be read.
+    /// A message could not be encoded or decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// The keys cannot be used.
+    /// The certificates or the private key cannot be used.
     #[error(transparent)]
     Keys(#[from] KeyError),
-    /// The socket cannot be used.
-    #[error("socket: {0}")]
+    /// The UDP socket cannot be used.
+    #[error("cannot use UDP socket: {0}")]
     Socket(#[from] io::Error),
 }
 
 impl WireError {
-    /// Whether surely nothing reached the other entry.
+    /// Whether the request certainly did not reach the other entry.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_) | Self::PeerTooOld(_))
     }
 }
 
-/// Bytes and messages that passed between this entry and others.
+/// Counters of the traffic between this entry and its peers.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Questions sent.
+    /// Requests that were answered, in both directions.
     pub requests: AtomicU64,
-    /// Bytes sent and received in messages.
+    /// Size of these requests and their responses, in bytes.
     pub bytes: AtomicU64,
 }
 
-/// This entry's end of all connections.
+/// Client and server for requests between entries, with a pool of open connections.
 #[derive(Debug)]
 pub struct QuicTransport {
     endpoint: Endpoint,
     connections: Mutex<HashMap<(Name, SocketAddr), Connection>>,
     trace: Arc<Trace>,
-    /// What passed.
+    /// Counters of the traffic with all peers.
     pub traffic: Traffic,
 }
 
 impl QuicTransport {
-    /// Binds `addr` with these keys; speaks versions of messages up to `newest`.
+    /// Binds a UDP socket to `addr`; supports protocol versions up to `newest`.
     ///
     /// # Errors
     /// If the keys or the address cannot be used.
@@ -102,15 +104,15 @@
         Ok(Arc::new(Self { endpoint, connections, trace, traffic }))
     }
 
-    /// The address that it is bound to.
+    /// The address that the UDP socket is bound to.
     ///
     /// # Errors
-    /// If the socket is broken.
+    /// If the socket's address cannot be read.
     pub fn addr(&self) -> Result<SocketAddr, WireError> {
         Ok(self.endpoint.local_addr()?)
     }
 
-    /// Asks the entry `name` at `addr` and waits for its answer, at most `limit`.
+    /// Sends a request to the entry `name` at `addr` and waits up to `limit` for its response.
     ///
     /// # Errors
     /// [`WireError::Connect`] only if nothing was sent.
@@ -125,11 +127,11 @@
         self.with_timeout(name, addr, limit, exchange).await
     }
 
-    /// As [`QuicTransport::request`], with a question that depends on the version that the peer speaks; `None`
-    /// if that version has no such question.
+    /// As [`QuicTransport::request`], with a request that depends on the negotiated protocol
+    /// version; `None` if that version lacks the request.
     ///
     /// # Errors
-    /// As [`QuicTransport::request`], and [`WireError::PeerTooOld`].
+    /// As [`QuicTransport::request`], and [`WireError::PeerTooOld`] if there is no request.
     pub async fn request_by_version(
         &self,
         name: &Name,
@@ -141,7 +143,7 @@
         self.with_timeout(name, addr, limit, exchange).await
     }
 
-    /// The version of messages that a peer and this entry speak.
+    /// The protocol version negotiated with a peer.
     ///
     /// # Errors
     /// [`WireError::Connect`] if the peer cannot be reached within `limit`.
@@ -195,7 +197,7 @@
         Ok(envelope.body)
     }
 
-    /// Sends a message and reads the answer.
+    /// Sends an encoded request on a stream of its own and reads the response.
     async fn send_and_receive(
         &self,
         name: &Name,
@@ -242,7 +244,7 @@
         Ok(connection)
     }
 
-    /// Answers other entries until the endpoint is closed.
+    /// Handles the requests of other entries until the endpoint is closed.
     pub async fn serve<F, R>(self: Arc<Self>, handler: F)
     where
         F: Fn(PeerRequest) -> R + Clone + Send + Sync + 'static,
@@ -270,7 +272,7 @@
                 let Ok(bytes) = recv.read_to_end(MAX_MESSAGE_BYTES).await else { return };
                 let envelope: Envelope<PeerRequest> = match decode(version, &bytes) {
                     Ok(envelope) => envelope,
-                    Err(err) => return log::warn!("event=message-refused error={err:?}"),
+                    Err(err) => return log::warn!("event=message-decoding-failed error={err:?}"),
                 };
                 quic.trace.observe(envelope.stamp);
                 let body = handler(envelope.body).await;
@@ -284,14 +286,14 @@
         }
     }
 
-    /// Closes all connections.
+    /// Closes all connections and waits until the peers were told.
     pub async fn close(&self) {
         self.endpoint.close(VarInt::from_u32(0), b"stop");
         self.endpoint.wait_idle().await;
     }
 }
 
-/// The version of messages that both sides of a connection agreed on.
+/// The protocol version that was negotiated in a connection's TLS handshake.
 fn negotiated_version(connection: &Connection) -> Option<u8> {
     let data = connection.handshake_data()?.downcast::<HandshakeData>().ok()?;
     keys::version_from_alpn(&data.protocol?)
