--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -8,8 +8,8 @@
     JobAccepted, JobRequest, JobView, Published, ShardView, StatusView, TableView,
 };
 use crate::entry::{Entry, lock};
-use crate::filter::identify::Caller;
-use crate::filter::{identify, not_run};
+use crate::filter::authenticate::Caller;
+use crate::filter::{authenticate, not_run};
 use crate::id::{JobId, Name};
 use crate::job::{JobSpec, JobStorage};
 use crate::record::{Claim, Record, TablePublish};
@@ -39,7 +39,7 @@
 
 impl Api {
     fn caller(&self, request: &Request) -> Result<Caller> {
-        identify::apply(&self.entry.settings.tokens, bearer(request)).map_err(fail)
+        authenticate::apply(&self.entry.settings.tokens, bearer(request)).map_err(fail)
     }
 
     fn operator(&self, request: &Request) -> Result<Caller> {
@@ -167,7 +167,7 @@
         let table = self.entry.table();
         let row = table.rows.get(job.kind.as_str());
         let row = row.ok_or_else(|| refuse(Reason::UnknownKind))?;
-        if !caller.may(&row.team) {
+        if !caller.may_act_for(&row.team) {
             return Err(refuse(Reason::WrongTeam));
         }
         let spec = JobSpec {
@@ -188,7 +188,7 @@
         let caller = self.caller(request)?;
         let id: JobId = id.parse().map_err(|_| refuse(Reason::NotFound))?;
         let status = self.entry.job_status(&id, OWNER_LIMIT).await.map_err(fail)?;
-        match caller.may(&status.spec.team) {
+        match caller.may_act_for(&status.spec.team) {
             true => Ok(Json(status.into())),
             false => Err(refuse(Reason::NotFound)),
         }
@@ -200,7 +200,7 @@
         let caller = self.caller(request)?;
         let id: JobId = id.parse().map_err(|_| refuse(Reason::NotFound))?;
         let status = self.entry.job_status(&id, OWNER_LIMIT).await.map_err(fail)?;
-        if !caller.may(&status.spec.team) {
+        if !caller.may_act_for(&status.spec.team) {
             return Err(refuse(Reason::NotFound));
         }
         let ask = OwnerRequest::Cancel { job: id.clone() };
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::entry::stop::InFlight;
 use crate::entry::{Entry, api};
-use crate::filter::{Exchange, identify, not_run, problem};
+use crate::filter::{InboundRequest, authenticate, not_run, problem};
 use crate::id::Name;
 use crate::server::{TIMELINE_PATH, TimelineRequest};
 use crate::trace::Event;
@@ -59,20 +59,20 @@
     request: &Request,
     body: Body,
 ) -> Response {
-    match read_exchange(&entry, kind.0, request, body).await {
-        Ok(exchange) => run_exchange(entry.0.clone(), exchange).await,
+    match read_request(&entry, kind.0, request, body).await {
+        Ok(inbound) => run_request(entry.0.clone(), inbound).await,
         Err(refused) => problem::response(&refused),
     }
 }
 
-async fn read_exchange(
+async fn read_request(
     entry: &Arc<Entry>,
     kind: String,
     request: &Request,
     body: Body,
-) -> Result<Exchange, RequestError> {
-    let came = entry.now();
-    let caller = identify::apply(&entry.settings.tokens, bearer(request))?;
+) -> Result<InboundRequest, RequestError> {
+    let received = entry.now();
+    let caller = authenticate::apply(&entry.settings.tokens, bearer(request))?;
     let malformed = || not_run(Reason::Malformed, None);
     let key = request.header(KEY_HEADER);
     if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
@@ -91,14 +91,14 @@
     let headers = request.headers().iter();
     let passed = headers.filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
     let id = format!("{}/{}/{}", entry.me.name, entry.me.incarnation, entry.next());
-    Ok(Exchange {
+    Ok(InboundRequest {
         id: id.into(),
         kind: kind.into(),
         team: caller.team,
         key: key.map(Name::from),
         may_repeat,
-        came,
-        wait: wait_of(request.header(PREFER_HEADER)),
+        received,
+        max_wait: wait_of(request.header(PREFER_HEADER)),
         headers: passed
             .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
             .collect(),
@@ -114,10 +114,10 @@
     (seconds.is_finite() && seconds >= 0.0).then_some(Millis((seconds * 1000.0) as u64))
 }
 
-async fn run_exchange(entry: Arc<Entry>, exchange: Exchange) -> Response {
+async fn run_request(entry: Arc<Entry>, inbound: InboundRequest) -> Response {
     let flight = InFlight::new(&entry);
     let served = tokio::spawn(async move {
-        let result = crate::filter::run(entry, exchange).await;
+        let result = crate::filter::run(entry, inbound).await;
         drop(flight);
         result
     });
@@ -162,7 +162,7 @@
     request: &Request,
     ask: Json<TimelineRequest>,
 ) -> poem::Result<Json<Vec<Event>>> {
-    let caller = identify::apply(&entry.settings.tokens, bearer(request)).map_err(fail)?;
+    let caller = authenticate::apply(&entry.settings.tokens, bearer(request)).map_err(fail)?;
     match caller.team {
         None => Ok(Json(entry.trace.events_after(ask.since, ask.max.min(MAX_EVENTS)))),
         Some(_) => Err(refuse(Reason::Forbidden)),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -267,7 +267,7 @@
     }
 
     /// Takes a retry out of the budget.
-    pub(crate) fn take_retry(&self) -> bool {
+    pub(crate) fn withdraw_retry(&self) -> bool {
         let granted = lock(&self.budget).withdraw();
         self.metrics.retries.inc_by(granted as u64);
         granted
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -82,7 +82,7 @@
     }
 
     /// A runner said that it is leaving.
-    pub(crate) fn runner_leaves(&self, runner: &str) {
+    pub(crate) fn mark_runner_leaving(&self, runner: &str) {
         lock(&self.slots).leave(runner);
     }
 
@@ -152,7 +152,11 @@
     }
 
     /// An entry of another failure domain, chosen by `seed`.
-    pub(crate) fn entry_of(&self, domain: &str, seed: u64) -> Option<(Name, std::net::SocketAddr)> {
+    pub(crate) fn entry_in_domain(
+        &self,
+        domain: &str,
+        seed: u64,
+    ) -> Option<(Name, std::net::SocketAddr)> {
         let fresh = lock(&self.peers).fresh(self.now()).into_iter();
         let there: Vec<_> = fresh.filter(|(_, other, _)| **other == *domain).collect();
         let (name, _, addr) = there.get(seed as usize % there.len().max(1))?;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::slots::SlotUse;
 use crate::entry::{Entry, lock};
-use crate::filter::{Exchange, run_forwarded};
+use crate::filter::{InboundRequest, run_forwarded};
 use crate::id::Name;
 use crate::wire::msg::{PeerRequest, PeerResponse};
 use std::sync::Arc;
@@ -52,8 +52,8 @@
             PeerRequest::Table => PeerResponse::Table(lock(&self.fold).tables.current().cloned()),
             PeerRequest::VmList => PeerResponse::VmList(lock(&self.lists).newest().clone()),
             PeerRequest::Forward(forward) => {
-                let exchange = Exchange::from_forward(*forward, self.now());
-                PeerResponse::Forwarded(run_forwarded(self, exchange).await)
+                let request = InboundRequest::from_forwarded(*forward, self.now());
+                PeerResponse::Forwarded(run_forwarded(self, request).await)
             }
         }
     }
--- a/src/filter/identify.rs
+++ b/src/filter/authenticate.rs
@@ -16,7 +16,7 @@
 
 impl Caller {
     /// Whether this caller may act for `team`.
-    pub fn may(&self, team: &str) -> bool {
+    pub fn may_act_for(&self, team: &str) -> bool {
         self.team.as_ref().is_none_or(|own| **own == *team)
     }
 }
@@ -27,14 +27,14 @@
 /// If the token is missing or unknown.
 pub fn apply(tokens: &[Token], given: Option<&str>) -> Result<Caller, RequestError> {
     let given = given.ok_or_else(|| not_run(Reason::Unauthorized, None))?;
-    let known = tokens.iter().find(|token| same(&token.token, given));
+    let known = tokens.iter().find(|token| constant_time_eq(&token.token, given));
     let token = known.ok_or_else(|| not_run(Reason::Unauthorized, None))?;
     let team = token.right.strip_prefix("team:").map(Name::from);
     Ok(Caller { name: token.name.clone(), team })
 }
 
 /// Compares without stopping at the first difference, so that time tells nothing of the token.
-fn same(known: &str, given: &str) -> bool {
+fn constant_time_eq(known: &str, given: &str) -> bool {
     let pairs = known.bytes().zip(given.bytes());
     known.len() == given.len() && pairs.fold(0, |diff, (a, b)| diff | (a ^ b)) == 0
 }
--- a/src/filter/forward.rs
+++ b/src/filter/dispatch.rs
@@ -1,7 +1,7 @@
-//! The exchange with a runner, and when it may be tried again.
+//! The request with a runner, and when it may be tried again.
 
 use crate::entry::{Entry, Slot};
-use crate::filter::{Classified, hold, not_run};
+use crate::filter::{ClassifiedRequest, not_run, queue};
 use crate::platform::http::{HttpError, HttpResponse, uri};
 use crate::platform::http::{REQUEST_ID_HEADER, UPSTREAM_STATE_HEADER};
 use crate::trace::EventKind;
@@ -11,36 +11,36 @@
 use std::sync::Arc;
 
 /// How often a request is sent at most.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Sends the request to the runner of its slot and reads the whole answer. It is sent again only
+/// Sends the request to the runner of its slot and reads the whole response. It is sent again only
 /// if surely nothing reached a runner, or if it may be repeated; and only while the budget lasts.
 ///
 /// # Errors
-/// If no whole answer came, and whether it may have run.
+/// If no whole response came, and whether it may have run.
 pub async fn apply(
     entry: &Arc<Entry>,
-    classified: &Classified,
+    classified: &ClassifiedRequest,
     slot: Slot,
 ) -> Result<HttpResponse, RequestError> {
     entry.deposit_retry();
     let mut slot = slot;
     let mut run = Executed::No;
-    for tried in 1.. {
+    for attempt in 1.. {
         let err = match send(entry, classified, &mut slot).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(err) => err,
         };
         drop(slot);
         if !err.is_unsent() {
             run = Executed::Unknown;
         }
-        let safe = run == Executed::No || classified.repeatable();
-        let last = tried >= MAX_TRIES || entry.now() >= classified.due;
-        if last || !safe || !entry.take_retry() {
-            return Err(give_up(&err, run));
+        let may_retry = run == Executed::No || classified.repeatable();
+        let is_last = attempt >= MAX_ATTEMPTS || entry.now() >= classified.deadline;
+        if is_last || !may_retry || !entry.withdraw_retry() {
+            return Err(error_for(&err, run));
         }
-        slot = match hold::apply(entry, classified).await {
+        slot = match queue::apply(entry, classified).await {
             Ok(slot) => slot,
             Err(refused) => return Err(RequestError { run, ..refused }),
         };
@@ -50,30 +50,30 @@
 
 async fn send(
     entry: &Entry,
-    classified: &Classified,
+    classified: &ClassifiedRequest,
     slot: &mut Slot,
 ) -> Result<HttpResponse, HttpError> {
-    let exchange = &classified.exchange;
-    let unsent = || HttpError::Connect(slot.runner.to_string());
-    let addr = entry.runner_addr(&slot.runner).ok_or_else(unsent)?;
-    let path = format!("/run/{}", exchange.kind);
+    let request = &classified.request;
+    let not_sent = || HttpError::Connect(slot.runner.to_string());
+    let addr = entry.runner_addr(&slot.runner).ok_or_else(not_sent)?;
+    let path = format!("/run/{}", request.kind);
     let mut builder = Request::builder().method(Method::POST).uri(uri(&addr, &path)?);
-    for (name, value) in &exchange.headers {
+    for (name, value) in &request.headers {
         builder = builder.header(name, value.as_slice());
     }
-    let builder = builder.header(REQUEST_ID_HEADER, &*exchange.id);
-    let request = builder.body(Full::from(exchange.body.clone())).map_err(|_| unsent())?;
-    let (id, runner) = (exchange.id.clone(), slot.runner.clone());
+    let builder = builder.header(REQUEST_ID_HEADER, &*request.id);
+    let outgoing = builder.body(Full::from(request.body.clone())).map_err(|_| not_sent())?;
+    let (id, runner) = (request.id.clone(), slot.runner.clone());
     entry.trace.record(EventKind::RequestSent { request: id, runner });
-    let answer = entry.http.send(&addr, request, classified.due.since(entry.now())).await?;
+    let response = entry.http.send(&addr, outgoing, classified.deadline.since(entry.now())).await?;
     slot.reached = true;
-    if answer.headers.get(UPSTREAM_STATE_HEADER).is_some_and(|state| state == "leaving") {
-        entry.runner_leaves(&slot.runner);
+    if response.headers.get(UPSTREAM_STATE_HEADER).is_some_and(|state| state == "leaving") {
+        entry.mark_runner_leaving(&slot.runner);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-fn give_up(err: &HttpError, run: Executed) -> RequestError {
+fn error_for(err: &HttpError, run: Executed) -> RequestError {
     let reason = match err {
         HttpError::Connect(_) => Reason::NoUpstream,
         HttpError::Timeout(_) => Reason::Timeout,
--- a/src/filter/once.rs
+++ b/src/filter/idempotency.rs
@@ -3,14 +3,14 @@
 
 use crate::controller::shard::office::Answer;
 use crate::entry::Entry;
-use crate::filter::{Classified, not_run};
+use crate::filter::{ClassifiedRequest, not_run};
 use crate::id::Name;
 use crate::wire::msg::{Executed, OwnerRequest, PeerResponse, Reason, RequestError};
 use std::sync::Arc;
 
 /// A key that this request holds.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldKey {
     shard: Name,
     key: Name,
     holder: Name,
@@ -22,35 +22,37 @@
 /// If the key was used before, or nobody can say so.
 pub async fn apply(
     entry: &Arc<Entry>,
-    classified: &Classified,
-) -> Result<Option<Held>, RequestError> {
-    let exchange = &classified.exchange;
-    let Some(given) = exchange.key.as_ref().filter(|_| !classified.repeatable()) else {
+    classified: &ClassifiedRequest,
+) -> Result<Option<HeldKey>, RequestError> {
+    let request = &classified.request;
+    let Some(given) = request.key.as_ref().filter(|_| !classified.repeatable()) else {
         return Ok(None);
     };
     let key: Name = format!("{}/{}/{given}", classified.row.team, classified.row.kind).into();
-    let holder = exchange.id.clone();
+    let holder = request.id.clone();
     let shard = entry.key_shard(&key).ok_or_else(|| not_run(Reason::NoOwner, None))?;
-    let held = Held { shard: shard.clone(), key: key.clone(), holder: holder.clone() };
+    let held_key = HeldKey { shard: shard.clone(), key: key.clone(), holder: holder.clone() };
     let ask = OwnerRequest::TakeKey { key, holder: holder.clone() };
-    let left = classified.due.since(entry.now());
+    let left = classified.deadline.since(entry.now());
     match entry.ask_owner(&shard, ask, left).await {
-        Ok(PeerResponse::OwnerAnswer(Answer::KeyTaken)) => Ok(Some(held)),
-        Ok(PeerResponse::OwnerAnswer(Answer::KeyKnown(known))) if known == holder => Ok(Some(held)),
+        Ok(PeerResponse::OwnerAnswer(Answer::KeyTaken)) => Ok(Some(held_key)),
+        Ok(PeerResponse::OwnerAnswer(Answer::KeyKnown(known))) if known == holder => {
+            Ok(Some(held_key))
+        }
         Ok(PeerResponse::OwnerAnswer(Answer::KeyKnown(_))) => {
             Err(RequestError { reason: Reason::KeyKnown, run: Executed::Unknown, after: None })
         }
         other => {
-            held.free(entry);
+            held_key.release(entry);
             let after = other.err().and_then(|refused| refused.after);
             Err(not_run(Reason::NoOwner, after))
         }
     }
 }
 
-impl Held {
+impl HeldKey {
     /// Gives the key back: surely nothing was run under it.
-    pub fn free(self, entry: &Arc<Entry>) {
+    pub fn release(self, entry: &Arc<Entry>) {
         let entry = entry.clone();
         tokio::spawn(async move {
             let ask = OwnerRequest::FreeKey { key: self.key, holder: self.holder };
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -1,14 +1,14 @@
-//! The chain of filters that a request passes: identify, classify, admit, site, hold, once,
-//! forward. Each takes the exchange on or refuses it for good.
+//! The chain of filters that a request passes: authenticate, classify, admit, site, hold, once,
+//! forward. Each takes the request on or refuses it for good.
 
 mod admit;
+pub mod authenticate;
 mod classify;
-mod forward;
-mod hold;
-pub mod identify;
-mod once;
+mod destination;
+mod dispatch;
+mod idempotency;
 pub mod problem;
-mod site;
+mod queue;
 
 use crate::clock::Millis;
 use crate::entry::Entry;
@@ -23,7 +23,7 @@
 
 /// A request on its way through the chain.
 #[derive(Debug, Clone)]
-pub struct Exchange {
+pub struct InboundRequest {
     /// Its id, unique in the cell.
     pub id: Name,
     /// The kind of work.
@@ -35,46 +35,46 @@
     /// Whether its caller allows that it is run again.
     pub may_repeat: bool,
     /// When it came.
-    pub came: Millis,
+    pub received: Millis,
     /// How long its caller waits, if it said so.
-    pub wait: Option<Millis>,
+    pub max_wait: Option<Millis>,
     /// Headers that go to the runner.
     pub headers: Vec<(String, Vec<u8>)>,
     /// The body.
     pub body: Bytes,
 }
 
-/// An exchange with its policy.
+/// A request with its policy.
 #[derive(Debug, Clone)]
-pub struct Classified {
-    /// The exchange.
-    pub exchange: Exchange,
+pub struct ClassifiedRequest {
+    /// The request.
+    pub request: InboundRequest,
     /// The row of its kind.
     pub row: Row,
     /// When its answer is due.
-    pub due: Millis,
+    pub deadline: Millis,
 }
 
-impl Classified {
+impl ClassifiedRequest {
     /// Whether it may be run again after it may have run.
     pub fn repeatable(&self) -> bool {
-        self.row.repeat && self.exchange.may_repeat
+        self.row.repeat && self.request.may_repeat
     }
 }
 
-impl Exchange {
+impl InboundRequest {
     /// A request that another failure domain sent here.
-    pub fn from_forward(forward: ForwardedRequest, now: Millis) -> Self {
+    pub fn from_forwarded(forwarded: ForwardedRequest, now: Millis) -> Self {
         Self {
-            id: forward.id,
-            kind: forward.kind,
-            team: Some(forward.team),
-            key: forward.key,
-            may_repeat: forward.may_repeat,
-            came: now,
-            wait: Some(forward.remaining),
-            headers: forward.headers,
-            body: forward.body.into(),
+            id: forwarded.id,
+            kind: forwarded.kind,
+            team: Some(forwarded.team),
+            key: forwarded.key,
+            may_repeat: forwarded.may_repeat,
+            received: now,
+            max_wait: Some(forwarded.remaining),
+            headers: forwarded.headers,
+            body: forwarded.body.into(),
         }
     }
 }
@@ -88,59 +88,65 @@
 ///
 /// # Errors
 /// The final refusal.
-pub async fn run(entry: Arc<Entry>, exchange: Exchange) -> Result<ForwardedResponse, RequestError> {
-    let (id, kind, came) = (exchange.id.clone(), exchange.kind.clone(), exchange.came);
-    let result = chain(&entry, exchange).await;
-    report(&entry, id, kind, came, &result);
+pub async fn run(
+    entry: Arc<Entry>,
+    request: InboundRequest,
+) -> Result<ForwardedResponse, RequestError> {
+    let (id, kind, received) = (request.id.clone(), request.kind.clone(), request.received);
+    let result = apply_filters(&entry, request).await;
+    record_outcome(&entry, id, kind, received, &result);
     result
 }
 
-async fn chain(entry: &Arc<Entry>, exchange: Exchange) -> Result<ForwardedResponse, RequestError> {
-    let classified = classify::apply(entry, exchange)?;
+async fn apply_filters(
+    entry: &Arc<Entry>,
+    request: InboundRequest,
+) -> Result<ForwardedResponse, RequestError> {
+    let classified = classify::apply(entry, request)?;
     admit::apply(entry, &classified)?;
-    match site::apply(entry, &classified).await? {
+    match destination::apply(entry, &classified).await? {
         Some(answer) => Ok(answer),
-        None => serve_here(entry, &classified).await,
+        None => serve_locally(entry, &classified).await,
     }
 }
 
 /// Takes a request of another failure domain through the rest of the chain.
-pub async fn run_forwarded(entry: Arc<Entry>, exchange: Exchange) -> ForwardedResponse {
-    let classified = classify::apply(&entry, exchange);
+pub async fn run_forwarded(entry: Arc<Entry>, request: InboundRequest) -> ForwardedResponse {
+    let classified = classify::apply(&entry, request);
     let result = match &classified {
-        Ok(classified) => serve_here(&entry, classified).await,
+        Ok(classified) => serve_locally(&entry, classified).await,
         Err(refused) => Err(refused.clone()),
     };
     result.unwrap_or_else(ForwardedResponse::Refused)
 }
 
-async fn serve_here(
+async fn serve_locally(
     entry: &Arc<Entry>,
-    classified: &Classified,
+    classified: &ClassifiedRequest,
 ) -> Result<ForwardedResponse, RequestError> {
-    let slot = hold::apply(entry, classified).await?;
-    let key = once::apply(entry, classified).await?;
-    let result = forward::apply(entry, classified, slot).await;
+    let slot = queue::apply(entry, classified).await?;
+    let key = idempotency::apply(entry, classified).await?;
+    let result = dispatch::apply(entry, classified, slot).await;
     if let (Some(key), Err(RequestError { run: Executed::No, .. })) = (key, &result) {
-        key.free(entry);
+        key.release(entry);
     }
-    result.map(whole)
+    result.map(complete_response)
 }
 
-fn whole(answer: HttpResponse) -> ForwardedResponse {
-    let content_type = answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+fn complete_response(response: HttpResponse) -> ForwardedResponse {
+    let content_type = response.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     ForwardedResponse::Complete {
-        status: answer.status.as_u16(),
+        status: response.status.as_u16(),
         content_type: content_type.map(str::to_string),
-        body: answer.body.to_vec(),
+        body: response.body.to_vec(),
     }
 }
 
-fn report(
+fn record_outcome(
     entry: &Entry,
     request: Name,
     kind: Name,
-    came: Millis,
+    received: Millis,
     result: &Result<ForwardedResponse, RequestError>,
 ) {
     let (status, run) = match result {
@@ -150,6 +156,6 @@
         }
     };
     entry.metrics.requests.with_label_values(&[&*kind, &status.to_string()]).inc();
-    let waited = entry.now().since(came);
+    let waited = entry.now().since(received);
     entry.trace.record(EventKind::RequestOut { request, status, run: run.into(), waited });
 }
--- a/src/filter/hold.rs
+++ b/src/filter/queue.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::slots::Waiting;
 use crate::entry::{Entry, Slot};
-use crate::filter::{Classified, not_run};
+use crate::filter::{ClassifiedRequest, not_run};
 use crate::wire::msg::{Reason, RequestError};
 use std::sync::Arc;
 
@@ -10,7 +10,10 @@
 ///
 /// # Errors
 /// At once if the queue is full or the turn would come too late; when it should come again.
-pub async fn apply(entry: &Arc<Entry>, classified: &Classified) -> Result<Slot, RequestError> {
+pub async fn apply(
+    entry: &Arc<Entry>,
+    classified: &ClassifiedRequest,
+) -> Result<Slot, RequestError> {
     let now = entry.now();
     let request = Waiting {
         id: entry.next(),
@@ -19,10 +22,10 @@
         limit: classified.row.limit,
         queue: classified.row.queue,
         came: now,
-        due: classified.due,
+        due: classified.deadline,
     };
-    let taken = entry.take_slot(request).await;
-    let slot = taken.map_err(|(after, full)| {
+    let result = entry.take_slot(request).await;
+    let slot = result.map_err(|(after, full)| {
         let reason = if full { Reason::QueueFull } else { Reason::TooLate };
         not_run(reason, Some(after))
     })?;
