--- a/src/filter/admit.rs
+++ b/src/filter/admit.rs
@@ -1,13 +1,13 @@
-//! Bounds on what is taken in at all.
+//! The filter that refuses requests that are too large or past their deadline.
 
 use crate::entry::Entry;
 use crate::filter::{ClassifiedRequest, not_run};
 use crate::wire::msg::{Reason, RequestError};
 
-/// Checks the body's size and the time that is left.
+/// Checks the size of the body and the deadline.
 ///
 /// # Errors
-/// If the body is too large or the answer is due already.
+/// If the body is too large or the deadline has passed.
 pub fn apply(entry: &Entry, classified: &ClassifiedRequest) -> Result<(), RequestError> {
     match () {
         _ if classified.request.body.len() > entry.settings.max_body => {
--- a/src/filter/authenticate.rs
+++ b/src/filter/authenticate.rs
@@ -1,16 +1,16 @@
-//! Who calls: a bearer token of the settings, and what it allows.
+//! Authentication of callers by the bearer tokens in the settings.
 
 use crate::filter::not_run;
 use crate::id::Name;
 use crate::settings::Token;
 use crate::wire::msg::{Reason, RequestError};
 
-/// Who calls.
+/// An authenticated caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
     /// The token's name.
     pub name: Name,
-    /// The team that it is bound to; `None` for an operator.
+    /// The team that the token belongs to; `None` for an operator.
     pub team: Option<Name>,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Finds the caller of a token.
+/// Looks up the caller that a token belongs to.
 ///
 /// # Errors
 /// If the token is missing or unknown.
@@ -33,7 +33,8 @@
     Ok(Caller { name: token.name.clone(), team })
 }
 
-/// Compares without stopping at the first difference, so that time tells nothing of the token.
+/// Compares all bytes even after a difference, so that response times reveal nothing about the
+/// token.
 fn constant_time_eq(known: &str, given: &str) -> bool {
     let pairs = known.bytes().zip(given.bytes());
     known.len() == given.len() && pairs.fold(0, |diff, (a, b)| diff | (a ^ b)) == 0
--- a/src/filter/classify.rs
+++ b/src/filter/classify.rs
@@ -1,4 +1,4 @@
-//! The row of a request's kind, and when its answer is due.
+//! The filter that looks up the table row of a request's kind of work and sets the deadline.
 
 use crate::clock::Millis;
 use crate::entry::Entry;
@@ -7,13 +7,14 @@
 use crate::trace::EventKind;
 use crate::wire::msg::{Reason, RequestError};
 
-/// Callers come again after this long when no table is in force yet.
+/// The `Retry-After` delay while no table is in force.
 const NO_TABLE_RETRY: Millis = Millis(1_000);
 
-/// Finds the row.
+/// Looks up the row and computes the deadline: the caller's wait time, limited by the row's
+/// deadline.
 ///
 /// # Errors
-/// If there is no table, no such kind, or the row belongs to another team.
+/// If no table is in force, the kind of work is unknown, or it belongs to another team.
 pub fn apply(entry: &Entry, request: InboundRequest) -> Result<ClassifiedRequest, RequestError> {
     let table = entry.table();
     if table.rows.is_empty() {
--- a/src/filter/destination.rs
+++ b/src/filter/destination.rs
@@ -1,7 +1,8 @@
-//! The failure domain that serves a request, by the row's weights.
+//! The filter that chooses the failure domain that serves a request, by the weights in the row.
 //!
-//! The site with the highest weight serves all that reaches it; another one serves a share of its
-//! requests in proportion to its weight and passes the rest on.
+//! The failure domain with the highest weight serves every request that it receives. Any other one
+//! serves a share of the requests that it receives, its own weight divided by the highest weight,
+//! and forwards the rest.
 
 use crate::clock::Millis;
 use crate::entry::Entry;
@@ -13,21 +14,22 @@
 };
 use std::collections::BTreeSet;
 
-/// Callers come again after this long when no site can be reached.
+/// The `Retry-After` delay while no failure domain with a weight above zero can be reached.
 const NO_DOMAIN_RETRY: Millis = Millis(2_000);
 
-/// Where a request goes.
+/// The failure domain that is to serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Destination {
-    /// This failure domain serves it.
+    /// The failure domain of this entry.
     Local,
-    /// Another one does.
+    /// Another failure domain.
     Remote(Name),
-    /// None with weight can be reached.
+    /// No failure domain with a weight above zero can be reached.
     Unreachable,
 }
 
-/// Chooses by `seed` among this failure domain and the others that can be reached.
+/// Chooses among this failure domain and the other reachable ones; `seed` stands in for a random
+/// number.
 pub fn choose(row: &Row, here: &Name, others: &BTreeSet<Name>, seed: u64) -> Destination {
     let own_weight = row.domain_weight(here) as u64;
     let weights: Vec<(&Name, u64)> =
@@ -50,10 +52,10 @@
     }
 }
 
-/// Passes the request on if another failure domain is to serve it.
+/// Forwards the request if another failure domain is to serve it; `None` if this one is.
 ///
 /// # Errors
-/// If none can, or the one chosen could not answer.
+/// If no failure domain can serve the request, or the chosen one refuses it or does not respond.
 pub async fn apply(
     entry: &Entry,
     classified: &ClassifiedRequest,
--- a/src/filter/dispatch.rs
+++ b/src/filter/dispatch.rs
@@ -1,4 +1,4 @@
-//! The request with a runner, and when it may be tried again.
+//! The filter that sends a request to a runner and retries it where that is safe.
 
 use crate::entry::{Entry, Slot};
 use crate::filter::{ClassifiedRequest, not_run, queue};
@@ -10,14 +10,15 @@
 use hyper::{Method, Request};
 use std::sync::Arc;
 
-/// How often a request is sent at most.
+/// The number of times that a request is sent at most.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Sends the request to the runner of its slot and reads the whole response. It is sent again only
-/// if surely nothing reached a runner, or if it may be repeated; and only while the budget lasts.
+/// Sends the request to the runner of its slot and reads the complete response. A failed request
+/// is sent again only if it certainly reached no runner or may be run more than once, and only
+/// while the entry's retry budget lasts.
 ///
 /// # Errors
-/// If no whole response came, and whether it may have run.
+/// If there is no complete response; the error says whether the request may have been run.
 pub async fn apply(
     entry: &Arc<Entry>,
     classified: &ClassifiedRequest,
--- a/src/filter/idempotency.rs
+++ b/src/filter/idempotency.rs
@@ -1,5 +1,5 @@
-//! At most one run under an idempotency key: the key is at every replica of its shard before the
-//! first byte goes out.
+//! The filter that runs at most one request under an idempotency key: the key is stored at every
+//! replica of its shard before anything is sent to a runner.
 
 use crate::controller::shard::office::Answer;
 use crate::entry::Entry;
@@ -8,7 +8,7 @@
 use crate::wire::msg::{Executed, OwnerRequest, PeerResponse, Reason, RequestError};
 use std::sync::Arc;
 
-/// A key that this request holds.
+/// An idempotency key that is reserved for a request.
 #[derive(Debug)]
 pub struct HeldKey {
     shard: Name,
@@ -16,10 +16,10 @@
     holder: Name,
 }
 
-/// Takes the key of a request that must not be repeated.
+/// Reserves the idempotency key of a request that must not be run more than once.
 ///
 /// # Errors
-/// If the key was used before, or nobody can say so.
+/// If the key was used before, or the owner of its shard cannot be asked.
 pub async fn apply(
     entry: &Arc<Entry>,
     classified: &ClassifiedRequest,
@@ -32,9 +32,9 @@
     let holder = request.id.clone();
     let shard = entry.key_shard(&key).ok_or_else(|| not_run(Reason::NoOwner, None))?;
     let held_key = HeldKey { shard: shard.clone(), key: key.clone(), holder: holder.clone() };
-    let ask = OwnerRequest::TakeKey { key, holder: holder.clone() };
-    let left = classified.deadline.since(entry.now());
-    match entry.ask_owner(&shard, ask, left).await {
+    let take = OwnerRequest::TakeKey { key, holder: holder.clone() };
+    let remaining = classified.deadline.since(entry.now());
+    match entry.ask_owner(&shard, take, remaining).await {
         Ok(PeerResponse::OwnerAnswer(Answer::KeyTaken)) => Ok(Some(held_key)),
         Ok(PeerResponse::OwnerAnswer(Answer::KeyKnown(known))) if known == holder => {
             Ok(Some(held_key))
@@ -51,12 +51,12 @@
 }
 
 impl HeldKey {
-    /// Gives the key back: surely nothing was run under it.
+    /// Releases the key of a request that was certainly not run.
     pub fn release(self, entry: &Arc<Entry>) {
         let entry = entry.clone();
         tokio::spawn(async move {
-            let ask = OwnerRequest::FreeKey { key: self.key, holder: self.holder };
-            let _ = entry.ask_owner(&self.shard, ask, crate::clock::Millis(5_000)).await;
+            let free = OwnerRequest::FreeKey { key: self.key, holder: self.holder };
+            let _ = entry.ask_owner(&self.shard, free, crate::clock::Millis(5_000)).await;
         });
     }
 }
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -1,5 +1,5 @@
-//! The chain of filters that a request passes: authenticate, classify, admit, site, hold, once,
-//! forward. Each takes the request on or refuses it for good.
+//! The chain of filters that a request passes: authenticate, classify, admit, destination, queue,
+//! idempotency, dispatch. Each filter passes the request on or refuses it for good.
 
 mod admit;
 pub mod authenticate;
@@ -21,49 +21,49 @@
 use hyper::header::CONTENT_TYPE;
 use std::sync::Arc;
 
-/// A request on its way through the chain.
+/// A request as received from a caller or from another failure domain.
 #[derive(Debug, Clone)]
 pub struct InboundRequest {
-    /// Its id, unique in the cell.
+    /// The request's id, unique in the cell.
     pub id: Name,
     /// The kind of work.
     pub kind: Name,
     /// The team of its caller; `None` for an operator.
     pub team: Option<Name>,
-    /// Its idempotency key.
+    /// The idempotency key, if the caller gave one.
     pub key: Option<Name>,
-    /// Whether its caller allows that it is run again.
+    /// Whether the caller allows the request to be run more than once.
     pub may_repeat: bool,
-    /// When it came.
+    /// When this entry received the request.
     pub received: Millis,
-    /// How long its caller waits, if it said so.
+    /// How long the caller waits for the response, if it said so.
     pub max_wait: Option<Millis>,
-    /// Headers that go to the runner.
+    /// The headers to pass on to the runner.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// A request with its policy.
+/// A request with the table row of its kind of work.
 #[derive(Debug, Clone)]
 pub struct ClassifiedRequest {
     /// The request.
     pub request: InboundRequest,
-    /// The row of its kind.
+    /// The table row of its kind of work.
     pub row: Row,
-    /// When its answer is due.
+    /// When the response is due.
     pub deadline: Millis,
 }
 
 impl ClassifiedRequest {
-    /// Whether it may be run again after it may have run.
+    /// Whether the request may be run again when an earlier attempt may have been run.
     pub fn repeatable(&self) -> bool {
         self.row.repeat && self.request.may_repeat
     }
 }
 
 impl InboundRequest {
-    /// A request that another failure domain sent here.
+    /// Converts a request that an entry of another failure domain forwarded to this one.
     pub fn from_forwarded(forwarded: ForwardedRequest, now: Millis) -> Self {
         Self {
             id: forwarded.id,
@@ -79,15 +79,15 @@
     }
 }
 
-/// The refusal of a request of which nothing was run.
+/// The error for a request that was certainly not run.
 pub(crate) fn not_run(reason: Reason, after: Option<Millis>) -> RequestError {
     RequestError { reason, run: Executed::No, after }
 }
 
-/// Takes a caller's request through the whole chain.
+/// Takes a caller's request through the filters and records its outcome.
 ///
 /// # Errors
-/// The final refusal.
+/// If a filter refuses the request or it fails.
 pub async fn run(
     entry: Arc<Entry>,
     request: InboundRequest,
@@ -105,12 +105,13 @@
     let classified = classify::apply(entry, request)?;
     admit::apply(entry, &classified)?;
     match destination::apply(entry, &classified).await? {
-        Some(answer) => Ok(answer),
+        Some(response) => Ok(response),
         None => serve_locally(entry, &classified).await,
     }
 }
 
-/// Takes a request of another failure domain through the rest of the chain.
+/// Serves a request that another failure domain forwarded. It was admitted there and is not
+/// forwarded again.
 pub async fn run_forwarded(entry: Arc<Entry>, request: InboundRequest) -> ForwardedResponse {
     let classified = classify::apply(&entry, request);
     let result = match &classified {
--- a/src/filter/problem.rs
+++ b/src/filter/problem.rs
@@ -1,4 +1,5 @@
-//! Refusals as `application/problem+json` (RFC 9457), with `run` and a reason of a fixed list.
+//! Error responses as `application/problem+json` (RFC 9457), with two members of our own: `run`,
+//! whether the request may have been run, and `reason`, one of a fixed list.
 
 use crate::controller::shard::office::Refusal;
 use crate::wire::msg::{Executed, Reason, RequestError};
@@ -7,7 +8,7 @@
 use poem::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use serde::Serialize;
 
-/// A refusal for callers.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 struct Problem {
     #[serde(rename = "type")]
@@ -18,7 +19,7 @@
     reason: serde_json::Value,
 }
 
-/// The status of a refusal.
+/// The HTTP status for a reason.
 pub fn status(reason: &Reason) -> StatusCode {
     match reason {
         Reason::Unauthorized => StatusCode::UNAUTHORIZED,
@@ -41,7 +42,7 @@
     }
 }
 
-/// `run` as the time line has it.
+/// The value of `run` in events of the timeline.
 pub fn run_name(run: Executed) -> &'static str {
     match run {
         Executed::No => "no",
@@ -49,7 +50,7 @@
     }
 }
 
-/// The answer for a refusal.
+/// The HTTP response for a refused or failed request.
 pub fn response(refused: &RequestError) -> Response {
     let status = status(&refused.reason);
     let reason = match refused.reason {
@@ -71,7 +72,7 @@
     builder.body(serde_json::to_vec(&problem).unwrap_or_default())
 }
 
-/// A refusal as an error of an API call.
+/// The same response as an error of an API handler.
 pub fn error(refused: &RequestError) -> poem::Error {
     poem::Error::from_response(response(refused))
 }
--- a/src/filter/queue.rs
+++ b/src/filter/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue for a slot of a runner.
+//! The filter that queues a request until a runner has a free slot.
 
 use crate::controller::slots::Waiting;
 use crate::entry::{Entry, Slot};
@@ -6,10 +6,11 @@
 use crate::wire::msg::{Reason, RequestError};
 use std::sync::Arc;
 
-/// Waits for a slot.
+/// Waits for a slot of a runner.
 ///
 /// # Errors
-/// At once if the queue is full or the turn would come too late; when it should come again.
+/// At once if the queue is full or no slot is expected before the deadline; the error says when to
+/// retry.
 pub async fn apply(
     entry: &Arc<Entry>,
     classified: &ClassifiedRequest,
