--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -72,6 +72,6 @@
 async fn planned_stop_done(entry: Arc<Entry>, signals: watch::Receiver<u32>) {
     tokio::select! {
         () = wait_for_signals(signals, 1) => entry.stop().await,
-        () = entry.drained() => {}
+        () = entry.wait_stopped() => {}
     }
 }
--- a/src/demo/cell.rs
+++ b/src/demo/cell.rs
@@ -172,7 +172,7 @@
 
     async fn wait_until_ready(&self, begun: Millis) -> Result<()> {
         while Millis::now().since(begun) < START_TIMEOUT {
-            let owned: usize = self.entries.iter().map(|(entry, _)| entry.owned()).sum();
+            let owned: usize = self.entries.iter().map(|(entry, _)| entry.owned_shards()).sum();
             let tables = self.entries.iter().all(|(entry, _)| !entry.table().rows.is_empty());
             if owned == DOMAINS.len() && tables {
                 return Ok(());
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -3,7 +3,7 @@
 use crate::clock::Millis;
 use crate::controller::shard::office::{Answer, Load};
 use crate::controller::table::Verdict;
-use crate::entry::http::{MAX_EVENTS, MAX_KEY, bearer, fail, refuse};
+use crate::entry::http::{MAX_EVENTS, MAX_KEY_LEN, api_error, bearer, refuse};
 use crate::entry::view::{
     JobAccepted, JobRequest, JobView, Published, ShardView, StatusView, TableView,
 };
@@ -27,9 +27,9 @@
 use std::sync::Arc;
 
 /// How long the API waits for owners.
-const OWNER_LIMIT: Millis = Millis(8_000);
+const OWNER_TIMEOUT: Millis = Millis(8_000);
 /// How long a publish or a job waits to be read back from the log.
-const COMMIT_LIMIT: Millis = Millis(3_000);
+const COMMIT_TIMEOUT: Millis = Millis(3_000);
 /// The administration API.
 pub(super) struct Api {
     entry: Arc<Entry>,
@@ -39,7 +39,7 @@
 
 impl Api {
     fn caller(&self, request: &Request) -> Result<Caller> {
-        authenticate::apply(&self.entry.settings.tokens, bearer(request)).map_err(fail)
+        authenticate::apply(&self.entry.settings.tokens, bearer(request)).map_err(api_error)
     }
 
     fn operator(&self, request: &Request) -> Result<Caller> {
@@ -53,16 +53,16 @@
     /// The id for a new job: under the same key always the same.
     async fn job_id(&self, shard: &Name, key: Option<&str>, team: &str) -> Result<JobId> {
         let entry = &self.entry;
-        let fresh = JobId::new(shard.clone(), &entry.me, entry.next());
+        let fresh = JobId::new(shard.clone(), &entry.me, entry.next_number());
         let Some(key) = key else { return Ok(fresh) };
-        if key.is_empty() || key.len() > MAX_KEY {
+        if key.is_empty() || key.len() > MAX_KEY_LEN {
             return Err(refuse(Reason::Malformed));
         }
         let key: Name = format!("{team}/job/{key}").into();
         let keeper = entry.key_shard(&key).ok_or_else(|| refuse(Reason::NoOwner))?;
         let holder: Name = fresh.to_string().into();
         let ask = OwnerRequest::TakeKey { key, holder };
-        match entry.ask_owner(&keeper, ask, OWNER_LIMIT).await.map_err(fail)? {
+        match entry.ask_owner(&keeper, ask, OWNER_TIMEOUT).await.map_err(api_error)? {
             PeerResponse::OwnerAnswer(Answer::KeyKnown(known)) => {
                 known.parse().map_err(|_| refuse(Reason::KeyKnown))
             }
@@ -79,19 +79,19 @@
         if row.team != spec.team {
             return Err(refuse(Reason::WrongTeam));
         }
-        let order = entry.offer_order(row, &spec, entry.next()).map_err(fail)?;
+        let order = entry.offer_order(row, &spec, entry.next_number()).map_err(api_error)?;
         let mut last = not_run(Reason::NoOwner, None);
         for shard in order {
             let job = self.job_id(&shard, key, &spec.team).await?;
-            match entry.submit_to(job.clone(), spec.clone(), OWNER_LIMIT).await {
+            match entry.submit_to(job.clone(), spec.clone(), OWNER_TIMEOUT).await {
                 Ok(()) => return Ok(self.accepted(job, spec).await),
                 Err(refused) if refused.run == Executed::Unknown || key.is_some() => {
-                    return Err(fail(refused));
+                    return Err(api_error(refused));
                 }
                 Err(refused) => last = refused,
             }
         }
-        Err(fail(last))
+        Err(api_error(last))
     }
 
     /// Says where an accepted job is kept, and not more than is so.
@@ -99,7 +99,7 @@
         let entry = &self.entry;
         let record = Record::Job { job: job.clone(), spec, at: entry.now() };
         let logged = entry.is_log_fresh()
-            && entry.writer.commit(vec![record], entry.now(), COMMIT_LIMIT).await;
+            && entry.writer.commit(vec![record], entry.now(), COMMIT_TIMEOUT).await;
         let kept = if logged { JobStorage::Log } else { JobStorage::Peer };
         let kept = format!("{kept:?}").to_lowercase();
         JobAccepted { job: job.to_string(), kept }
@@ -132,7 +132,7 @@
         };
         let loads = state.as_ref().map(|state| state.loads.clone()).unwrap_or_default();
         if let Some(state) = state {
-            view.fill(state);
+            view.fill_from_owner(state);
         }
         (view, loads)
     }
@@ -187,7 +187,7 @@
     async fn get_job(&self, request: &Request, id: Path<String>) -> Result<Json<JobView>> {
         let caller = self.caller(request)?;
         let id: JobId = id.parse().map_err(|_| refuse(Reason::NotFound))?;
-        let status = self.entry.job_status(&id, OWNER_LIMIT).await.map_err(fail)?;
+        let status = self.entry.job_status(&id, OWNER_TIMEOUT).await.map_err(api_error)?;
         match caller.may_act_for(&status.spec.team) {
             true => Ok(Json(status.into())),
             false => Err(refuse(Reason::NotFound)),
@@ -199,12 +199,12 @@
     async fn delete_job(&self, request: &Request, id: Path<String>) -> Result<Json<JobView>> {
         let caller = self.caller(request)?;
         let id: JobId = id.parse().map_err(|_| refuse(Reason::NotFound))?;
-        let status = self.entry.job_status(&id, OWNER_LIMIT).await.map_err(fail)?;
+        let status = self.entry.job_status(&id, OWNER_TIMEOUT).await.map_err(api_error)?;
         if !caller.may_act_for(&status.spec.team) {
             return Err(refuse(Reason::NotFound));
         }
         let ask = OwnerRequest::Cancel { job: id.clone() };
-        match self.entry.ask_owner(&id.shard, ask, OWNER_LIMIT).await.map_err(fail)? {
+        match self.entry.ask_owner(&id.shard, ask, OWNER_TIMEOUT).await.map_err(api_error)? {
             PeerResponse::OwnerAnswer(Answer::Cancelled(status)) => Ok(Json((*status).into())),
             _ => Err(refuse(Reason::NotFound)),
         }
@@ -254,25 +254,25 @@
     ) -> Result<Json<Published>> {
         let caller = self.operator(request)?;
         if let Err(faults) = Table::parse(&csv) {
-            return Err(faulty(&faults));
+            return Err(invalid_table(&faults));
         }
         let entry = &self.entry;
-        let number = entry.next();
+        let number = entry.next_number();
         let id = key.0.unwrap_or_else(|| format!("{}/{number}", entry.me));
         let id: Name = id.into();
         let by = caller.name;
         let publish = TablePublish { id: id.clone(), base: base.0, by, csv: csv.0.into() };
         let records = vec![Record::Publish(publish)];
-        let read_back = entry.writer.commit(records, entry.now(), COMMIT_LIMIT).await;
+        let read_back = entry.writer.commit(records, entry.now(), COMMIT_TIMEOUT).await;
         let verdict = lock(&entry.fold).tables.verdict(&id).cloned();
         match verdict {
             Some(Verdict::Accepted(rev)) => Ok(Json(Published { rev })),
-            Some(Verdict::Lost { rev, by }) => Err(lost(rev, &by)),
+            Some(Verdict::Lost { rev, by }) => Err(conflict(rev, &by)),
             Some(Verdict::Faulty) => Err(refuse(Reason::Malformed)),
             None if read_back => Err(refuse(Reason::NoLog)),
             None => {
                 let (reason, run) = (Reason::NoLog, Executed::Unknown);
-                Err(fail(RequestError { reason, run, after: Some(COMMIT_LIMIT) }))
+                Err(api_error(RequestError { reason, run, after: Some(COMMIT_TIMEOUT) }))
             }
         }
     }
@@ -291,7 +291,7 @@
             loads.extend(view.1);
         }
         let (slots, waiting) = entry.slot_load();
-        let peers = lock(&entry.peers).fresh(entry.now());
+        let peers = lock(&entry.peers).reachable(entry.now());
         Ok(Json(StatusView {
             entry: entry.me.to_string(),
             domain: entry.settings.domain.to_string(),
@@ -332,7 +332,7 @@
 }
 
 /// The refusal of a table with faults: all of them.
-fn faulty(faults: &[Fault]) -> poem::Error {
+fn invalid_table(faults: &[Fault]) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
         "title": "Faulty table",
@@ -345,7 +345,7 @@
 }
 
 /// The refusal of a publish that came second.
-fn lost(rev: u64, by: &str) -> poem::Error {
+fn conflict(rev: u64, by: &str) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
         "title": "Another table was published first",
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -11,42 +11,43 @@
 use std::sync::Arc;
 
 /// How long the successor may take to answer once.
-const SUCCESSOR_LIMIT: Millis = Millis(1_000);
+const SUCCESSOR_TIMEOUT: Millis = Millis(1_000);
 /// How often the successor is told.
-const TRIES: u32 = 10;
+const MAX_ATTEMPTS: u32 = 10;
 /// Pause before it is told again.
-const PAUSE: Millis = Millis(100);
+const RETRY_DELAY: Millis = Millis(100);
 
 impl Entry {
     /// Hands a shard over to one of its replicas. Once this entry has stepped down, only
     /// that one can own the shard in this epoch, so it is told until it answers.
     pub(super) async fn hand_over(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        let Some((to, addr)) = self.successor(handle).await else { return };
+        let Some((to, addr)) = self.find_successor(handle).await else { return };
         let Some((epoch, state)) = handle.shard().hand_over() else { return };
         let (shard, name) = (handle.id.clone(), to.name.clone());
         self.trace.record(EventKind::HandedOver { shard: shard.clone(), epoch, to: name.clone() });
-        self.news.notify_one();
+        self.state_changed.notify_one();
         let from = self.me.clone();
         let ask = PeerRequest::HandOver { shard, from, to, epoch, state };
-        for _ in 0..TRIES {
-            if self.quic.request(&name, addr, ask.clone(), SUCCESSOR_LIMIT).await.is_ok() {
+        for _ in 0..MAX_ATTEMPTS {
+            if self.quic.request(&name, addr, ask.clone(), SUCCESSOR_TIMEOUT).await.is_ok() {
                 return;
             }
-            tokio::time::sleep(PAUSE.duration()).await;
+            tokio::time::sleep(RETRY_DELAY.duration()).await;
         }
     }
 
     /// A replica that can be reached, is not stopping, and knows of hand-overs.
-    async fn successor(&self, handle: &ShardHandle) -> Option<(EntryId, SocketAddr)> {
+    async fn find_successor(&self, handle: &ShardHandle) -> Option<(EntryId, SocketAddr)> {
         let replicas = handle.shard().office().map(|office| office.replicas())?;
         for id in replicas {
             let addr = {
                 let peers = lock(&self.peers);
-                let fresh = peers.fresh(self.now()).into_iter().find(|(name, ..)| *name == id.name);
+                let fresh =
+                    peers.reachable(self.now()).into_iter().find(|(name, ..)| *name == id.name);
                 fresh.filter(|_| peers.incarnation(&id.name) == Some(id.incarnation))
             };
             let Some((name, _, addr)) = addr else { continue };
-            let version = self.quic.version(&name, addr, SUCCESSOR_LIMIT).await;
+            let version = self.quic.version(&name, addr, SUCCESSOR_TIMEOUT).await;
             if version.is_ok_and(|version| version >= VERSION_2) {
                 return Some((id, addr));
             }
@@ -55,7 +56,7 @@
     }
 
     /// Goes on as the owner of a shard that its owner handed over to this run of this entry.
-    pub(super) fn take_hand_over(
+    pub(super) fn accept_hand_over(
         self: &Arc<Self>,
         shard: &Name,
         from: EntryId,
@@ -81,7 +82,7 @@
         }
         lock(&self.claimant).release(shard.clone(), epoch);
         let (shard, from) = (shard.clone(), from.name);
-        self.begin_office(&handle, epoch, EventKind::OwnershipContinued { shard, epoch, from });
+        self.begin_ownership(&handle, epoch, EventKind::OwnershipContinued { shard, epoch, from });
         PeerResponse::Done
     }
 
--- a/src/entry/beat.rs
+++ b/src/entry/heartbeat.rs
@@ -14,43 +14,43 @@
 use std::sync::Arc;
 
 /// How long a peer may take to answer a heartbeat.
-const BEAT_LIMIT: Millis = Millis(1_000);
+const HEARTBEAT_TIMEOUT: Millis = Millis(1_000);
 /// How long an exchange with the list may take.
-const LIST_LIMIT: Millis = Millis(2_000);
+const LIST_TIMEOUT: Millis = Millis(2_000);
 
 impl Entry {
     /// Sends heartbeats, at once when there is news.
-    pub(super) async fn beat(self: Arc<Self>) {
+    pub(super) async fn send_heartbeats(self: Arc<Self>) {
         let mut timer = tokio::time::interval(self.settings.heartbeat_interval.duration());
         loop {
             tokio::select! {
                 _ = timer.tick() => {}
-                _ = self.news.notified() => {}
+                _ = self.state_changed.notified() => {}
             }
-            lock(&self.outbox).update(self.shard_beats());
+            lock(&self.outbox).update(self.shard_heartbeats());
             for (name, addr) in lock(&self.peers).all() {
-                tokio::spawn(self.clone().beat_to(name, addr));
+                tokio::spawn(self.clone().send_heartbeat(name, addr));
             }
         }
     }
 
-    async fn beat_to(self: Arc<Self>, name: Name, addr: SocketAddr) {
+    async fn send_heartbeat(self: Arc<Self>, name: Name, addr: SocketAddr) {
         let ask = |version| match version {
-            VERSION_2.. => Some(PeerRequest::DeltaHeartbeat(self.make_delta(&name))),
-            _ => Some(PeerRequest::Heartbeat(self.make_beat(self.shard_beats()))),
+            VERSION_2.. => Some(PeerRequest::DeltaHeartbeat(self.delta_heartbeat(&name))),
+            _ => Some(PeerRequest::Heartbeat(self.heartbeat(self.shard_heartbeats()))),
         };
-        match self.quic.request_by_version(&name, addr, ask, BEAT_LIMIT).await {
-            Ok(PeerResponse::Heartbeat(beat)) => self.take_beat(beat).await,
+        match self.quic.request_by_version(&name, addr, ask, HEARTBEAT_TIMEOUT).await {
+            Ok(PeerResponse::Heartbeat(beat)) => self.handle_heartbeat(beat).await,
             Ok(PeerResponse::DeltaHeartbeat(message)) => {
                 if let Some(beat) = self.merge_delta(message) {
-                    self.take_beat(beat).await;
+                    self.handle_heartbeat(beat).await;
                 }
             }
             _ => {}
         }
     }
 
-    fn shard_beats(&self) -> Vec<ShardHeartbeat> {
+    fn shard_heartbeats(&self) -> Vec<ShardHeartbeat> {
         let beats = self.shards().into_iter().map(|handle| {
             let start_pending = handle.flights().any_before(self.now(), &u64::MAX);
             let known = lock(&self.fold).claims.epoch(&handle.id);
@@ -68,45 +68,48 @@
         beats.collect()
     }
 
-    fn make_beat(&self, shards: Vec<ShardHeartbeat>) -> Heartbeat {
+    fn heartbeat(&self, shards: Vec<ShardHeartbeat>) -> Heartbeat {
         Heartbeat {
             shards,
             from: self.me.clone(),
             domain: self.settings.domain.clone(),
             addr: self.settings.peer,
-            is_stopping: self.is_leaving(),
+            is_stopping: self.stop_requested(),
             table_rev: lock(&self.fold).tables.rev(),
-            list_rev: lock(&self.lists).newest().rev,
+            list_rev: lock(&self.vm_lists).newest().rev,
         }
     }
 
     /// A heartbeat for one peer, with the shards that changed since it last said what it holds.
-    fn make_delta(&self, peer: &Name) -> DeltaHeartbeat {
+    fn delta_heartbeat(&self, peer: &Name) -> DeltaHeartbeat {
         let held = {
             let peers = lock(&self.peers);
             let inc = peers.incarnation(peer).unwrap_or_default();
-            peers.held(peer, inc)
+            peers.held_seq(peer, inc)
         };
         let delta = lock(&self.outbox).delta(peer, held);
-        DeltaHeartbeat { heartbeat: self.make_beat(Vec::new()), delta }
+        DeltaHeartbeat { heartbeat: self.heartbeat(Vec::new()), delta }
     }
 
     /// Answers a peer's heartbeat.
-    pub(super) fn answer_beat(self: &Arc<Self>, beat: Heartbeat) -> PeerResponse {
+    pub(super) fn answer_heartbeat(self: &Arc<Self>, beat: Heartbeat) -> PeerResponse {
         let entry = self.clone();
-        tokio::spawn(async move { entry.take_beat(beat).await });
-        PeerResponse::Heartbeat(self.make_beat(self.shard_beats()))
+        tokio::spawn(async move { entry.handle_heartbeat(beat).await });
+        PeerResponse::Heartbeat(self.heartbeat(self.shard_heartbeats()))
     }
 
     /// Answers a peer's heartbeat that leaves out what did not change.
-    pub(super) fn answer_delta(self: &Arc<Self>, message: DeltaHeartbeat) -> PeerResponse {
+    pub(super) fn answer_delta_heartbeat(
+        self: &Arc<Self>,
+        message: DeltaHeartbeat,
+    ) -> PeerResponse {
         let peer = message.heartbeat.from.name.clone();
         if let Some(beat) = self.merge_delta(message) {
             let entry = self.clone();
-            tokio::spawn(async move { entry.take_beat(beat).await });
+            tokio::spawn(async move { entry.handle_heartbeat(beat).await });
         }
-        lock(&self.outbox).update(self.shard_beats());
-        PeerResponse::DeltaHeartbeat(self.make_delta(&peer))
+        lock(&self.outbox).update(self.shard_heartbeats());
+        PeerResponse::DeltaHeartbeat(self.delta_heartbeat(&peer))
     }
 
     /// The whole heartbeat, and a note of what the peer holds.
@@ -115,26 +118,26 @@
         lock(&self.peers).merge(message)
     }
 
-    pub(super) async fn take_beat(self: &Arc<Self>, beat: Heartbeat) {
+    pub(super) async fn handle_heartbeat(self: &Arc<Self>, beat: Heartbeat) {
         let (from, domain, addr) = (beat.from.clone(), beat.domain.clone(), beat.addr);
         let (rev, list) = (beat.table_rev, beat.list_rev);
-        let replaced = lock(&self.peers).heard(self.now(), beat.clone());
+        let replaced = lock(&self.peers).record_heartbeat(self.now(), beat.clone());
         if domain == self.settings.domain {
-            self.take_shard_beats(&from, &beat.shards);
+            self.fence_former_owners(&from, &beat.shards);
         }
         if let Some(old) = replaced {
-            self.entry_gone(&old);
+            self.handle_entry_gone(&old);
         }
         if rev > lock(&self.fold).tables.rev() {
             self.fetch_table(&from.name, addr).await;
         }
-        if list > lock(&self.lists).newest().rev {
-            self.fetch_list(&from.name, addr).await;
+        if list > lock(&self.vm_lists).newest().rev {
+            self.fetch_vm_list(&from.name, addr).await;
         }
     }
 
     /// A former owner that knows of this entry's epoch and has no start in flight is fenced.
-    fn take_shard_beats(self: &Arc<Self>, from: &EntryId, beats: &[ShardHeartbeat]) {
+    fn fence_former_owners(self: &Arc<Self>, from: &EntryId, beats: &[ShardHeartbeat]) {
         for beat in beats {
             let Some(handle) = self.handle(&beat.shard) else { continue };
             let epoch = handle.shard().office().map(|office| office.fence_epoch());
@@ -146,7 +149,7 @@
     }
 
     /// A run of an entry is over for good.
-    pub(super) fn entry_gone(self: &Arc<Self>, id: &EntryId) {
+    pub(super) fn handle_entry_gone(self: &Arc<Self>, id: &EntryId) {
         for handle in self.shards() {
             handle.lender().gone(&id.name);
             self.step(&handle, Event::Gone(id.clone()));
@@ -154,48 +157,48 @@
     }
 
     async fn fetch_table(self: &Arc<Self>, name: &Name, addr: SocketAddr) {
-        let answer = self.quic.request(name, addr, PeerRequest::Table, BEAT_LIMIT).await;
+        let answer = self.quic.request(name, addr, PeerRequest::Table, HEARTBEAT_TIMEOUT).await;
         let Ok(PeerResponse::Table(Some(revision))) = answer else { return };
         if lock(&self.fold).tables.adopt(revision) {
-            self.take_table();
+            self.apply_table();
         }
     }
 
-    async fn fetch_list(self: &Arc<Self>, name: &Name, addr: SocketAddr) {
-        let answer = self.quic.request(name, addr, PeerRequest::VmList, BEAT_LIMIT).await;
+    async fn fetch_vm_list(self: &Arc<Self>, name: &Name, addr: SocketAddr) {
+        let answer = self.quic.request(name, addr, PeerRequest::VmList, HEARTBEAT_TIMEOUT).await;
         if let Ok(PeerResponse::VmList(list)) = answer {
-            self.take_list(list);
+            self.apply_vm_list(list);
         }
     }
 
     /// Reads the platform's VM list.
-    pub(super) async fn read_list(self: Arc<Self>) {
+    pub(super) async fn poll_vm_list(self: Arc<Self>) {
         let mut timer = tokio::time::interval(self.settings.list_interval.duration());
         let mut up = true;
         loop {
             timer.tick().await;
             let addr = &self.settings.platform.list;
-            let ask = lock(&self.lists).newest().rev;
+            let ask = lock(&self.vm_lists).newest().rev;
             let me = &self.me.name;
-            let list = self.http.post_json(me, addr, "/list", &ask, LIST_LIMIT).await;
+            let list = self.http.post_json(me, addr, "/list", &ask, LIST_TIMEOUT).await;
             if list.is_ok() != up {
                 up = !up;
                 self.trace.record(EventKind::Platform { part: "list".into(), up });
             }
             if let Ok(list) = list {
-                self.take_list(list);
+                self.apply_vm_list(list);
             }
         }
     }
 
     /// Takes a VM list if it is newer than the one held.
-    pub(super) fn take_list(self: &Arc<Self>, list: VmList) {
+    pub(super) fn apply_vm_list(self: &Arc<Self>, list: VmList) {
         let before: Vec<Name> = self.leaving_vms();
-        if !lock(&self.lists).take(list.clone()) {
+        if !lock(&self.vm_lists).take(list.clone()) {
             return;
         }
-        let gone = |name: &str| lock(&self.lists).is_gone(name);
-        lock(&self.peers).set_list(&list, gone);
+        let gone = |name: &str| lock(&self.vm_lists).is_gone(name);
+        lock(&self.peers).apply_vm_list(&list, gone);
         for vm in self.leaving_vms().into_iter().filter(|vm| !before.contains(vm)) {
             self.trace.record(EventKind::Leaving { vm });
         }
@@ -204,22 +207,22 @@
             self.open_shard(&vm.rack);
         }
         for handle in self.shards() {
-            self.set_list(&handle);
+            self.pass_vm_list(&handle);
             self.drop_gone_entries(&handle);
         }
         self.update_runners();
-        self.news.notify_one();
+        self.state_changed.notify_one();
     }
 
     fn leaving_vms(&self) -> Vec<Name> {
-        let lists = lock(&self.lists);
+        let lists = lock(&self.vm_lists);
         let leaving = lists.newest().vms.iter().filter(|vm| vm.leaving);
         leaving.map(|vm| vm.name.clone()).collect()
     }
 
     /// Tells the owner of a shard, if it is here, what the list says.
-    pub(super) fn set_list(self: &Arc<Self>, handle: &Arc<crate::entry::ShardHandle>) {
-        let list = lock(&self.lists).newest().clone();
+    pub(super) fn pass_vm_list(self: &Arc<Self>, handle: &Arc<crate::entry::ShardHandle>) {
+        let list = lock(&self.vm_lists).newest().clone();
         if list.rev == 0 {
             return;
         }
@@ -251,7 +254,7 @@
     /// Tells this entry's slots which runners there are and which are leaving.
     pub(super) fn update_runners(&self) {
         let table = self.table();
-        let list = lock(&self.lists).newest().clone();
+        let list = lock(&self.vm_lists).newest().clone();
         let here = list.vms.into_iter().filter(|vm| vm.domain == self.settings.domain);
         let runners = here.filter(|vm| vm.role == Role::Runner);
         let known = runners.map(|vm| {
@@ -259,6 +262,6 @@
             (vm.name, vm.rack, leaving)
         });
         lock(&self.slots).set_runners(known.collect());
-        self.give_turns();
+        self.wake_waiters();
     }
 }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -23,7 +23,7 @@
 /// `no`: the request must not be run twice, whatever its row says.
 const REPEAT_HEADER: &str = "work-repeat";
 /// The longest idempotency key.
-pub(super) const MAX_KEY: usize = 255;
+pub(super) const MAX_KEY_LEN: usize = 255;
 /// Headers of a request that are not passed on to a runner.
 const HOP_HEADERS: [&str; 9] = [
     "authorization",
@@ -43,7 +43,7 @@
     problem::error(&not_run(reason, None))
 }
 
-pub(super) fn fail(refused: RequestError) -> poem::Error {
+pub(super) fn api_error(refused: RequestError) -> poem::Error {
     problem::error(&refused)
 }
 
@@ -75,7 +75,7 @@
     let caller = authenticate::apply(&entry.settings.tokens, bearer(request))?;
     let malformed = || not_run(Reason::Malformed, None);
     let key = request.header(KEY_HEADER);
-    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
+    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_LEN) {
         return Err(malformed());
     }
     let may_repeat = match request.header(REPEAT_HEADER) {
@@ -90,7 +90,7 @@
     })?;
     let headers = request.headers().iter();
     let passed = headers.filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()));
-    let id = format!("{}/{}/{}", entry.me.name, entry.me.incarnation, entry.next());
+    let id = format!("{}/{}/{}", entry.me.name, entry.me.incarnation, entry.next_number());
     Ok(InboundRequest {
         id: id.into(),
         kind: kind.into(),
@@ -98,7 +98,7 @@
         key: key.map(Name::from),
         may_repeat,
         received,
-        max_wait: wait_of(request.header(PREFER_HEADER)),
+        max_wait: parse_wait(request.header(PREFER_HEADER)),
         headers: passed
             .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
             .collect(),
@@ -107,7 +107,7 @@
 }
 
 /// The time of `Prefer: wait=SECONDS`.
-fn wait_of(prefer: Option<&str>) -> Option<Millis> {
+fn parse_wait(prefer: Option<&str>) -> Option<Millis> {
     let parts = prefer?.split([',', ';']);
     let seconds = parts.filter_map(|part| part.trim().strip_prefix("wait=")).next()?;
     let seconds: f64 = seconds.parse().ok()?;
@@ -148,7 +148,7 @@
 
 #[handler]
 fn metrics(entry: Data<&Arc<Entry>>) -> String {
-    entry.metrics.shards.set(entry.owned() as i64);
+    entry.metrics.shards.set(entry.owned_shards() as i64);
     let traffic = &entry.quic.traffic;
     entry.metrics.peer_messages.set(traffic.requests.load(Ordering::Relaxed) as i64);
     entry.metrics.peer_bytes.set(traffic.bytes.load(Ordering::Relaxed) as i64);
@@ -162,7 +162,7 @@
     request: &Request,
     ask: Json<TimelineRequest>,
 ) -> poem::Result<Json<Vec<Event>>> {
-    let caller = authenticate::apply(&entry.settings.tokens, bearer(request)).map_err(fail)?;
+    let caller = authenticate::apply(&entry.settings.tokens, bearer(request)).map_err(api_error)?;
     match caller.team {
         None => Ok(Json(entry.trace.events_after(ask.since, ask.max.min(MAX_EVENTS)))),
         Some(_) => Err(refuse(Reason::Forbidden)),
@@ -170,7 +170,7 @@
 }
 
 /// Turns errors of the framework into problems.
-async fn as_problem(err: poem::Error) -> Response {
+async fn into_problem(err: poem::Error) -> Response {
     let status = err.status();
     let response = err.into_response();
     let content = response.header(CONTENT_TYPE.as_str()).unwrap_or("");
@@ -199,6 +199,6 @@
         .at("/v1/openapi.json", description)
         .nest("/v1", service)
         .data(entry)
-        .catch_all_error(as_problem)
+        .catch_all_error(into_problem)
         .into_endpoint()
 }
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -4,7 +4,8 @@
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
 
 /// Upper bounds of the buckets for waiting times, in seconds.
-const BUCKETS: [f64; 12] = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5, 6.4, 30.0];
+const WAIT_BUCKETS_SECONDS: [f64; 12] =
+    [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5, 6.4, 30.0];
 
 /// The metrics.
 #[derive(Debug)]
@@ -39,7 +40,8 @@
         let registry = registry::Metrics::default();
         let counter = |name: &str, help: &str| registry.counter(name, help);
         let gauge = |name: &str, help: &str| registry.gauge(name, help);
-        let histogram = |name: &str, help: &str| registry.histogram(name, help, &BUCKETS);
+        let histogram =
+            |name: &str, help: &str| registry.histogram(name, help, &WAIT_BUCKETS_SECONDS);
         let help = "Requests by kind and status";
         let requests =
             registry.counter_vec("sprucerudder_requests_total", help, &["kind", "status"])?;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -2,17 +2,17 @@
 //! into messages.
 
 mod api;
-mod beat;
 mod handover;
+mod heartbeat;
 mod http;
 mod log;
 mod metrics;
 mod owner;
 mod peers;
-mod request;
+mod quota;
 mod route;
 mod serve;
-mod share;
+mod slots;
 mod stop;
 mod view;
 
@@ -36,7 +36,7 @@
 use crate::wire::quic::{QuicTransport, WireError};
 use metrics::Metrics;
 use peers::Peers;
-pub(crate) use request::Slot;
+pub(crate) use slots::Slot;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -68,11 +68,11 @@
     /// Limits of the cell that this shard is home to.
     pool: Mutex<Pool>,
     /// Tasks wait for a part of a limit.
-    short: Notify,
+    quota_wanted: Notify,
     /// There is something to replicate.
-    kick: Notify,
+    replication_due: Notify,
     /// A search for the shard's state is under way.
-    searching: AtomicBool,
+    is_searching: AtomicBool,
     /// Starts that this entry sent and that may still arrive at a worker.
     flights: Mutex<Flights<u64>>,
 }
@@ -84,9 +84,9 @@
             shard: Mutex::new(Shard::new(id, me)),
             lender: Mutex::new(Lender::new(now)),
             pool: Mutex::new(Pool::new(0)),
-            short: Notify::new(),
-            kick: Notify::new(),
-            searching: AtomicBool::new(false),
+            quota_wanted: Notify::new(),
+            replication_due: Notify::new(),
+            is_searching: AtomicBool::new(false),
             flights: Mutex::default(),
         }
     }
@@ -119,24 +119,24 @@
     pub(crate) metrics: Metrics,
     fold: Mutex<Fold>,
     table: RwLock<Arc<Table>>,
-    lists: Mutex<Lists>,
+    vm_lists: Mutex<Lists>,
     peers: Mutex<Peers>,
     outbox: Mutex<Outbox>,
     claimant: Mutex<Claimant>,
     shards: RwLock<BTreeMap<Name, Arc<ShardHandle>>>,
     slots: Mutex<Slots>,
-    budget: Mutex<Budget>,
-    turns: Mutex<HashMap<u64, oneshot::Sender<Turn>>>,
-    replies: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
+    retry_budget: Mutex<Budget>,
+    slot_waiters: Mutex<HashMap<u64, oneshot::Sender<Turn>>>,
+    pending_replies: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     counter: AtomicU64,
     writer: log::Writer,
     /// A new table or list is here: tell the peers at once.
-    news: Notify,
+    state_changed: Notify,
     /// The fold moved on.
-    folded: watch::Sender<u64>,
-    leaving: AtomicBool,
+    next_offset: watch::Sender<u64>,
+    stopping: AtomicBool,
     stopped: watch::Sender<bool>,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -172,21 +172,21 @@
             metrics: Metrics::new()?,
             fold: Mutex::new(Fold::new(domain.clone())),
             table: RwLock::default(),
-            lists: Mutex::default(),
+            vm_lists: Mutex::default(),
             outbox: Mutex::default(),
             claimant: Mutex::new(Claimant::new(me, domain, now)),
             shards: RwLock::default(),
             slots: Mutex::default(),
-            budget: Mutex::default(),
-            turns: Mutex::default(),
-            replies: Mutex::default(),
+            retry_budget: Mutex::default(),
+            slot_waiters: Mutex::default(),
+            pending_replies: Mutex::default(),
             counter: AtomicU64::new(1),
             writer,
-            news: Notify::new(),
-            folded: watch::Sender::new(0),
-            leaving: AtomicBool::new(false),
+            state_changed: Notify::new(),
+            next_offset: watch::Sender::new(0),
+            stopping: AtomicBool::new(false),
             stopped: watch::Sender::new(false),
-            open: AtomicUsize::new(0),
+            open_requests: AtomicUsize::new(0),
         });
         entry.trace.record(EventKind::ProcessStarted { role: "entry".into() });
         tokio::spawn(entry.clone().write_log(queue));
@@ -204,8 +204,8 @@
     ) -> io::Result<()> {
         let tasks = [
             tokio::spawn(self.clone().read_log()),
-            tokio::spawn(self.clone().read_list()),
-            tokio::spawn(self.clone().beat()),
+            tokio::spawn(self.clone().poll_vm_list()),
+            tokio::spawn(self.clone().send_heartbeats()),
             tokio::spawn(self.clone().tick()),
             tokio::spawn(self.clone().sync_workers()),
             tokio::spawn(self.clone().renew_slots()),
@@ -225,7 +225,7 @@
     }
 
     /// A number that this incarnation never gave before.
-    pub(crate) fn next(&self) -> u64 {
+    pub(crate) fn next_number(&self) -> u64 {
         self.counter.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -256,32 +256,32 @@
             let handle = Arc::new(ShardHandle::new(shard.clone(), self.me.clone(), self.now()));
             shards.insert(shard.clone(), handle.clone());
             tokio::spawn(self.clone().replicate(handle.clone()));
-            tokio::spawn(self.clone().share_limits(handle.clone()));
+            tokio::spawn(self.clone().request_quota(handle.clone()));
             handle
         })
     }
 
     /// A request adds to the budget for retries.
     pub(crate) fn deposit_retry(&self) {
-        lock(&self.budget).deposit();
+        lock(&self.retry_budget).deposit();
     }
 
     /// Takes a retry out of the budget.
     pub(crate) fn withdraw_retry(&self) -> bool {
-        let granted = lock(&self.budget).withdraw();
+        let granted = lock(&self.retry_budget).withdraw();
         self.metrics.retries.inc_by(granted as u64);
         granted
     }
 
     /// Whether this entry is stopping.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+    pub(crate) fn stop_requested(&self) -> bool {
+        self.stopping.load(Ordering::Relaxed)
     }
 
     /// Whether a run of an entry is over for good.
     pub(crate) fn is_gone(&self, id: &EntryId) -> bool {
         let newer = lock(&self.peers).incarnation(&id.name).is_some_and(|inc| inc > id.incarnation);
         let own = id.name == self.me.name && id.incarnation < self.me.incarnation;
-        newer || own || lock(&self.lists).is_gone(&id.name)
+        newer || own || lock(&self.vm_lists).is_gone(&id.name)
     }
 }
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -20,16 +20,16 @@
 use std::sync::atomic::Ordering;
 
 /// Time between looks at claims and due tasks.
-const TICK: Millis = Millis(200);
+const TICK_INTERVAL: Millis = Millis(200);
 /// How long a replica may take to answer.
-const REPLICA_LIMIT: Millis = Millis(1_000);
+const REPLICA_TIMEOUT: Millis = Millis(1_000);
 /// Pause before a replica is tried again.
-const REPLICA_PAUSE: Millis = Millis(100);
+const REPLICA_RETRY_DELAY: Millis = Millis(100);
 /// How long a worker may take to answer.
-const WORKER_LIMIT: Millis = Millis(1_500);
+const WORKER_TIMEOUT: Millis = Millis(1_500);
 
 /// A message to a worker.
-enum Tellable {
+enum WorkerMessage {
     Start(StartOrder),
     Stop(TaskId),
 }
@@ -37,7 +37,7 @@
 impl Entry {
     /// Claims, searches, and lets time pass for the shards owned here.
     pub(super) async fn tick(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(TICK.duration());
+        let mut timer = tokio::time::interval(TICK_INTERVAL.duration());
         let every = self.settings.refresh_interval;
         let mut refreshed = self.now() - Millis(hash(&[self.me.name.as_bytes()]) % every.0);
         let mut snapshot = 0;
@@ -45,7 +45,7 @@
             timer.tick().await;
             for handle in self.shards() {
                 self.step(&handle, Event::Tick);
-                self.fence_self(&handle);
+                self.fence_own_epochs(&handle);
                 self.claim(&handle);
                 self.begin_search(handle);
             }
@@ -53,12 +53,12 @@
                 refreshed = self.now();
                 snapshot = self.refresh_log(snapshot);
             }
-            self.give_turns();
+            self.wake_waiters();
         }
     }
 
     /// An earlier office of this same entry is fenced like another's.
-    fn fence_self(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
+    fn fence_own_epochs(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let epoch = handle.shard().office().map(|office| office.since());
         if epoch.is_some_and(|epoch| !handle.flights().any_before(self.now(), &epoch)) {
             self.step(handle, Event::Fenced(self.me.clone()));
@@ -80,7 +80,7 @@
     }
 
     fn claim(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        if self.is_leaving() || !self.is_log_fresh() {
+        if self.stop_requested() || !self.is_log_fresh() {
             return;
         }
         let now = self.now();
@@ -92,12 +92,12 @@
         let claim = lock(&self.claimant).decide(now, &handle.id, &fold.claims, &peers);
         drop(fold);
         if let Some(claim) = claim {
-            self.writer.claim(claim, now);
+            self.writer.append_claim(claim, now);
         }
     }
 
     /// The log has a new claim on a shard of this failure domain.
-    pub(super) fn take_claim(self: &Arc<Self>, claim: Claim) {
+    pub(super) fn apply_claim(self: &Arc<Self>, claim: Claim) {
         let handle = self.open_shard(&claim.shard);
         let (history, log) = {
             let fold = lock(&self.fold);
@@ -110,8 +110,8 @@
             _ if claim.owner == self.me => self.trace.record(EventKind::Elected { shard, epoch }),
             _ => self.trace.record(EventKind::EpochSealed { shard, epoch }),
         }
-        handle.kick.notify_one();
-        self.news.notify_one();
+        handle.replication_due.notify_one();
+        self.state_changed.notify_one();
         self.begin_search(handle);
     }
 
@@ -119,13 +119,13 @@
     /// not answer holds up no other shard.
     fn begin_search(self: &Arc<Self>, handle: Arc<ShardHandle>) {
         let wanted = handle.shard().claiming().is_some();
-        if !wanted || handle.searching.swap(true, Ordering::SeqCst) {
+        if !wanted || handle.is_searching.swap(true, Ordering::SeqCst) {
             return;
         }
         let entry = self.clone();
         tokio::spawn(async move {
             entry.search(&handle).await;
-            handle.searching.store(false, Ordering::SeqCst);
+            handle.is_searching.store(false, Ordering::SeqCst);
         });
     }
 
@@ -133,17 +133,17 @@
         let found = handle.shard().search(self.now(), |id| self.is_gone(id));
         match found {
             Search::Idle => {}
-            Search::Ask(ids) => self.seal_others(handle, ids).await,
-            Search::Ready(source) => self.take_office(handle, source),
+            Search::Ask(ids) => self.seal_replicas(handle, ids).await,
+            Search::Ready(source) => self.take_ownership(handle, source),
         }
     }
 
     /// Asks replicas to seal a shard for this entry's claim; any one answer will do.
-    async fn seal_others(self: &Arc<Self>, handle: &Arc<ShardHandle>, ids: BTreeSet<EntryId>) {
+    async fn seal_replicas(self: &Arc<Self>, handle: &Arc<ShardHandle>, ids: BTreeSet<EntryId>) {
         let Some(epoch) = handle.shard().claiming().map(|claim| claim.epoch) else { return };
         let others = ids.into_iter().filter(|id| *id != self.me);
         let asks = others.map(|id| async move {
-            let answer = self.ask_seal(&id, &handle.id, epoch).await;
+            let answer = self.request_seal(&id, &handle.id, epoch).await;
             if let Some(state) = answer {
                 handle.shard().sealed(&id, epoch, state);
             }
@@ -151,7 +151,7 @@
         join_all(asks).await;
     }
 
-    async fn ask_seal(&self, id: &EntryId, shard: &Name, epoch: u64) -> Option<State> {
+    async fn request_seal(&self, id: &EntryId, shard: &Name, epoch: u64) -> Option<State> {
         let (addr, present) = {
             let peers = lock(&self.peers);
             (peers.addr(&id.name)?, peers.incarnation(&id.name)?)
@@ -160,13 +160,13 @@
             return None;
         }
         let ask = PeerRequest::Seal { shard: shard.clone(), epoch };
-        match self.quic.request(&id.name, addr, ask, REPLICA_LIMIT).await {
+        match self.quic.request(&id.name, addr, ask, REPLICA_TIMEOUT).await {
             Ok(PeerResponse::Sealed { by, state }) if by == *id => Some(state),
             _ => None,
         }
     }
 
-    fn take_office(self: &Arc<Self>, handle: &Arc<ShardHandle>, source: Source) {
+    fn take_ownership(self: &Arc<Self>, handle: &Arc<ShardHandle>, source: Source) {
         let now = self.now();
         let Some(claim) = handle.shard().claiming().cloned() else { return };
         let from = match &source {
@@ -180,7 +180,7 @@
             return;
         }
         let (shard, epoch) = (handle.id.clone(), claim.epoch);
-        self.begin_office(
+        self.begin_ownership(
             handle,
             epoch,
             EventKind::OwnershipTaken { shard, epoch, from: from.into() },
@@ -188,7 +188,7 @@
     }
 
     /// This entry owns a shard from now on: nothing is lent yet, and the workers are asked.
-    pub(super) fn begin_office(
+    pub(super) fn begin_ownership(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         epoch: u64,
@@ -197,21 +197,21 @@
         *handle.lender() = if epoch == 1 { Lender::first() } else { Lender::new(self.now()) };
         *handle.pool() = Pool::new(epoch);
         self.trace.record(what);
-        self.set_list(handle);
+        self.pass_vm_list(handle);
         self.drop_gone_entries(handle);
-        self.news.notify_one();
+        self.state_changed.notify_one();
         self.sync_shard(handle);
     }
 
     /// A new table is in force: tell the owners here.
-    pub(super) fn set_policy(self: &Arc<Self>, table: &Arc<Table>) {
+    pub(super) fn pass_table(self: &Arc<Self>, table: &Arc<Table>) {
         for handle in self.shards() {
             self.step(&handle, Event::Table(table.clone()));
         }
     }
 
     /// The log holds notes of a shard.
-    pub(super) fn take_noted(self: &Arc<Self>, shard: &Name, epoch: u64, seq: u64) {
+    pub(super) fn apply_logged(self: &Arc<Self>, shard: &Name, epoch: u64, seq: u64) {
         if let Some(handle) = self.handle(shard) {
             self.step(&handle, Event::Logged { epoch, seq });
         }
@@ -238,11 +238,11 @@
             handle.flights().begin(epoch, sent.count());
             (epoch, actions, starts)
         };
-        self.act(handle, epoch, actions, starts);
+        self.perform_actions(handle, epoch, actions, starts);
         true
     }
 
-    fn act(
+    fn perform_actions(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         epoch: u64,
@@ -256,18 +256,18 @@
         let mut records = Vec::new();
         for action in actions {
             match action {
-                Action::Replicate => handle.kick.notify_one(),
-                Action::AskParts => handle.short.notify_one(),
+                Action::Replicate => handle.replication_due.notify_one(),
+                Action::AskParts => handle.quota_wanted.notify_one(),
                 Action::Start { worker, order } => {
                     let (addr, task) = (addr(&worker), order.task.clone());
-                    self.tell(handle, epoch, addr, task, Tellable::Start(order));
+                    self.send_to_worker(handle, epoch, addr, task, WorkerMessage::Start(order));
                 }
                 Action::Stop { worker, task } => {
                     let (addr, id) = (addr(&worker), task.clone());
-                    self.tell(handle, epoch, addr, id, Tellable::Stop(task));
+                    self.send_to_worker(handle, epoch, addr, id, WorkerMessage::Stop(task));
                 }
                 Action::Reply { token, answer } => {
-                    if let Some(reply) = lock(&self.replies).remove(&token) {
+                    if let Some(reply) = lock(&self.pending_replies).remove(&token) {
                         let _ = reply.send(answer);
                     }
                 }
@@ -290,18 +290,18 @@
     }
 
     /// Sends a start or stop to a worker and gives the answer to the owner.
-    fn tell(
+    fn send_to_worker(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         epoch: u64,
         addr: Name,
         task: TaskId,
-        message: Tellable,
+        message: WorkerMessage,
     ) {
         let (entry, handle) = (self.clone(), handle.clone());
         tokio::spawn(async move {
-            let stop = matches!(message, Tellable::Stop(_));
-            let reply = entry.tell_worker(&addr, message).await;
+            let stop = matches!(message, WorkerMessage::Stop(_));
+            let reply = entry.post_to_worker(&addr, message).await;
             entry.step(&handle, Event::Told { task, stop, reply });
             if !stop {
                 handle.flights().end(entry.now(), &epoch);
@@ -309,16 +309,16 @@
         });
     }
 
-    async fn tell_worker(&self, addr: &Name, message: Tellable) -> Option<TaskReply> {
+    async fn post_to_worker(&self, addr: &Name, message: WorkerMessage) -> Option<TaskReply> {
         let me = &self.me.name;
         let reply = match message {
-            Tellable::Start(mut order) => {
+            WorkerMessage::Start(mut order) => {
                 order.stamp = self.trace.stamp();
-                self.http.post_json(me, addr, "/start", &order, WORKER_LIMIT).await
+                self.http.post_json(me, addr, "/start", &order, WORKER_TIMEOUT).await
             }
-            Tellable::Stop(task) => {
+            WorkerMessage::Stop(task) => {
                 let order = StopOrder { task };
-                self.http.post_json(me, addr, "/stop", &order, WORKER_LIMIT).await
+                self.http.post_json(me, addr, "/stop", &order, WORKER_TIMEOUT).await
             }
         };
         reply.ok()
@@ -331,7 +331,7 @@
             timer.tick().await;
             for handle in self.shards() {
                 self.sync_shard(&handle);
-                tokio::spawn(self.clone().keep_running(handle));
+                tokio::spawn(self.clone().renew_as_replica(handle));
             }
         }
     }
@@ -355,17 +355,17 @@
     }
 
     async fn sync(&self, addr: &str, order: &SyncOrder) -> Option<Report> {
-        self.http.post_json(&self.me.name, addr, "/sync", order, WORKER_LIMIT).await.ok()
+        self.http.post_json(&self.me.name, addr, "/sync", order, WORKER_TIMEOUT).await.ok()
     }
 
     /// Renews leases from a replica while the owner is not heard: a renewal starts nothing.
-    async fn keep_running(self: Arc<Self>, handle: Arc<ShardHandle>) {
+    async fn renew_as_replica(self: Arc<Self>, handle: Arc<ShardHandle>) {
         let Some(owner) = self.owner_of(&handle.id) else { return };
         let here = owner == self.me.name && handle.shard().office().is_some();
         if here || lock(&self.peers).is_heard(self.now(), &owner) {
             return;
         }
-        let list = lock(&self.lists).newest().clone();
+        let list = lock(&self.vm_lists).newest().clone();
         let orders = handle.shard().replica().renewals();
         for (worker, order) in orders {
             let vm = list.vms.iter().find(|vm| vm.name == worker);
@@ -378,7 +378,7 @@
     /// Brings the notes of an owned shard to its replicas, or to the log if there are none.
     pub(super) async fn replicate(self: Arc<Self>, handle: Arc<ShardHandle>) {
         loop {
-            handle.kick.notified().await;
+            handle.replication_due.notified().await;
             while self.replicate_once(&handle).await {}
         }
     }
@@ -418,9 +418,9 @@
     ) {
         let addr = lock(&self.peers).addr(&id.name);
         let Some(addr) = addr else {
-            return tokio::time::sleep(REPLICA_PAUSE.duration()).await;
+            return tokio::time::sleep(REPLICA_RETRY_DELAY.duration()).await;
         };
-        match self.quic.request(&id.name, addr, ask, REPLICA_LIMIT).await {
+        match self.quic.request(&id.name, addr, ask, REPLICA_TIMEOUT).await {
             Ok(PeerResponse::Updated { by, result: Ok(seq) }) if by == id => {
                 self.step(handle, Event::Acked { replica: id, epoch, seq });
             }
@@ -437,7 +437,7 @@
                     });
                 }
             }
-            _ => tokio::time::sleep(REPLICA_PAUSE.duration()).await,
+            _ => tokio::time::sleep(REPLICA_RETRY_DELAY.duration()).await,
         }
     }
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -13,18 +13,18 @@
 use std::net::SocketAddr;
 
 /// A peer not heard for this long counts as not reachable.
-const FRESH: Millis = Millis(2_000);
+const PEER_FRESHNESS: Millis = Millis(2_000);
 
 /// One other entry.
 #[derive(Debug, Clone)]
-pub(crate) struct Known {
+pub(crate) struct PeerState {
     pub domain: Name,
     pub addr: SocketAddr,
     pub beat: Option<(Millis, Heartbeat)>,
     inbox: Inbox,
 }
 
-impl Known {
+impl PeerState {
     fn new(domain: Name, addr: SocketAddr) -> Self {
         Self { domain, addr, beat: None, inbox: Inbox::default() }
     }
@@ -35,31 +35,31 @@
 pub(crate) struct Peers {
     me: Name,
     domain: Name,
-    known: BTreeMap<Name, Known>,
+    known: BTreeMap<Name, PeerState>,
 }
 
 impl Peers {
     pub fn new(settings: &Settings) -> Self {
         let known = settings.peers.iter().map(|peer| {
-            let known = Known::new(peer.domain.clone(), peer.addr);
+            let known = PeerState::new(peer.domain.clone(), peer.addr);
             (peer.name.clone(), known)
         });
         Self { me: settings.name.clone(), domain: settings.domain.clone(), known: known.collect() }
     }
 
     /// Takes in the entries of a new VM list; entries that it dropped are forgotten.
-    pub fn set_list(&mut self, list: &VmList, is_gone: impl Fn(&str) -> bool) {
+    pub fn apply_vm_list(&mut self, list: &VmList, is_gone: impl Fn(&str) -> bool) {
         self.known.retain(|name, _| !is_gone(name));
         for vm in list.vms.iter().filter(|vm| vm.role == Role::Entry && vm.name != self.me) {
             let Ok(addr) = vm.addr.parse() else { continue };
-            let fresh = Known::new(vm.domain.clone(), addr);
+            let fresh = PeerState::new(vm.domain.clone(), addr);
             self.known.entry(vm.name.clone()).or_insert(fresh).addr = addr;
         }
     }
 
     /// Takes in a heartbeat; the earlier run of the same entry, if this is a new one.
-    pub fn heard(&mut self, now: Millis, beat: Heartbeat) -> Option<EntryId> {
-        let fresh = Known::new(beat.domain.clone(), beat.addr);
+    pub fn record_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> Option<EntryId> {
+        let fresh = PeerState::new(beat.domain.clone(), beat.addr);
         let known = self.known.entry(beat.from.name.clone()).or_insert(fresh);
         let old = known.beat.as_ref().map(|(_, beat)| beat.from.clone());
         if old.as_ref().is_some_and(|old| old.incarnation > beat.from.incarnation) {
@@ -74,14 +74,14 @@
     /// Adds to a heartbeat what it leaves out; `None` if that is not known, or newer is.
     pub fn merge(&mut self, message: DeltaHeartbeat) -> Option<Heartbeat> {
         let DeltaHeartbeat { heartbeat, delta } = message;
-        let fresh = Known::new(heartbeat.domain.clone(), heartbeat.addr);
+        let fresh = PeerState::new(heartbeat.domain.clone(), heartbeat.addr);
         let known = self.known.entry(heartbeat.from.name.clone()).or_insert(fresh);
         let taken = known.inbox.take(&heartbeat.from, delta);
         (taken == Taken::Yes).then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
     }
 
     /// The newest state held of a run of an entry; 0: none.
-    pub fn held(&self, name: &str, inc: u64) -> u64 {
+    pub fn held_seq(&self, name: &str, inc: u64) -> u64 {
         self.known.get(name).map_or(0, |known| known.inbox.held(inc))
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Peers heard lately and not stopping: names, failure domains and addresses.
-    pub fn fresh(&self, now: Millis) -> Vec<(Name, Name, SocketAddr)> {
+    pub fn reachable(&self, now: Millis) -> Vec<(Name, Name, SocketAddr)> {
         let fresh = self.known.iter().filter(|(_, known)| known.is_fresh(now));
         fresh.map(|(name, known)| (name.clone(), known.domain.clone(), known.addr)).collect()
     }
@@ -110,7 +110,7 @@
     /// Whether a peer was heard lately, even if it is stopping.
     pub fn is_heard(&self, now: Millis, name: &str) -> bool {
         let beat = self.known.get(name).and_then(|known| known.beat.as_ref());
-        beat.is_some_and(|(heard, _)| now.since(*heard) < FRESH)
+        beat.is_some_and(|(heard, _)| now.since(*heard) < PEER_FRESHNESS)
     }
 
     /// What the shards owned by peers could take, as last heard.
@@ -126,7 +126,7 @@
     }
 
     /// The peers of this failure domain, heard or not.
-    pub fn names_here(&self) -> BTreeSet<Name> {
+    pub fn local_names(&self) -> BTreeSet<Name> {
         let here = self.known.iter().filter(|(_, known)| known.domain == self.domain);
         here.map(|(name, _)| name.clone()).collect()
     }
@@ -144,7 +144,7 @@
 
     /// Whether every peer of this failure domain was heard lately and knew of no epoch of `shard`
     /// after `epoch`. One that was stopping when last heard claims nothing any more.
-    pub fn know_no_later(&self, now: Millis, shard: &str, epoch: u64) -> bool {
+    pub fn none_knows_later(&self, now: Millis, shard: &str, epoch: u64) -> bool {
         let mut here = self.known.values().filter(|known| known.domain == self.domain);
         here.all(|known| {
             let Some((heard, beat)) = &known.beat else { return false };
@@ -165,8 +165,10 @@
     }
 }
 
-impl Known {
+impl PeerState {
     fn is_fresh(&self, now: Millis) -> bool {
-        self.beat.as_ref().is_some_and(|(at, beat)| now.since(*at) < FRESH && !beat.is_stopping)
+        self.beat
+            .as_ref()
+            .is_some_and(|(at, beat)| now.since(*at) < PEER_FRESHNESS && !beat.is_stopping)
     }
 }
--- a/src/entry/share.rs
+++ b/src/entry/quota.rs
@@ -12,19 +12,20 @@
 use std::sync::Arc;
 
 /// Time between questions of a shard for which no limit is short.
-const SHARE_EVERY: Millis = Millis(1_000);
+const QUOTA_INTERVAL: Millis = Millis(1_000);
 /// Time between questions of a shard at least.
-const SHARE_PAUSE: Millis = Millis(50);
+const MIN_QUOTA_INTERVAL: Millis = Millis(50);
 /// How long a home may take to answer.
-const HOME_LIMIT: Millis = Millis(1_000);
+const HOME_TIMEOUT: Millis = Millis(1_000);
 
 impl Entry {
     /// Asks for a shard's parts of limits: at once when tasks wait for one, else now and then.
-    pub(super) async fn share_limits(self: Arc<Self>, handle: Arc<ShardHandle>) {
+    pub(super) async fn request_quota(self: Arc<Self>, handle: Arc<ShardHandle>) {
         loop {
-            let _ = tokio::time::timeout(SHARE_EVERY.duration(), handle.short.notified()).await;
-            self.ask_homes(&handle).await;
-            tokio::time::sleep(SHARE_PAUSE.duration()).await;
+            let _ = tokio::time::timeout(QUOTA_INTERVAL.duration(), handle.quota_wanted.notified())
+                .await;
+            self.query_homes(&handle).await;
+            tokio::time::sleep(MIN_QUOTA_INTERVAL.duration()).await;
         }
     }
 
@@ -35,7 +36,7 @@
 
     /// Asks all homes at once and waits for them all, so that a shard never has two questions
     /// under way.
-    async fn ask_homes(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
+    async fn query_homes(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let known = self.known_shards();
         let (epoch, asks) = {
             let mut shard = handle.shard();
@@ -45,7 +46,7 @@
         };
         let questions = self.questions(&handle.id, epoch, asks);
         let answers = questions.into_iter().map(|(home, question)| async move {
-            if let PeerResponse::LentQuota(parts) = self.ask_home(&home, question).await {
+            if let PeerResponse::LentQuota(parts) = self.query_home(&home, question).await {
                 self.step(handle, Event::Parts { epoch, parts });
             }
         });
@@ -62,7 +63,7 @@
             let fresh = || Question {
                 shard: shard.clone(),
                 epoch,
-                seq: self.next(),
+                seq: self.next_number(),
                 home: fold.claims.epoch(home),
                 shards: known.len(),
                 asks: Vec::new(),
@@ -72,29 +73,29 @@
         questions
     }
 
-    async fn ask_home(&self, home: &Name, question: Question) -> PeerResponse {
+    async fn query_home(&self, home: &Name, question: Question) -> PeerResponse {
         match self.owner_of(home) {
-            Some(owner) if owner == self.me.name => self.lend_parts(home, &question),
-            Some(owner) => self.ask_home_at(owner, home.clone(), question).await,
+            Some(owner) if owner == self.me.name => self.lend_quota(home, &question),
+            Some(owner) => self.query_remote_home(owner, home.clone(), question).await,
             None => PeerResponse::NotOwner,
         }
     }
 
-    async fn ask_home_at(&self, owner: Name, home: Name, question: Question) -> PeerResponse {
+    async fn query_remote_home(&self, owner: Name, home: Name, question: Question) -> PeerResponse {
         let Some(addr) = lock(&self.peers).addr(&owner) else { return PeerResponse::NotOwner };
         let ask =
             |version| (version >= VERSION_2).then_some(PeerRequest::LendQuota { home, question });
-        let answer = self.quic.request_by_version(&owner, addr, ask, HOME_LIMIT).await;
+        let answer = self.quic.request_by_version(&owner, addr, ask, HOME_TIMEOUT).await;
         answer.unwrap_or(PeerResponse::NotOwner)
     }
 
     /// Lends parts of the limits that a shard owned here is home to.
-    pub(super) fn lend_parts(&self, home: &Name, question: &Question) -> PeerResponse {
+    pub(super) fn lend_quota(&self, home: &Name, question: &Question) -> PeerResponse {
         let Some(handle) = self.handle(home) else { return PeerResponse::NotOwner };
         let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else {
             return PeerResponse::NotOwner;
         };
-        let (known, shards) = (self.known_shards(), self.holders());
+        let (known, shards) = (self.known_shards(), self.possible_holders());
         let table = self.table();
         let whole = |limit: &Limit| match limit {
             Limit::Row(kind) => table.rows.get(kind).map_or(0, |row| row.limit as u64),
@@ -107,9 +108,9 @@
     }
 
     /// The shards that may hold parts: not those whose workers and last owner are gone for good.
-    fn holders(&self) -> BTreeSet<Name> {
+    fn possible_holders(&self) -> BTreeSet<Name> {
         let claims: Vec<_> = lock(&self.fold).claims.all().cloned().collect();
-        let list = lock(&self.lists).newest().clone();
+        let list = lock(&self.vm_lists).newest().clone();
         let listed = |shard: &Name| list.vms.iter().any(|vm| vm.rack == *shard);
         let held = claims
             .into_iter()
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -16,15 +16,15 @@
 use tokio::sync::oneshot;
 
 /// How long one try to reach an owner may take.
-const OWNER_LIMIT: Millis = Millis(2_000);
+const OWNER_TIMEOUT: Millis = Millis(2_000);
 /// Pause before an owner is looked for again.
-const OWNER_PAUSE: Millis = Millis(100);
+const OWNER_RETRY_DELAY: Millis = Millis(100);
 /// Callers come again after this long when a shard has no owner.
-const OWNER_RETRY: Millis = Millis(2_000);
+const NO_OWNER_RETRY: Millis = Millis(2_000);
 
 /// The refusal of a caller whose shard has no owner now. Nothing was run.
 fn no_owner(run: Executed) -> RequestError {
-    RequestError { reason: Reason::NoOwner, run, after: Some(OWNER_RETRY) }
+    RequestError { reason: Reason::NoOwner, run, after: Some(NO_OWNER_RETRY) }
 }
 
 impl Entry {
@@ -49,10 +49,10 @@
                 Err(true) => {}
                 Err(false) => run = Executed::Unknown,
             }
-            if self.now() + OWNER_PAUSE >= until {
+            if self.now() + OWNER_RETRY_DELAY >= until {
                 return Err(no_owner(run));
             }
-            tokio::time::sleep(OWNER_PAUSE.duration()).await;
+            tokio::time::sleep(OWNER_RETRY_DELAY.duration()).await;
         }
     }
 
@@ -70,7 +70,7 @@
         let name = self.owner_of(shard).filter(|name| *name != self.me.name).ok_or(true)?;
         let addr = lock(&self.peers).addr(&name).ok_or(true)?;
         let ask = PeerRequest::Owner { shard: shard.clone(), request: ask };
-        let answer = self.quic.request(&name, addr, ask, OWNER_LIMIT).await;
+        let answer = self.quic.request(&name, addr, ask, OWNER_TIMEOUT).await;
         answer.map_err(|err| err.is_unsent())
     }
 
@@ -83,13 +83,13 @@
         let now = self.now();
         match ask {
             OwnerRequest::Submit { job, spec } => {
-                self.ask_office(handle, |token| Event::Submit { token, job, spec }).await
+                self.ask_local_owner(handle, |token| Event::Submit { token, job, spec }).await
             }
             OwnerRequest::Cancel { job } => {
-                self.ask_office(handle, |token| Event::Cancel { token, job }).await
+                self.ask_local_owner(handle, |token| Event::Cancel { token, job }).await
             }
             OwnerRequest::TakeKey { key, holder } => {
-                self.ask_office(handle, |token| Event::Key { token, key, holder }).await
+                self.ask_local_owner(handle, |token| Event::Key { token, key, holder }).await
             }
             OwnerRequest::FreeKey { key, holder } => {
                 let done = self.step(handle, Event::FreeKey { key, holder });
@@ -116,20 +116,20 @@
         }
     }
 
-    async fn ask_office(
+    async fn ask_local_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         event: impl FnOnce(u64) -> Event,
     ) -> PeerResponse {
-        let token = self.next();
+        let token = self.next_number();
         let (reply, waiting) = oneshot::channel();
-        lock(&self.replies).insert(token, reply);
+        lock(&self.pending_replies).insert(token, reply);
         if !self.step(handle, event(token)) {
-            lock(&self.replies).remove(&token);
+            lock(&self.pending_replies).remove(&token);
             return PeerResponse::NotOwner;
         }
-        let answer = tokio::time::timeout(OWNER_LIMIT.duration(), waiting).await;
-        lock(&self.replies).remove(&token);
+        let answer = tokio::time::timeout(OWNER_TIMEOUT.duration(), waiting).await;
+        lock(&self.pending_replies).remove(&token);
         match answer {
             Ok(Ok(answer)) => PeerResponse::OwnerAnswer(answer),
             _ => PeerResponse::Pending,
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -13,15 +13,15 @@
         let quic = self.quic.clone();
         quic.serve(move |ask| {
             let entry = self.clone();
-            async move { entry.answer(ask).await }
+            async move { entry.handle_request(ask).await }
         })
         .await;
     }
 
-    async fn answer(self: Arc<Self>, ask: PeerRequest) -> PeerResponse {
+    async fn handle_request(self: Arc<Self>, ask: PeerRequest) -> PeerResponse {
         match ask {
-            PeerRequest::Heartbeat(beat) => self.answer_beat(beat),
-            PeerRequest::DeltaHeartbeat(message) => self.answer_delta(message),
+            PeerRequest::Heartbeat(beat) => self.answer_heartbeat(beat),
+            PeerRequest::DeltaHeartbeat(message) => self.answer_delta_heartbeat(message),
             PeerRequest::Update { shard, update } => {
                 let handle = self.open_shard(&shard);
                 let result = handle.shard().update(update);
@@ -38,7 +38,7 @@
                 PeerResponse::Done
             }
             PeerRequest::HandOver { shard, from, to, epoch, state } if to == self.me => {
-                self.take_hand_over(&shard, from, epoch, state)
+                self.accept_hand_over(&shard, from, epoch, state)
             }
             PeerRequest::HandOver { .. } => PeerResponse::NotOwner,
             PeerRequest::Owner { shard, request } => match self.handle(&shard) {
@@ -46,11 +46,11 @@
                 None => PeerResponse::NotOwner,
             },
             PeerRequest::LendSlots { shard, entry, uses, waiting } => {
-                self.lend(&shard, &entry, &uses, waiting)
+                self.lend_slots(&shard, &entry, &uses, waiting)
             }
-            PeerRequest::LendQuota { home, question } => self.lend_parts(&home, &question),
+            PeerRequest::LendQuota { home, question } => self.lend_quota(&home, &question),
             PeerRequest::Table => PeerResponse::Table(lock(&self.fold).tables.current().cloned()),
-            PeerRequest::VmList => PeerResponse::VmList(lock(&self.lists).newest().clone()),
+            PeerRequest::VmList => PeerResponse::VmList(lock(&self.vm_lists).newest().clone()),
             PeerRequest::Forward(forward) => {
                 let request = InboundRequest::from_forwarded(*forward, self.now());
                 PeerResponse::Forwarded(run_forwarded(self, request).await)
@@ -59,7 +59,7 @@
     }
 
     /// Lends slots if this entry surely owned the shard a moment ago.
-    pub(super) fn lend(
+    pub(super) fn lend_slots(
         &self,
         shard: &Name,
         entry: &Name,
@@ -73,7 +73,7 @@
         if !self.is_owner_proven(shard, epoch) {
             return PeerResponse::NotOwner;
         }
-        let mut entries = lock(&self.peers).names_here();
+        let mut entries = lock(&self.peers).local_names();
         entries.insert(self.me.name.clone());
         let mut lender = handle.lender();
         lender.set_entries(entries);
@@ -84,7 +84,7 @@
     /// entry that could claim was heard and knew of none.
     fn is_owner_proven(&self, shard: &Name, epoch: u64) -> bool {
         let known = lock(&self.fold).claims.epoch(shard);
-        let agreed = lock(&self.peers).know_no_later(self.now(), shard, epoch);
+        let agreed = lock(&self.peers).none_knows_later(self.now(), shard, epoch);
         known == epoch && (self.is_log_fresh() || agreed)
     }
 }
--- a/src/entry/request.rs
+++ b/src/entry/slots.rs
@@ -10,9 +10,9 @@
 use tokio::sync::oneshot;
 
 /// Time between renewals of slot leases.
-const RENEW: Millis = Millis(200);
+const RENEWAL_INTERVAL: Millis = Millis(200);
 /// How long the owner may take to answer.
-const RENEW_LIMIT: Millis = Millis(500);
+const RENEWAL_TIMEOUT: Millis = Millis(500);
 
 /// A slot of a runner; given back when dropped.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
         let now = self.entry.now();
         let took = now.since(self.since);
         lock(&self.entry.slots).release(now, &self.runner, &self.kind, took, self.reached);
-        self.entry.give_turns();
+        self.entry.wake_waiters();
     }
 }
 
@@ -40,19 +40,19 @@
     ///
     /// # Errors
     /// When to come again, if the request is given up, and whether the queue was full.
-    pub(crate) async fn take_slot(
+    pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         request: Waiting,
     ) -> Result<Slot, (Millis, bool)> {
         let (kind, id) = (request.kind.clone(), request.id);
         let (give, turn) = oneshot::channel();
-        lock(&self.turns).insert(id, give);
+        lock(&self.slot_waiters).insert(id, give);
         let first = lock(&self.slots).ask(self.now(), request);
         let turn = match first {
             Turn::Wait => turn.await.unwrap_or(Turn::Wait),
             other => other,
         };
-        lock(&self.turns).remove(&id);
+        lock(&self.slot_waiters).remove(&id);
         let since = self.now();
         match turn {
             Turn::Go { runner, .. } => {
@@ -61,15 +61,15 @@
             Turn::GiveUp { after, full, .. } => Err((after, full)),
             Turn::Wait => {
                 lock(&self.slots).forget(id);
-                Err((RENEW, false))
+                Err((RENEWAL_INTERVAL, false))
             }
         }
     }
 
     /// Tells waiting requests whose turn it is.
-    pub(super) fn give_turns(&self) {
+    pub(super) fn wake_waiters(&self) {
         let turns = lock(&self.slots).turns(self.now());
-        let mut waiting = lock(&self.turns);
+        let mut waiting = lock(&self.slot_waiters);
         for turn in turns {
             let id = match &turn {
                 Turn::Go { id, .. } | Turn::GiveUp { id, .. } => *id,
@@ -88,44 +88,47 @@
 
     /// Renews this entry's slots at the owners of the shards of its failure domain.
     pub(super) async fn renew_slots(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(RENEW.duration());
+        let mut timer = tokio::time::interval(RENEWAL_INTERVAL.duration());
         loop {
             timer.tick().await;
             for handle in self.shards() {
-                tokio::spawn(self.clone().renew_shard(handle.id.clone()));
+                tokio::spawn(self.clone().renew_shard_slots(handle.id.clone()));
             }
         }
     }
 
-    async fn renew_shard(self: Arc<Self>, shard: Name) {
+    async fn renew_shard_slots(self: Arc<Self>, shard: Name) {
         let asked = self.now();
         let (uses, waiting) = lock(&self.slots).uses(asked, &shard);
         if uses.is_empty() {
             return;
         }
         let me = self.me.name.clone();
-        let mut tell = self.lend(&shard, &me, &uses, waiting);
+        let mut tell = self.lend_slots(&shard, &me, &uses, waiting);
         if tell == PeerResponse::NotOwner {
-            tell = self.ask_slots(shard, uses, waiting).await;
+            tell = self.request_slots(shard, uses, waiting).await;
         }
         if let PeerResponse::LentSlots(lent) = tell {
             lock(&self.slots).lent(asked, &lent);
-            self.give_turns();
+            self.wake_waiters();
         }
     }
 
-    async fn ask_slots(&self, shard: Name, uses: Vec<SlotUse>, waiting: u32) -> PeerResponse {
+    async fn request_slots(&self, shard: Name, uses: Vec<SlotUse>, waiting: u32) -> PeerResponse {
         let Some(owner) = self.owner_of(&shard).filter(|owner| *owner != self.me.name) else {
             return PeerResponse::NotOwner;
         };
         let Some(addr) = lock(&self.peers).addr(&owner) else { return PeerResponse::NotOwner };
         let ask = PeerRequest::LendSlots { shard, entry: self.me.name.clone(), uses, waiting };
-        self.quic.request(&owner, addr, ask, RENEW_LIMIT).await.unwrap_or(PeerResponse::NotOwner)
+        self.quic
+            .request(&owner, addr, ask, RENEWAL_TIMEOUT)
+            .await
+            .unwrap_or(PeerResponse::NotOwner)
     }
 
     /// Where a runner answers.
     pub(crate) fn runner_addr(&self, runner: &str) -> Option<Name> {
-        let lists = lock(&self.lists);
+        let lists = lock(&self.vm_lists);
         let vm = lists.newest().vms.iter().find(|vm| *vm.name == *runner)?;
         Some(vm.addr.clone())
     }
@@ -146,7 +149,7 @@
 
     /// Failure domains other than this one that can be reached.
     pub(crate) fn other_domains(&self) -> BTreeSet<Name> {
-        let fresh = lock(&self.peers).fresh(self.now()).into_iter();
+        let fresh = lock(&self.peers).reachable(self.now()).into_iter();
         let domains = fresh.map(|(_, domain, _)| domain);
         domains.filter(|domain| *domain != self.settings.domain).collect()
     }
@@ -157,7 +160,7 @@
         domain: &str,
         seed: u64,
     ) -> Option<(Name, std::net::SocketAddr)> {
-        let fresh = lock(&self.peers).fresh(self.now()).into_iter();
+        let fresh = lock(&self.peers).reachable(self.now()).into_iter();
         let there: Vec<_> = fresh.filter(|(_, other, _)| **other == *domain).collect();
         let (name, _, addr) = there.get(seed as usize % there.len().max(1))?;
         Some((name.clone(), *addr))
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -164,7 +164,7 @@
 
 impl ShardView {
     /// Takes over what the shard's owner said.
-    pub(super) fn fill(&mut self, state: ShardStatus) {
+    pub(super) fn fill_from_owner(&mut self, state: ShardStatus) {
         let room =
             |(name, total, used): &(Name, Size, Size)| format!("{name} used {used} of {total}");
         let load = |(kind, load): &(Name, Load)| {
--- a/src/filter/queue.rs
+++ b/src/filter/queue.rs
@@ -17,7 +17,7 @@
 ) -> Result<Slot, RequestError> {
     let now = entry.now();
     let request = Waiting {
-        id: entry.next(),
+        id: entry.next_number(),
         kind: classified.row.kind.clone(),
         weight: classified.row.weight,
         limit: classified.row.limit,
@@ -25,7 +25,7 @@
         came: now,
         due: classified.deadline,
     };
-    let result = entry.take_slot(request).await;
+    let result = entry.acquire_slot(request).await;
     let slot = result.map_err(|(after, full)| {
         let reason = if full { Reason::QueueFull } else { Reason::TooLate };
         not_run(reason, Some(after))
