--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -10,16 +10,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long the successor may take to answer once.
+/// Timeout of one request to the successor.
 const SUCCESSOR_TIMEOUT: Millis = Millis(1_000);
-/// How often the successor is told.
+/// The number of attempts to reach the successor.
 const MAX_ATTEMPTS: u32 = 10;
-/// Pause before it is told again.
+/// Delay between two attempts.
 const RETRY_DELAY: Millis = Millis(100);
 
 impl Entry {
-    /// Hands a shard over to one of its replicas. Once this entry has stepped down, only
-    /// that one can own the shard in this epoch, so it is told until it answers.
+    /// Hands a shard over to one of its replicas. Once this entry has stepped down, only that replica
+    /// can own the shard in this epoch, so the request is repeated until it answers.
     pub(super) async fn hand_over(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let Some((to, addr)) = self.find_successor(handle).await else { return };
         let Some((epoch, state)) = handle.shard().hand_over() else { return };
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A replica that can be reached, is not stopping, and knows of hand-overs.
+    /// A replica that is reachable, is not stopping, and speaks a protocol version with hand-overs.
     async fn find_successor(&self, handle: &ShardHandle) -> Option<(EntryId, SocketAddr)> {
         let replicas = handle.shard().office().map(|office| office.replicas())?;
         for id in replicas {
@@ -55,7 +55,7 @@
         None
     }
 
-    /// Goes on as the owner of a shard that its owner handed over to this run of this entry.
+    /// Continues as the owner of a shard that its owner handed over to this incarnation.
     pub(super) fn accept_hand_over(
         self: &Arc<Self>,
         shard: &Name,
@@ -86,8 +86,8 @@
         PeerResponse::Done
     }
 
-    /// The entry that owns a shard, as far as is known: the one that says so, or the one that
-    /// claimed it last.
+    /// The entry that owns a shard, as far as this entry knows: the one whose heartbeats say so, else
+    /// the one that claimed it last.
     pub(crate) fn owner_of(&self, shard: &str) -> Option<Name> {
         let claim = lock(&self.fold).claims.last(shard).cloned()?;
         let says = lock(&self.peers).owner(self.now(), shard, claim.epoch);
--- a/src/entry/heartbeat.rs
+++ b/src/entry/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between entries, and what they carry along: newer tables and VM lists.
+//! Heartbeats between entries, and the fetching of newer tables and VM lists that they announce.
 
 use crate::clock::Millis;
 use crate::controller::list::{Role, VmList};
@@ -13,13 +13,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a peer may take to answer a heartbeat.
+/// Timeout of a heartbeat or a fetch from a peer.
 const HEARTBEAT_TIMEOUT: Millis = Millis(1_000);
-/// How long an exchange with the list may take.
+/// Timeout of a request to the platform's list service.
 const LIST_TIMEOUT: Millis = Millis(2_000);
 
 impl Entry {
-    /// Sends heartbeats, at once when there is news.
+    /// Sends heartbeats to all peers periodically, and at once when this entry's state changes.
     pub(super) async fn send_heartbeats(self: Arc<Self>) {
         let mut timer = tokio::time::interval(self.settings.heartbeat_interval.duration());
         loop {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// A heartbeat for one peer, with the shards that changed since it last said what it holds.
+    /// A heartbeat for one peer, with the shards that changed since the state that the peer last
+    /// acknowledged.
     fn delta_heartbeat(&self, peer: &Name) -> DeltaHeartbeat {
         let held = {
             let peers = lock(&self.peers);
@@ -91,14 +92,14 @@
         DeltaHeartbeat { heartbeat: self.heartbeat(Vec::new()), delta }
     }
 
-    /// Answers a peer's heartbeat.
+    /// Processes a peer's complete heartbeat and answers with one of this entry.
     pub(super) fn answer_heartbeat(self: &Arc<Self>, beat: Heartbeat) -> PeerResponse {
         let entry = self.clone();
         tokio::spawn(async move { entry.handle_heartbeat(beat).await });
         PeerResponse::Heartbeat(self.heartbeat(self.shard_heartbeats()))
     }
 
-    /// Answers a peer's heartbeat that leaves out what did not change.
+    /// Processes a peer's delta heartbeat and answers with one of this entry.
     pub(super) fn answer_delta_heartbeat(
         self: &Arc<Self>,
         message: DeltaHeartbeat,
@@ -112,7 +113,7 @@
         PeerResponse::DeltaHeartbeat(self.delta_heartbeat(&peer))
     }
 
-    /// The whole heartbeat, and a note of what the peer holds.
+    /// Completes a delta heartbeat and records which of this entry's states the peer acknowledged.
     fn merge_delta(&self, message: DeltaHeartbeat) -> Option<Heartbeat> {
         lock(&self.outbox).acked(&message.heartbeat.from, message.delta.held);
         lock(&self.peers).merge(message)
@@ -136,7 +137,8 @@
         }
     }
 
-    /// A former owner that knows of this entry's epoch and has no start in flight is fenced.
+    /// Fences the sender as a former owner of each shard whose epoch it knows, if no task start that
+    /// it sent can still reach a worker.
     fn fence_former_owners(self: &Arc<Self>, from: &EntryId, beats: &[ShardHeartbeat]) {
         for beat in beats {
             let Some(handle) = self.handle(&beat.shard) else { continue };
@@ -148,7 +150,7 @@
         }
     }
 
-    /// A run of an entry is over for good.
+    /// Handles the end of an incarnation of another entry.
     pub(super) fn handle_entry_gone(self: &Arc<Self>, id: &EntryId) {
         for handle in self.shards() {
             handle.lender().gone(&id.name);
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Reads the platform's VM list.
+    /// Reads the platform's VM list periodically.
     pub(super) async fn poll_vm_list(self: Arc<Self>) {
         let mut timer = tokio::time::interval(self.settings.list_interval.duration());
         let mut up = true;
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Takes a VM list if it is newer than the one held.
+    /// Applies a VM list if it is newer than the present one.
     pub(super) fn apply_vm_list(self: &Arc<Self>, list: VmList) {
         let before: Vec<Name> = self.leaving_vms();
         if !lock(&self.vm_lists).take(list.clone()) {
@@ -220,7 +222,7 @@
         leaving.map(|vm| vm.name.clone()).collect()
     }
 
-    /// Tells the owner of a shard, if it is here, what the list says.
+    /// Passes the VM list to a shard if this entry owns it.
     pub(super) fn pass_vm_list(self: &Arc<Self>, handle: &Arc<crate::entry::ShardHandle>) {
         let list = lock(&self.vm_lists).newest().clone();
         if list.rev == 0 {
@@ -236,7 +238,7 @@
         self.step(handle, Event::Workers { rev: list.rev, vms: list.vms });
     }
 
-    /// Replicas and former owners that are gone need not be waited for.
+    /// Removes replicas and former owners that have ended, so that the owner does not wait for them.
     pub(super) fn drop_gone_entries(self: &Arc<Self>, handle: &Arc<crate::entry::ShardHandle>) {
         let mut ids = {
             let fold = lock(&self.fold);
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Tells this entry's slots which runners there are and which are leaving.
+    /// Updates the runners of this failure domain, and which of them are leaving.
     pub(super) fn update_runners(&self) {
         let table = self.table();
         let list = lock(&self.vm_lists).newest().clone();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! The shell of an entry: it turns messages into events for the controllers, and their actions
-//! into messages.
+//! The process around an entry's controllers: it does all I/O, turns received messages into events
+//! for the controllers and their actions into messages.
 
 mod api;
 mod handover;
@@ -48,32 +48,32 @@
 /// Why an entry cannot run.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// The socket for callers cannot be used.
-    #[error("http socket: {0}")]
+    /// The TCP socket for callers cannot be used.
+    #[error("cannot use the HTTP socket for callers: {0}")]
     Http(#[from] io::Error),
-    /// The socket for other entries cannot be used.
-    #[error("peer socket: {0}")]
+    /// The QUIC endpoint for other entries cannot be set up.
+    #[error("cannot set up the QUIC endpoint for other entries: {0}")]
     Peer(#[from] WireError),
-    /// Metrics cannot be set up.
-    #[error("metrics: {0}")]
+    /// The metrics cannot be registered.
+    #[error("cannot register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// One shard at this entry, under its own lock.
+/// This entry's state of one shard, behind locks of its own.
 #[derive(Debug)]
 pub(crate) struct ShardHandle {
     pub id: Name,
     shard: Mutex<Shard>,
     lender: Mutex<Lender>,
-    /// Limits of the cell that this shard is home to.
+    /// The amounts lent of the cell-wide limits that this shard manages.
     pool: Mutex<Pool>,
-    /// Tasks wait for a part of a limit.
+    /// Notified when tasks wait for quota.
     quota_wanted: Notify,
-    /// There is something to replicate.
+    /// Notified when the shard's state has changes to replicate.
     replication_due: Notify,
-    /// A search for the shard's state is under way.
+    /// Whether a search for the shard's state is under way.
     is_searching: AtomicBool,
-    /// Starts that this entry sent and that may still arrive at a worker.
+    /// Task starts that this entry sent and that may still reach a worker, by epoch.
     flights: Mutex<Flights<u64>>,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// An entry.
+/// An entry: a process that accepts requests and jobs and owns shards of its failure domain.
 #[derive(Debug)]
 pub struct Entry {
     pub(crate) settings: Settings,
@@ -130,9 +130,9 @@
     pending_replies: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     counter: AtomicU64,
     writer: log::Writer,
-    /// A new table or list is here: tell the peers at once.
+    /// Notified when the peers should get a heartbeat at once, for instance after a new table.
     state_changed: Notify,
-    /// The fold moved on.
+    /// The offset of the next log record to read.
     next_offset: watch::Sender<u64>,
     stopping: AtomicBool,
     stopped: watch::Sender<bool>,
@@ -144,7 +144,7 @@
 }
 
 impl Entry {
-    /// Binds the entry's sockets.
+    /// Binds the sockets of an entry and starts its log writer.
     ///
     /// # Errors
     /// If a socket or the keys cannot be used.
@@ -193,10 +193,10 @@
         Ok((entry, listener))
     }
 
-    /// Serves until [`Entry::stop`] is done.
+    /// Serves callers and peers until `stopped` completes.
     ///
     /// # Errors
-    /// If the listener fails.
+    /// If the HTTP server fails.
     pub async fn run(
         self: Arc<Self>,
         listener: TcpListener,
@@ -224,7 +224,7 @@
         Millis::now()
     }
 
-    /// A number that this incarnation never gave before.
+    /// A number that is unique within this incarnation of the entry.
     pub(crate) fn next_number(&self) -> u64 {
         self.counter.fetch_add(1, Ordering::Relaxed)
     }
@@ -245,7 +245,7 @@
         self.shards.read().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 
-    /// The shard of this failure domain with this name, opened if it is new.
+    /// The handle of a shard of this failure domain, created if it does not exist yet.
     fn open_shard(self: &Arc<Self>, shard: &Name) -> Arc<ShardHandle> {
         if let Some(handle) = self.handle(shard) {
             return handle;
@@ -261,24 +261,24 @@
         })
     }
 
-    /// A request adds to the budget for retries.
+    /// Credits a request to the retry budget.
     pub(crate) fn deposit_retry(&self) {
         lock(&self.retry_budget).deposit();
     }
 
-    /// Takes a retry out of the budget.
+    /// Takes one retry from the budget; `false` if it is used up.
     pub(crate) fn withdraw_retry(&self) -> bool {
         let granted = lock(&self.retry_budget).withdraw();
         self.metrics.retries.inc_by(granted as u64);
         granted
     }
 
-    /// Whether this entry is stopping.
+    /// Whether a planned stop of this entry has begun.
     pub(crate) fn stop_requested(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether a run of an entry is over for good.
+    /// Whether an incarnation of an entry has ended for good.
     pub(crate) fn is_gone(&self, id: &EntryId) -> bool {
         let newer = lock(&self.peers).incarnation(&id.name).is_some_and(|inc| inc > id.incarnation);
         let own = id.name == self.me.name && id.incarnation < self.me.incarnation;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the others.
+//! This entry's view of the other entries, from the settings, the VM list and heartbeats.
 
 use crate::clock::Millis;
 use crate::controller::claims::Peer;
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A peer not heard for this long counts as not reachable.
+/// A peer without a heartbeat for this long counts as unreachable.
 const PEER_FRESHNESS: Millis = Millis(2_000);
 
-/// One other entry.
+/// The last known state of another entry.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerState {
     pub domain: Name,
@@ -30,7 +30,7 @@
     }
 }
 
-/// All other entries, from the settings, the VM list and their own words.
+/// The last known state of all other entries.
 #[derive(Debug)]
 pub(crate) struct Peers {
     me: Name,
@@ -47,7 +47,7 @@
         Self { me: settings.name.clone(), domain: settings.domain.clone(), known: known.collect() }
     }
 
-    /// Takes in the entries of a new VM list; entries that it dropped are forgotten.
+    /// Adds the entries of a new VM list and removes those that are gone for good.
     pub fn apply_vm_list(&mut self, list: &VmList, is_gone: impl Fn(&str) -> bool) {
         self.known.retain(|name, _| !is_gone(name));
         for vm in list.vms.iter().filter(|vm| vm.role == Role::Entry && vm.name != self.me) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in a heartbeat; the earlier run of the same entry, if this is a new one.
+    /// Records a heartbeat; returns the earlier incarnation of the sender if this is a new one.
     pub fn record_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> Option<EntryId> {
         let fresh = PeerState::new(beat.domain.clone(), beat.addr);
         let known = self.known.entry(beat.from.name.clone()).or_insert(fresh);
@@ -71,7 +71,8 @@
         replaced
     }
 
-    /// Adds to a heartbeat what it leaves out; `None` if that is not known, or newer is.
+    /// Completes a delta heartbeat with the unchanged shards; `None` if the state that it builds on is
+    /// not known, or a newer one is.
     pub fn merge(&mut self, message: DeltaHeartbeat) -> Option<Heartbeat> {
         let DeltaHeartbeat { heartbeat, delta } = message;
         let fresh = PeerState::new(heartbeat.domain.clone(), heartbeat.addr);
@@ -80,18 +81,18 @@
         (taken == Taken::Yes).then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
     }
 
-    /// The newest state held of a run of an entry; 0: none.
+    /// The number of the newest state that is known of an incarnation of an entry; 0 if none is.
     pub fn held_seq(&self, name: &str, inc: u64) -> u64 {
         self.known.get(name).map_or(0, |known| known.inbox.held(inc))
     }
 
-    /// The present run of an entry, as last heard.
+    /// The incarnation in an entry's last heartbeat.
     pub fn incarnation(&self, name: &str) -> Option<u64> {
         let (_, beat) = self.known.get(name)?.beat.as_ref()?;
         Some(beat.from.incarnation)
     }
 
-    /// Where an entry answers other entries.
+    /// The address at which an entry serves other entries.
     pub fn addr(&self, name: &str) -> Option<SocketAddr> {
         self.known.get(name).map(|known| known.addr)
     }
@@ -101,19 +102,19 @@
         self.known.iter().map(|(name, known)| (name.clone(), known.addr)).collect()
     }
 
-    /// Peers heard lately and not stopping: names, failure domains and addresses.
+    /// The reachable peers that are not stopping: names, failure domains and addresses.
     pub fn reachable(&self, now: Millis) -> Vec<(Name, Name, SocketAddr)> {
         let fresh = self.known.iter().filter(|(_, known)| known.is_fresh(now));
         fresh.map(|(name, known)| (name.clone(), known.domain.clone(), known.addr)).collect()
     }
 
-    /// Whether a peer was heard lately, even if it is stopping.
+    /// Whether a peer sent a heartbeat lately, even if it is stopping.
     pub fn is_heard(&self, now: Millis, name: &str) -> bool {
         let beat = self.known.get(name).and_then(|known| known.beat.as_ref());
         beat.is_some_and(|(heard, _)| now.since(*heard) < PEER_FRESHNESS)
     }
 
-    /// What the shards owned by peers could take, as last heard.
+    /// The capacity offered by shards of reachable peers: shard, failure domain and capacity.
     pub fn rooms(&self, now: Millis) -> Vec<(Name, Name, Room)> {
         let fresh = self.known.values().filter(|known| known.is_fresh(now));
         let beats = fresh.filter_map(|known| known.beat.as_ref());
@@ -125,13 +126,13 @@
         rooms.collect()
     }
 
-    /// The peers of this failure domain, heard or not.
+    /// The peers of this failure domain, reachable or not.
     pub fn local_names(&self) -> BTreeSet<Name> {
         let here = self.known.iter().filter(|(_, known)| known.domain == self.domain);
         here.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The peer that says that it owns a shard in `epoch` or a later one.
+    /// The peer whose last heartbeat says that it owns a shard in `epoch` or a later one.
     pub fn owner(&self, now: Millis, shard: &str, epoch: u64) -> Option<Name> {
         let heard = self.known.iter().filter(|(name, _)| self.is_heard(now, name));
         let mut owners = heard.filter(|(_, known)| {
@@ -142,8 +143,9 @@
         owners.next().map(|(name, _)| name.clone())
     }
 
-    /// Whether every peer of this failure domain was heard lately and knew of no epoch of `shard`
-    /// after `epoch`. One that was stopping when last heard claims nothing any more.
+    /// Whether every peer of this failure domain sent a heartbeat within the last [`OWNER_PROOF`] and
+    /// none knew of a later epoch of `shard` than `epoch`. A peer that was stopping in its last
+    /// heartbeat makes no more claims, so that heartbeat may be older.
     pub fn none_knows_later(&self, now: Millis, shard: &str, epoch: u64) -> bool {
         let mut here = self.known.values().filter(|known| known.domain == self.domain);
         here.all(|known| {
@@ -153,7 +155,7 @@
         })
     }
 
-    /// The peers of this failure domain, for the claimant.
+    /// The peers of this failure domain that have sent a heartbeat, as the claimant needs them.
     pub fn claimants(&self) -> BTreeMap<Name, Peer> {
         let here = self.known.iter().filter(|(_, known)| known.domain == self.domain);
         let heard = here.filter_map(|(name, known)| {
--- a/src/entry/quota.rs
+++ b/src/entry/quota.rs
@@ -1,5 +1,6 @@
-//! Limits of the whole cell: this entry's shards ask the homes of the limits for their parts, and
-//! this entry lends parts of the limits that its shards are home to.
+//! Cell-wide limits: each limit has a home shard, whose owner lends parts of it to the other shards.
+//! An entry requests quota for the shards that it owns and lends quota of the limits whose home
+//! shards it owns.
 
 use crate::clock::Millis;
 use crate::controller::quota::{Limit, PartAsk, Question};
@@ -11,15 +12,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Time between questions of a shard for which no limit is short.
+/// Interval between quota requests of a shard that lacks no quota.
 const QUOTA_INTERVAL: Millis = Millis(1_000);
-/// Time between questions of a shard at least.
+/// Minimum interval between quota requests of a shard.
 const MIN_QUOTA_INTERVAL: Millis = Millis(50);
-/// How long a home may take to answer.
+/// Timeout of a quota request.
 const HOME_TIMEOUT: Millis = Millis(1_000);
 
 impl Entry {
-    /// Asks for a shard's parts of limits: at once when tasks wait for one, else now and then.
+    /// Requests quota for a shard: at once when tasks wait for quota, else periodically.
     pub(super) async fn request_quota(self: Arc<Self>, handle: Arc<ShardHandle>) {
         loop {
             let _ = tokio::time::timeout(QUOTA_INTERVAL.duration(), handle.quota_wanted.notified())
@@ -34,8 +35,8 @@
         lock(&self.fold).claims.all().count()
     }
 
-    /// Asks all homes at once and waits for them all, so that a shard never has two questions
-    /// under way.
+    /// Sends a request to the home of each limit and waits for all of them, so that a shard never has
+    /// two requests under way to the same home.
     async fn query_homes(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let known = self.known_shards();
         let (epoch, asks) = {
@@ -53,7 +54,7 @@
         join_all(answers).await;
     }
 
-    /// One question to each home.
+    /// Groups the requested limits by home shard, with one request for each.
     fn questions(&self, shard: &Name, epoch: u64, asks: Vec<PartAsk>) -> BTreeMap<Name, Question> {
         let fold = lock(&self.fold);
         let known: Vec<Name> = fold.claims.all().map(|claim| claim.shard.clone()).collect();
@@ -89,7 +90,7 @@
         answer.unwrap_or(PeerResponse::NotOwner)
     }
 
-    /// Lends parts of the limits that a shard owned here is home to.
+    /// Lends quota of the limits whose home is a shard that this entry owns.
     pub(super) fn lend_quota(&self, home: &Name, question: &Question) -> PeerResponse {
         let Some(handle) = self.handle(home) else { return PeerResponse::NotOwner };
         let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else {
@@ -107,7 +108,8 @@
             .map_or(PeerResponse::NotOwner, PeerResponse::LentQuota)
     }
 
-    /// The shards that may hold parts: not those whose workers and last owner are gone for good.
+    /// The shards that may hold quota: all but those that have neither listed workers nor a last
+    /// owner that may still run.
     fn possible_holders(&self) -> BTreeSet<Name> {
         let claims: Vec<_> = lock(&self.fold).claims.all().cloned().collect();
         let list = lock(&self.vm_lists).newest().clone();
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,4 +1,5 @@
-//! Finding the owner of a shard, and the shard for a job or a key.
+//! Routing of requests to the owner of a shard, and the choice of a shard for a job or an
+//! idempotency key.
 
 use crate::clock::Millis;
 use crate::controller::offer::{self, Candidate, Offer, Room};
@@ -15,21 +16,22 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// How long one try to reach an owner may take.
+/// Timeout of one attempt to reach an owner.
 const OWNER_TIMEOUT: Millis = Millis(2_000);
-/// Pause before an owner is looked for again.
+/// Delay between two attempts.
 const OWNER_RETRY_DELAY: Millis = Millis(100);
-/// Callers come again after this long when a shard has no owner.
+/// The `Retry-After` delay when a shard has no reachable owner.
 const NO_OWNER_RETRY: Millis = Millis(2_000);
 
-/// The refusal of a caller whose shard has no owner now. Nothing was run.
+/// The error for a request to a shard whose owner could not be reached; `run` says whether the
+/// request may have been carried out.
 fn no_owner(run: Executed) -> RequestError {
     RequestError { reason: Reason::NoOwner, run, after: Some(NO_OWNER_RETRY) }
 }
 
 impl Entry {
-    /// Asks the owner of a shard, wherever it is, and tries again while ownership changes. All
-    /// questions to owners are idempotent.
+    /// Sends a request to the owner of a shard, which may be this entry, and retries while ownership
+    /// changes. A retry is safe because all requests to owners are idempotent.
     ///
     /// # Errors
     /// If no owner answers within `limit`.
@@ -45,7 +47,7 @@
             match self.try_owner(shard, ask.clone()).await {
                 Ok(PeerResponse::NotOwner) => {}
                 Ok(PeerResponse::Pending) => run = Executed::Unknown,
-                Ok(tell) => return Ok(tell),
+                Ok(response) => return Ok(response),
                 Err(true) => {}
                 Err(false) => run = Executed::Unknown,
             }
@@ -56,7 +58,7 @@
         }
     }
 
-    /// One try; the error says whether surely nothing was sent.
+    /// Makes one attempt; the error is `true` if the request certainly was not sent.
     async fn try_owner(
         self: &Arc<Self>,
         shard: &Name,
@@ -74,7 +76,7 @@
         answer.map_err(|err| err.is_unsent())
     }
 
-    /// Answers a question to the owner of a shard, if that is this entry.
+    /// Handles a request to the owner of a shard, if that is this entry.
     pub(super) async fn answer_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
@@ -152,14 +154,15 @@
         })
     }
 
-    /// The shard that keeps an idempotency key.
+    /// The shard that stores an idempotency key.
     pub(crate) fn key_shard(&self, key: &str) -> Option<Name> {
         let fold = lock(&self.fold);
         let shards: Vec<Name> = fold.claims.all().map(|claim| claim.shard.clone()).collect();
         rendezvous(key, shards.iter()).cloned()
     }
 
-    /// What the shards of the cell could take, as far as this entry knows.
+    /// The capacity that the shards of the cell offer, as far as this entry knows: shard, failure
+    /// domain and capacity.
     fn known_rooms(&self) -> Vec<(Name, Name, Room)> {
         let mut rooms = lock(&self.peers).rooms(self.now());
         for handle in self.shards() {
@@ -171,8 +174,8 @@
         rooms
     }
 
-    /// The shards to offer a job to, best first: its row's site first, then those with room now,
-    /// then those with the fewest tasks waiting.
+    /// The shards to offer a job to, best first: by the failure domain's weight in the row, then those
+    /// with free capacity now, then those with the fewest tasks waiting.
     ///
     /// # Errors
     /// If no worker is large enough, or if that is not known because a shard has no owner now.
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Whether the owners of all shards that may take a row's work have said what they have.
+    /// Whether the owners of all shards that may run a row's work have announced their capacity.
     fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, Room)]) -> bool {
         let fold = lock(&self.fold);
         let mut shards =
@@ -221,7 +224,7 @@
         shards.peek().is_some() && shards.all(known)
     }
 
-    /// A job's state, from the owner of its shard.
+    /// The status of a job, from the owner of its shard.
     ///
     /// # Errors
     /// If there is no such job, or no owner answers.
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Offers a job to a shard.
+    /// Submits a job to the owner of a shard.
     ///
     /// # Errors
     /// If it is refused, or no owner answers.
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to other entries.
+//! Handling of requests from other entries.
 
 use crate::controller::slots::SlotUse;
 use crate::entry::{Entry, lock};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl Entry {
-    /// Answers other entries until the endpoint closes.
+    /// Handles requests from other entries until the QUIC endpoint closes.
     pub(super) async fn serve_peers(self: Arc<Self>) {
         let quic = self.quic.clone();
         quic.serve(move |ask| {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Lends slots if this entry surely owned the shard a moment ago.
+    /// Lends slots if this entry can prove that it owned the shard within the last `OWNER_PROOF`.
     pub(super) fn lend_slots(
         &self,
         shard: &Name,
@@ -80,8 +80,8 @@
         PeerResponse::LentSlots(lender.lend(self.now(), entry, uses, waiting))
     }
 
-    /// Whether, a moment ago, there was no later claim: the log was read to its end, or every
-    /// entry that could claim was heard and knew of none.
+    /// Whether there was no later claim within the last `OWNER_PROOF`: this entry read the log to its
+    /// end, or every entry that could claim sent a heartbeat and knew of no later claim.
     fn is_owner_proven(&self, shard: &Name, epoch: u64) -> bool {
         let known = lock(&self.fold).claims.epoch(shard);
         let agreed = lock(&self.peers).none_knows_later(self.now(), shard, epoch);
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -1,4 +1,4 @@
-//! Slots for requests: renewing leases, waiting for a turn, giving slots back.
+//! Runner slots for requests: renewing slot leases, waiting for a slot, and releasing it.
 
 use crate::clock::Millis;
 use crate::controller::slots::{SlotUse, Turn, Waiting};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Time between renewals of slot leases.
+/// Interval between renewals of slot leases.
 const RENEWAL_INTERVAL: Millis = Millis(200);
-/// How long the owner may take to answer.
+/// Timeout of a lease renewal.
 const RENEWAL_TIMEOUT: Millis = Millis(500);
 
-/// A slot of a runner; given back when dropped.
+/// A slot of a runner; released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     entry: Arc<Entry>,
@@ -22,7 +22,7 @@
     since: Millis,
     /// The runner.
     pub runner: Name,
-    /// Whether the runner answered.
+    /// Whether the runner responded.
     pub reached: bool,
 }
 
@@ -36,10 +36,10 @@
 }
 
 impl Entry {
-    /// Waits for a slot.
+    /// Waits for a slot of a runner.
     ///
     /// # Errors
-    /// When to come again, if the request is given up, and whether the queue was full.
+    /// If the request gets no slot: the delay before a retry, and whether the queue was full.
     pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         request: Waiting,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells waiting requests whose turn it is.
+    /// Wakes the waiting requests that got a slot or were given up.
     pub(super) fn wake_waiters(&self) {
         let turns = lock(&self.slots).turns(self.now());
         let mut waiting = lock(&self.slot_waiters);
@@ -81,12 +81,12 @@
         }
     }
 
-    /// A runner said that it is leaving.
+    /// Takes a runner out of use that announced its shutdown.
     pub(crate) fn mark_runner_leaving(&self, runner: &str) {
         lock(&self.slots).leave(runner);
     }
 
-    /// Renews this entry's slots at the owners of the shards of its failure domain.
+    /// Renews this entry's slot leases with the owners of the shards of its failure domain.
     pub(super) async fn renew_slots(self: Arc<Self>) {
         let mut timer = tokio::time::interval(RENEWAL_INTERVAL.duration());
         loop {
@@ -126,20 +126,20 @@
             .unwrap_or(PeerResponse::NotOwner)
     }
 
-    /// Where a runner answers.
+    /// The address of a runner.
     pub(crate) fn runner_addr(&self, runner: &str) -> Option<Name> {
         let lists = lock(&self.vm_lists);
         let vm = lists.newest().vms.iter().find(|vm| *vm.name == *runner)?;
         Some(vm.addr.clone())
     }
 
-    /// Runner slots: in use and requests waiting for one, and the runners' shards.
+    /// The number of slots in use and of requests waiting for a slot.
     pub(crate) fn slot_load(&self) -> (u32, usize) {
         let slots = lock(&self.slots);
         (slots.used(), slots.waiting())
     }
 
-    /// Runners with their slots, for people.
+    /// The slots of each runner, formatted for operators.
     pub(crate) fn runner_views(&self) -> Vec<String> {
         let view = |(name, used, allowed, leaving): (Name, u32, u32, bool)| {
             format!("{name} used {used} of {allowed}{}", if leaving { " leaving" } else { "" })
@@ -147,14 +147,14 @@
         lock(&self.slots).runners(self.now()).into_iter().map(view).collect()
     }
 
-    /// Failure domains other than this one that can be reached.
+    /// Other failure domains with a reachable entry.
     pub(crate) fn other_domains(&self) -> BTreeSet<Name> {
         let fresh = lock(&self.peers).reachable(self.now()).into_iter();
         let domains = fresh.map(|(_, domain, _)| domain);
         domains.filter(|domain| *domain != self.settings.domain).collect()
     }
 
-    /// An entry of another failure domain, chosen by `seed`.
+    /// A reachable entry of a failure domain, chosen by `seed`.
     pub(crate) fn entry_in_domain(
         &self,
         domain: &str,
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop: shards are handed over, requests in flight end, the listener closes last.
+//! Planned stop of an entry: it hands over its shards, lets requests in flight end, and closes its
+//! listener last.
 
 use crate::clock::Millis;
 use crate::entry::{Entry, ShardHandle, lock};
@@ -10,17 +11,19 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// How long handing over may take before the entry stops anyway.
+/// Time after which the entry stops even if it still owns shards.
 const HANDOVER_TIMEOUT: Millis = Millis(10_000);
-/// Time between looks.
+/// Interval between checks of the progress.
 const POLL_INTERVAL: Millis = Millis(50);
-/// How long a peer may take to answer.
+/// Timeout of a request to a peer to claim a shard.
 const PEER_TIMEOUT: Millis = Millis(1_000);
-/// Requests in flight may take this long to end.
+/// Time after which the entry stops even if requests are in flight, counted from the beginning of
+/// the stop.
 const IN_FLIGHT_TIMEOUT: Millis = Millis(60_000);
 
 impl Entry {
-    /// Hands over shards and waits until callers were sent elsewhere and requests have ended.
+    /// Hands over all shards, then waits until the load balancer sends callers elsewhere and requests
+    /// in flight have ended.
     pub async fn stop(self: &Arc<Self>) {
         if self.stopping.swap(true, Ordering::SeqCst) {
             return self.wait_stopped().await;
@@ -49,24 +52,24 @@
         self.stopped.send_replace(true);
     }
 
-    /// Ready when a stop that was ordered through the API is done.
+    /// Completes when a planned stop is complete.
     pub async fn wait_stopped(&self) {
         let mut stopped = self.stopped.subscribe();
         let _ = stopped.wait_for(|stopped| *stopped).await;
     }
 
-    /// Whether the entry is stopping: its balancer should send callers elsewhere.
+    /// Whether the entry is stopping, so that the load balancer should send callers elsewhere.
     pub fn is_stopping(&self) -> bool {
         self.stop_requested()
     }
 
-    /// How many shards this entry owns.
+    /// The number of shards that this entry owns.
     pub(crate) fn owned_shards(&self) -> usize {
         let owned = self.shards().into_iter().filter(|handle| handle.shard().office().is_some());
         owned.count()
     }
 
-    /// Gives a shard up in favour of a peer of this failure domain, which claims it at once.
+    /// Asks a peer of this failure domain to claim a shard that this entry owns.
     async fn release_shard(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let Some(epoch) = handle.shard().office().map(|office| office.epoch()) else { return };
         let fresh = lock(&self.peers).reachable(self.now()).into_iter();
@@ -79,7 +82,7 @@
     }
 }
 
-/// Counts a request in flight for as long as it lives.
+/// Counts as one request in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight(Arc<Entry>);
 
