--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -1,4 +1,5 @@
-//! The administration API under /v1.
+//! The administration API under /v1. The doc comments of its operations are part of its OpenAPI
+//! description.
 
 use crate::clock::Millis;
 use crate::controller::shard::office::{Answer, Load};
@@ -26,9 +27,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long the API waits for owners.
+/// Timeout of a request to the owner of a shard.
 const OWNER_TIMEOUT: Millis = Millis(8_000);
-/// How long a publish or a job waits to be read back from the log.
+/// Timeout until a published table or an accepted job is read back from the log.
 const COMMIT_TIMEOUT: Millis = Millis(3_000);
 /// The administration API.
 pub(super) struct Api {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The id for a new job: under the same key always the same.
+    /// The id for a new job. The same idempotency key always gives the same id.
     async fn job_id(&self, shard: &Name, key: Option<&str>, team: &str) -> Result<JobId> {
         let entry = &self.entry;
         let fresh = JobId::new(shard.clone(), &entry.me, entry.next_number());
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Offers a job to shards until one takes it.
+    /// Offers a job to shards until one accepts it.
     async fn submit(&self, spec: JobSpec, key: Option<&str>) -> Result<JobAccepted> {
         let entry = &self.entry;
         let table = entry.table();
@@ -94,7 +95,7 @@
         Err(api_error(last))
     }
 
-    /// Says where an accepted job is kept, and not more than is so.
+    /// Appends an accepted job to the log, and reports it as kept there only if it was read back.
     async fn accepted(&self, job: JobId, spec: JobSpec) -> JobAccepted {
         let entry = &self.entry;
         let record = Record::Job { job: job.clone(), spec, at: entry.now() };
@@ -105,7 +106,7 @@
         JobAccepted { job: job.to_string(), kept }
     }
 
-    /// A shard, and its tasks by kind if its owner answers.
+    /// The view of a shard, and its task counts by kind of work if its owner answers.
     async fn shard_view(
         &self,
         shard: Name,
@@ -137,7 +138,7 @@
         (view, loads)
     }
 
-    /// Tasks by team, for people.
+    /// The task counts of each team, formatted for operators.
     fn team_views(&self, loads: &[(Name, Load)]) -> Vec<String> {
         let table = self.entry.table();
         let mut teams: BTreeMap<&Name, (u32, u32)> = BTreeMap::new();
@@ -331,7 +332,7 @@
     }
 }
 
-/// The refusal of a table with faults: all of them.
+/// The error response for an invalid table, with all of its faults.
 fn invalid_table(faults: &[Fault]) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
@@ -344,7 +345,7 @@
     problem_error(StatusCode::UNPROCESSABLE_ENTITY, &body)
 }
 
-/// The refusal of a publish that came second.
+/// The error response for a table that lost against another one with the same base revision.
 fn conflict(rev: u64, by: &str) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface: requests under /run, health, metrics, the time line, and the API.
+//! The HTTP interface: requests under /run, readiness, metrics, the timeline, and the API.
 
 use crate::clock::Millis;
 use crate::entry::stop::InFlight;
@@ -20,9 +20,9 @@
 const KEY_HEADER: &str = "idempotency-key";
 /// How long the caller waits, as `wait=SECONDS` (RFC 7240).
 const PREFER_HEADER: &str = "prefer";
-/// `no`: the request must not be run twice, whatever its row says.
+/// The value `no` means that the request must not be run twice, whatever its row says.
 const REPEAT_HEADER: &str = "work-repeat";
-/// The longest idempotency key.
+/// The maximum length of an idempotency key, in bytes.
 pub(super) const MAX_KEY_LEN: usize = 255;
 /// Headers of a request that are not passed on to a runner.
 const HOP_HEADERS: [&str; 9] = [
@@ -36,7 +36,7 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// The most events of one answer.
+/// The limit of events in one response.
 pub(super) const MAX_EVENTS: usize = 100_000;
 
 pub(super) fn refuse(reason: Reason) -> poem::Error {
@@ -51,7 +51,8 @@
     request.header(AUTHORIZATION)?.strip_prefix("Bearer ")
 }
 
-/// Serves a caller's request. It runs on its own, so that it ends even if the caller goes away.
+/// Serves a caller's request. It runs in a task of its own, so that it completes even if the caller
+/// disconnects.
 #[handler]
 async fn serve_run(
     entry: Data<&Arc<Entry>>,
@@ -106,7 +107,7 @@
     })
 }
 
-/// The time of `Prefer: wait=SECONDS`.
+/// Parses the wait time of `Prefer: wait=SECONDS`.
 fn parse_wait(prefer: Option<&str>) -> Option<Millis> {
     let parts = prefer?.split([',', ';']);
     let seconds = parts.filter_map(|part| part.trim().strip_prefix("wait=")).next()?;
@@ -137,7 +138,7 @@
     }
 }
 
-/// For the platform's balancer: whether callers should be sent here.
+/// Readiness check for the platform's load balancer: whether it should send callers here.
 #[handler]
 fn ready(entry: Data<&Arc<Entry>>) -> StatusCode {
     match entry.is_stopping() || entry.table().rows.is_empty() {
@@ -155,7 +156,7 @@
     entry.metrics.text()
 }
 
-/// The time line in the form that stand-ins give it too.
+/// The timeline, in the same form as the stand-ins serve it.
 #[handler]
 fn timeline(
     entry: Data<&Arc<Entry>>,
@@ -169,7 +170,7 @@
     }
 }
 
-/// Turns errors of the framework into problems.
+/// Converts errors of the web framework to `application/problem+json`.
 async fn into_problem(err: poem::Error) -> Response {
     let status = err.status();
     let response = err.into_response();
@@ -187,7 +188,7 @@
     response
 }
 
-/// The whole interface.
+/// The routes of the HTTP interface.
 pub fn app(entry: Arc<Entry>) -> impl Endpoint + 'static {
     let service = api::service(entry.clone());
     let description = service.spec_endpoint();
--- a/src/entry/log.rs
+++ b/src/entry/log.rs
@@ -1,4 +1,4 @@
-//! This entry's reader and writer of the platform's log.
+//! Reader and writer of the platform's log.
 
 use crate::clock::Millis;
 use crate::controller::fold::Change;
@@ -13,43 +13,45 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// How long a read waits for records.
+/// How long the log holds a read until there are records to return.
 const READ_WAIT: Millis = Millis(1_000);
-/// The most records of one read.
+/// The limit of records in one read.
 const MAX_READ_RECORDS: u32 = 500;
-/// How long an exchange with the log may take.
+/// Timeout of a request to the log, without the wait of a read.
 const LOG_TIMEOUT: Millis = Millis(5_000);
-/// The log counts as reachable if its end was read this lately.
+/// The log counts as reachable if this entry read it to its end within this time.
 const LOG_FRESHNESS: Millis = OWNER_PROOF;
-/// Pause after a failed exchange.
+/// Delay after a failed read.
 const RETRY_DELAY: Millis = Millis(200);
-/// The largest batch, in bytes of JSON, unless a single record is larger.
+/// The size limit of a batch as JSON. A single append that is larger makes a batch of its own.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
-/// Appends that may wait; more are dropped, oldest first, except those that somebody waits for.
+/// The limit of queued appends. The oldest ones beyond it are dropped.
 const MAX_QUEUED_APPENDS: usize = 100_000;
-/// Claims not appended after this long are dropped: what they were based on is old.
+/// Claims that were not appended within this time are dropped: the state that they were based on is
+/// outdated.
 pub(crate) const CLAIM_EXPIRY: Millis = Millis(2_000);
-/// Group commit: at least this long between two appends.
+/// Group commit: the minimum time between two appends.
 const MIN_APPEND_INTERVAL: Millis = Millis(20);
-/// Group commit: records that nobody waits for are held this long for more of them.
+/// Group commit: the time for which records that nobody waits for are held back to be batched with
+/// later ones.
 const GROUP_COMMIT_DELAY: Millis = Millis(250);
 
-/// Records for the log.
+/// Records that are queued to be appended to the log together.
 #[derive(Debug)]
 pub(crate) struct QueuedAppend {
     records: Vec<Record>,
     expires: Option<Millis>,
     done: Option<oneshot::Sender<()>>,
-    /// Something waits for it: it is not held for more records.
+    /// Whether the records are appended without waiting for more.
     is_urgent: bool,
 }
 
-/// The writer's side that the rest of the entry uses.
+/// Handle through which the rest of the entry appends records and sees the reader's progress.
 #[derive(Debug)]
 pub(crate) struct Writer {
     items: mpsc::UnboundedSender<QueuedAppend>,
     seen_seq: watch::Sender<u64>,
-    /// When the read began that last came to the log's end.
+    /// The start time of the last read that reached the end of the log.
     tail_read: watch::Sender<Millis>,
 }
 
@@ -60,23 +62,23 @@
         (Self { items, seen_seq, tail_read }, queue)
     }
 
-    /// Appends in a while; nobody waits.
+    /// Queues records that may wait to be batched with later ones.
     pub fn append(&self, records: Vec<Record>) {
         self.push(records, None, None, false);
     }
 
-    /// Appends as soon as it can be.
+    /// Queues a record to be appended without waiting for more.
     pub fn append_now(&self, record: Record) {
         self.push(vec![record], None, None, true);
     }
 
-    /// Appends a claim soon or never.
+    /// Queues a claim, to be appended within [`CLAIM_EXPIRY`] or dropped.
     pub fn append_claim(&self, claim: Claim, now: Millis) {
         self.push(vec![Record::Claim(claim)], Some(now + CLAIM_EXPIRY), None, true);
     }
 
-    /// Appends and waits until the records were read back, at most `limit`; `false` if they were
-    /// not. They may be appended later all the same.
+    /// Appends records and waits up to `limit` until they were read back. Returns `false` if they
+    /// were not; they may still be appended later.
     pub async fn commit(&self, records: Vec<Record>, now: Millis, limit: Millis) -> bool {
         let (done, waiting) = oneshot::channel();
         self.push(records, Some(now + limit), Some(done), true);
@@ -97,7 +99,8 @@
     }
 }
 
-/// Takes what waits into `queue`, and from there as much as one batch holds.
+/// Moves received appends into `queue` and takes one batch from it, with the senders to notify when
+/// the batch is committed.
 fn take_batch(
     inbox: &mut mpsc::UnboundedReceiver<QueuedAppend>,
     queue: &mut VecDeque<QueuedAppend>,
@@ -123,7 +126,7 @@
     (records, waiting)
 }
 
-/// Holds records that nobody waits for until more came, or one that somebody waits for.
+/// Waits until an urgent append is queued or [`GROUP_COMMIT_DELAY`] has passed.
 async fn wait_for_more(
     inbox: &mut mpsc::UnboundedReceiver<QueuedAppend>,
     queue: &mut VecDeque<QueuedAppend>,
@@ -146,8 +149,8 @@
 }
 
 impl Entry {
-    /// Appends batches one after the other. A batch without a good answer is looked for in the log
-    /// before it is sent again.
+    /// Appends batches one after the other. If an append fails, the log is read to see whether it
+    /// holds the batch before the batch is sent again.
     pub(super) async fn write_log(
         self: Arc<Self>,
         mut inbox: mpsc::UnboundedReceiver<QueuedAppend>,
@@ -190,7 +193,7 @@
         self.http.post_bytes(&self.me.name, addr, "/log/append", data, LOG_TIMEOUT).await
     }
 
-    /// Waits until the reader has come to the log's end with a read begun after `failed`, or has
+    /// Waits until a read that began after `failed` has reached the end of the log, or the reader has
     /// seen the batch.
     async fn wait_for_reader(&self, failed: Millis, seq: u64) {
         let mut tail = self.writer.tail_read.subscribe();
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Follows the log.
+    /// Reads the log continuously and applies its records.
     pub(super) async fn read_log(self: Arc<Self>) {
         let mut up = true;
         loop {
@@ -270,7 +273,7 @@
         }
     }
 
-    /// The fold has a new table in force: use it and pass it on.
+    /// Puts the newest table into force at this entry and announces it to the peers.
     pub(super) fn apply_table(self: &Arc<Self>) {
         let (table, rev, by) = {
             let fold = lock(&self.fold);
@@ -285,7 +288,7 @@
         self.state_changed.notify_one();
     }
 
-    /// Appends a snapshot if the last one is old; `due` says so for this entry.
+    /// Appends a snapshot of the table and the claims, unless the log was not yet read to its end.
     pub(super) fn append_snapshot(&self) {
         let fold = lock(&self.fold);
         if fold.synced() {
@@ -293,7 +296,7 @@
         }
     }
 
-    /// Whether this entry can read the log up to its end.
+    /// Whether this entry has lately read the log to its end.
     pub(crate) fn is_log_fresh(&self) -> bool {
         self.now().since(*self.writer.tail_read.borrow()) < LOG_FRESHNESS
     }
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry, in the format of Prometheus.
+//! Prometheus metrics of an entry.
 
 use crate::registry;
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge};
@@ -7,7 +7,7 @@
 const WAIT_BUCKETS_SECONDS: [f64; 12] =
     [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5, 6.4, 30.0];
 
-/// The metrics.
+/// The metrics of an entry.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: registry::Metrics,
@@ -17,11 +17,11 @@
     pub request_wait: Histogram,
     /// How long tasks waited for a worker.
     pub task_wait: Histogram,
-    /// Starts sent to workers.
+    /// Task starts sent to workers.
     pub starts: IntCounter,
     /// Tasks that ended.
     pub ended: IntCounter,
-    /// Requests tried again.
+    /// Retries of requests.
     pub retries: IntCounter,
     /// Appends to the log.
     pub appends: IntCounter,
@@ -29,9 +29,9 @@
     pub revision: IntGauge,
     /// Shards owned here.
     pub shards: IntGauge,
-    /// Messages with other entries.
+    /// Requests sent to and received from other entries.
     pub peer_messages: IntGauge,
-    /// Bytes in messages with other entries.
+    /// Bytes of these requests and their responses.
     pub peer_bytes: IntGauge,
 }
 
@@ -61,12 +61,12 @@
         })
     }
 
-    /// A task was bound after this many milliseconds.
+    /// Records the time that a task waited for a worker, in milliseconds.
     pub fn waited(&self, millis: u64) {
         self.task_wait.observe(millis as f64 / 1000.0);
     }
 
-    /// All metrics as text.
+    /// All metrics in the text format of Prometheus.
     pub fn text(&self) -> String {
         let text = self.registry.text().map(String::from_utf8);
         match text {
--- a/src/entry/owner.rs
+++ b/src/entry/owner.rs
@@ -1,5 +1,5 @@
-//! Ownership of shards: claims, the search for a shard's state, replication, and the owner's
-//! actions towards workers.
+//! Ownership of shards: claims, recovery of a shard's state, replication, and the owner's requests
+//! to workers.
 
 use crate::clock::Millis;
 use crate::controller::quota::Pool;
@@ -19,13 +19,13 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Time between looks at claims and due tasks.
+/// Interval between checks of claims and of tasks that are due.
 const TICK_INTERVAL: Millis = Millis(200);
-/// How long a replica may take to answer.
+/// Timeout of a request to a replica.
 const REPLICA_TIMEOUT: Millis = Millis(1_000);
-/// Pause before a replica is tried again.
+/// Delay before a replica is tried again.
 const REPLICA_RETRY_DELAY: Millis = Millis(100);
-/// How long a worker may take to answer.
+/// Timeout of a request to a worker.
 const WORKER_TIMEOUT: Millis = Millis(1_500);
 
 /// A message to a worker.
@@ -35,7 +35,8 @@
 }
 
 impl Entry {
-    /// Claims, searches, and lets time pass for the shards owned here.
+    /// Periodically claims shards, recovers the state of claimed shards, gives the owned ones a tick,
+    /// and refreshes their records in the log.
     pub(super) async fn tick(self: Arc<Self>) {
         let mut timer = tokio::time::interval(TICK_INTERVAL.duration());
         let every = self.settings.refresh_interval;
@@ -57,7 +58,8 @@
         }
     }
 
-    /// An earlier office of this same entry is fenced like another's.
+    /// Fences the earlier epochs of a shard in which this entry was the owner, once none of its task
+    /// starts from them can still reach a worker.
     fn fence_own_epochs(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let epoch = handle.shard().office().map(|office| office.since());
         if epoch.is_some_and(|epoch| !handle.flights().any_before(self.now(), &epoch)) {
@@ -65,9 +67,9 @@
         }
     }
 
-    /// Appends again what retention would drop: open jobs of the shards owned here, and the table
-    /// and the claims unless another entry did so since the snapshot at offset `last`. Returns the
-    /// offset of the last snapshot.
+    /// Appends records again before the log's retention drops them: open jobs of the shards owned
+    /// here, and a snapshot with the table and the claims, unless another entry appended one since
+    /// the snapshot at offset `last`. Returns the offset of the last snapshot.
     fn refresh_log(self: &Arc<Self>, last: u64) -> u64 {
         for handle in self.shards() {
             self.step(&handle, Event::Refresh);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The log has a new claim on a shard of this failure domain.
+    /// Applies a new claim from the log on a shard of this failure domain.
     pub(super) fn apply_claim(self: &Arc<Self>, claim: Claim) {
         let handle = self.open_shard(&claim.shard);
         let (history, log) = {
@@ -115,8 +117,8 @@
         self.begin_search(handle);
     }
 
-    /// Searches for the state of a shard claimed here, beside everything else: a holder that does
-    /// not answer holds up no other shard.
+    /// Starts the search for the state of a shard that this entry claimed, in a task of its own, so
+    /// that a replica that does not answer delays no other shard.
     fn begin_search(self: &Arc<Self>, handle: Arc<ShardHandle>) {
         let wanted = handle.shard().claiming().is_some();
         if !wanted || handle.is_searching.swap(true, Ordering::SeqCst) {
@@ -138,17 +140,17 @@
         }
     }
 
-    /// Asks replicas to seal a shard for this entry's claim; any one answer will do.
+    /// Asks replicas to seal a shard for this entry's claim. The answer of any one of them is enough.
     async fn seal_replicas(self: &Arc<Self>, handle: &Arc<ShardHandle>, ids: BTreeSet<EntryId>) {
         let Some(epoch) = handle.shard().claiming().map(|claim| claim.epoch) else { return };
         let others = ids.into_iter().filter(|id| *id != self.me);
-        let asks = others.map(|id| async move {
+        let requests = others.map(|id| async move {
             let answer = self.request_seal(&id, &handle.id, epoch).await;
             if let Some(state) = answer {
                 handle.shard().sealed(&id, epoch, state);
             }
         });
-        join_all(asks).await;
+        join_all(requests).await;
     }
 
     async fn request_seal(&self, id: &EntryId, shard: &Name, epoch: u64) -> Option<State> {
@@ -159,8 +161,8 @@
         if present != id.incarnation {
             return None;
         }
-        let ask = PeerRequest::Seal { shard: shard.clone(), epoch };
-        match self.quic.request(&id.name, addr, ask, REPLICA_TIMEOUT).await {
+        let request = PeerRequest::Seal { shard: shard.clone(), epoch };
+        match self.quic.request(&id.name, addr, request, REPLICA_TIMEOUT).await {
             Ok(PeerResponse::Sealed { by, state }) if by == *id => Some(state),
             _ => None,
         }
@@ -187,7 +189,8 @@
         );
     }
 
-    /// This entry owns a shard from now on: nothing is lent yet, and the workers are asked.
+    /// Sets up the ownership of a shard: lent slots and quota start from nothing, and all workers are
+    /// asked for their reports.
     pub(super) fn begin_ownership(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
@@ -203,21 +206,22 @@
         self.sync_shard(handle);
     }
 
-    /// A new table is in force: tell the owners here.
+    /// Passes a new table to the shards owned here.
     pub(super) fn pass_table(self: &Arc<Self>, table: &Arc<Table>) {
         for handle in self.shards() {
             self.step(&handle, Event::Table(table.clone()));
         }
     }
 
-    /// The log holds notes of a shard.
+    /// Tells the owner of a shard up to which change its state is in the log.
     pub(super) fn apply_logged(self: &Arc<Self>, shard: &Name, epoch: u64, seq: u64) {
         if let Some(handle) = self.handle(shard) {
             self.step(&handle, Event::Logged { epoch, seq });
         }
     }
 
-    /// Gives an event to the owner of a shard, if it is here, and does what it says.
+    /// Passes an event to a shard if this entry owns it, and performs the resulting actions. Returns
+    /// whether it does.
     pub(crate) fn step(self: &Arc<Self>, handle: &Arc<ShardHandle>, event: Event) -> bool {
         let now = self.now();
         let (epoch, actions, starts) = {
@@ -278,7 +282,7 @@
         self.writer.append(records);
     }
 
-    /// Adds an owner's event to the time line and the metrics.
+    /// Records an event of an owned shard in the timeline and the metrics.
     fn record(&self, what: EventKind) {
         match &what {
             EventKind::Bound { waited, .. } => self.metrics.waited(waited.0),
@@ -289,7 +293,7 @@
         self.trace.record(what);
     }
 
-    /// Sends a start or stop to a worker and gives the answer to the owner.
+    /// Sends a task start or stop to a worker and passes the reply to the owner.
     fn send_to_worker(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
@@ -324,7 +328,7 @@
         reply.ok()
     }
 
-    /// Renews leases at all workers of the shards owned here, and learns what they run.
+    /// Periodically renews the leases of all workers of the shards owned here and reads their reports.
     pub(super) async fn sync_workers(self: Arc<Self>) {
         let mut timer = tokio::time::interval(self.settings.sync_interval.duration());
         loop {
@@ -336,7 +340,7 @@
         }
     }
 
-    /// Renews leases at all workers of one shard, if it is owned here.
+    /// Renews the leases of all workers of a shard if this entry owns it.
     fn sync_shard(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let workers = handle.shard().office().map(|office| office.workers());
         for worker in workers.unwrap_or_default() {
@@ -358,7 +362,8 @@
         self.http.post_json(&self.me.name, addr, "/sync", order, WORKER_TIMEOUT).await.ok()
     }
 
-    /// Renews leases from a replica while the owner is not heard: a renewal starts nothing.
+    /// Renews the workers' leases as a replica while the owner sends no heartbeats. This is safe
+    /// because a renewal starts no tasks.
     async fn renew_as_replica(self: Arc<Self>, handle: Arc<ShardHandle>) {
         let Some(owner) = self.owner_of(&handle.id) else { return };
         let here = owner == self.me.name && handle.shard().office().is_some();
@@ -375,7 +380,7 @@
         }
     }
 
-    /// Brings the notes of an owned shard to its replicas, or to the log if there are none.
+    /// Replicates the state changes of an owned shard to its replicas, or to the log if it has none.
     pub(super) async fn replicate(self: Arc<Self>, handle: Arc<ShardHandle>) {
         loop {
             handle.replication_due.notified().await;
@@ -383,7 +388,7 @@
         }
     }
 
-    /// Sends each replica what it lacks; `true` if something was sent.
+    /// Sends each replica the changes that it lacks; returns whether any were sent.
     async fn replicate_once(self: &Arc<Self>, handle: &Arc<ShardHandle>) -> bool {
         let (updates, record) = {
             let mut shard = handle.shard();
@@ -400,8 +405,8 @@
         }
         let sends = updates.into_iter().map(|(id, update)| async move {
             let epoch = update.epoch;
-            let ask = PeerRequest::Update { shard: handle.id.clone(), update };
-            self.send_update(handle, id, epoch, ask).await;
+            let request = PeerRequest::Update { shard: handle.id.clone(), update };
+            self.send_update(handle, id, epoch, request).await;
         });
         let sends: Vec<_> = sends.collect();
         let sent = !sends.is_empty();
@@ -414,13 +419,13 @@
         handle: &Arc<ShardHandle>,
         id: EntryId,
         epoch: u64,
-        ask: PeerRequest,
+        request: PeerRequest,
     ) {
         let addr = lock(&self.peers).addr(&id.name);
         let Some(addr) = addr else {
             return tokio::time::sleep(REPLICA_RETRY_DELAY.duration()).await;
         };
-        match self.quic.request(&id.name, addr, ask, REPLICA_TIMEOUT).await {
+        match self.quic.request(&id.name, addr, request, REPLICA_TIMEOUT).await {
             Ok(PeerResponse::Updated { by, result: Ok(seq) }) if by == id => {
                 self.step(handle, Event::Acked { replica: id, epoch, seq });
             }
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -174,8 +174,9 @@
         rooms
     }
 
-    /// The shards to offer a job to, best first: by the failure domain's weight in the row, then those
-    /// with free capacity now, then those with the fewest tasks waiting.
+    /// The shards to offer a job to, best first: those of this failure domain if the row gives it a
+    /// weight above zero, then those that can start the job now, then by the weight of their failure
+    /// domain and by their load.
     ///
     /// # Errors
     /// If no worker is large enough, or if that is not known because a shard has no owner now.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,5 @@
-//! What the administration API takes and gives.
+//! Request and response types of the administration API. Their doc comments are part of its OpenAPI
+//! description.
 
 use crate::controller::shard::office::Load;
 use crate::id::Name;
@@ -163,7 +164,7 @@
 }
 
 impl ShardView {
-    /// Takes over what the shard's owner said.
+    /// Fills in the status that the shard's owner reported.
     pub(super) fn fill_from_owner(&mut self, state: ShardStatus) {
         let room =
             |(name, total, used): &(Name, Size, Size)| format!("{name} used {used} of {total}");
