--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, in separate processes over loopback.
+//! Requests and jobs from submission to their end, in a cell of separate processes on loopback.
 
 mod common;
 
@@ -10,19 +10,19 @@
 async fn serves_requests_and_jobs_end_to_end() {
     let cell = Cell::start("path").await;
     cell.publish_table_and_wait().await;
-    previews(&cell).await;
-    build(&cell).await;
-    gang(&cell).await;
-    campaign(&cell).await;
-    teams(&cell).await;
-    bad_bodies(&cell).await;
+    check_requests(&cell).await;
+    check_batch_job(&cell).await;
+    check_gang_job(&cell).await;
+    check_cancelled_job(&cell).await;
+    check_team_isolation(&cell).await;
+    check_invalid_jobs(&cell).await;
     for text in ["event=table-in-force", "event=request-sent", "event=worker-started"] {
         assert!(cell.has_event(&[text]).await, "{text}");
     }
     cell.check_invariants().await;
 }
 
-async fn previews(cell: &Cell) {
+async fn check_requests(cell: &Cell) {
     for entry in cell.entries.keys() {
         let mut answer = (0, String::new());
         cell.wait_until("preview", async || {
@@ -34,7 +34,7 @@
     }
 }
 
-async fn build(cell: &Cell) {
+async fn check_batch_job(cell: &Cell) {
     let job = json!({"kind": "build", "cpu": 2000, "mem": 1000, "acc": 1, "run": 300});
     let id = cell.submit("nasr-hall-1", NILEWIRE_TOKEN, job).await;
     let state = cell.wait_for_job("nasr-hall-2", &id, "ended").await;
@@ -44,7 +44,7 @@
     assert!(cell.has_event(&["event=worker-ended", &task, "outcome=done"]).await);
 }
 
-async fn gang(cell: &Cell) {
+async fn check_gang_job(cell: &Cell) {
     let big =
         json!({"kind": "build", "tasks": 4, "gang": true, "cpu": 4000, "mem": 1000, "run": 300});
     let id = cell.submit("pasila-1", NILEWIRE_TOKEN, big).await;
@@ -57,7 +57,7 @@
     assert_eq!(answer["run"], "no");
 }
 
-async fn campaign(cell: &Cell) {
+async fn check_cancelled_job(cell: &Cell) {
     let job = json!({"kind": "campaign", "tasks": 100, "cpu": 4000, "mem": 1000, "run": 60000});
     let id = cell.submit("pasila-1", VIESTISILTA_TOKEN, job).await;
     cell.wait_for_job("pasila-2", &id, "running").await;
@@ -69,7 +69,7 @@
     assert_eq!((&state["queued"], &state["running"]), (&json!(0), &json!(0)));
 }
 
-async fn bad_bodies(cell: &Cell) {
+async fn check_invalid_jobs(cell: &Cell) {
     let good = json!({"kind": "build", "tasks": 1, "cpu": 100, "mem": 10, "run": 10});
     let changes = [
         ("kind", json!("no-such-kind"), 404),
@@ -97,12 +97,12 @@
     }
 }
 
-async fn teams(cell: &Cell) {
+async fn check_team_isolation(cell: &Cell) {
     let job = json!({"kind": "campaign", "cpu": 100, "mem": 10, "run": 10});
     let id = cell.submit("pasila-1", VIESTISILTA_TOKEN, job).await;
     let path = format!("/v1/jobs/{id}");
     let (status, _) = cell.call("pasila-1", NILEWIRE_TOKEN, Method::GET, &path, Value::Null).await;
-    assert_eq!(status, 404, "another team's job is not to be seen");
+    assert_eq!(status, 404, "a job must be hidden from other teams");
     let (status, _) = cell.call("pasila-1", "no-such-token", Method::GET, &path, Value::Null).await;
     assert_eq!(status, 401);
 }
