--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -1,15 +1,16 @@
-//! The administration API under /v1.
+//! The administration API under /v1. The doc comments of its operations are part of its OpenAPI
+//! description.
 
 use crate::clock::Millis;
 use crate::controller::shard::owner::{Answer, Load};
 use crate::controller::table::Verdict;
-use crate::entry::http::{MAX_EVENTS, MAX_KEY, bearer, fail, refuse};
+use crate::entry::http::{MAX_EVENTS, MAX_KEY_LEN, api_error, bearer, refuse};
 use crate::entry::view::{
     JobAccepted, JobRequest, JobView, Published, ShardView, StatusView, TableView,
 };
 use crate::entry::{Entry, lock};
-use crate::filter::identify::Caller;
-use crate::filter::{identify, not_run};
+use crate::filter::authenticate::Caller;
+use crate::filter::{authenticate, not_run};
 use crate::id::{JobId, Name};
 use crate::job::{JobSpec, JobStorage};
 use crate::record::{Claim, Record, TablePublish};
@@ -26,10 +27,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long the API waits for owners.
-const OWNER_LIMIT: Millis = Millis(8_000);
-/// How long a publish or a job waits to be read back from the log.
-const COMMIT_LIMIT: Millis = Millis(3_000);
+/// Timeout of a request to the owner of a shard.
+const OWNER_TIMEOUT: Millis = Millis(8_000);
+/// Timeout until a published table or an accepted job is read back from the log.
+const COMMIT_TIMEOUT: Millis = Millis(3_000);
 /// The administration API.
 pub(super) struct Api {
     entry: Arc<Entry>,
@@ -39,7 +40,7 @@
 
 impl Api {
     fn caller(&self, request: &Request) -> Result<Caller> {
-        identify::apply(&self.entry.settings.tokens, bearer(request)).map_err(fail)
+        authenticate::apply(&self.entry.settings.tokens, bearer(request)).map_err(api_error)
     }
 
     fn operator(&self, request: &Request) -> Result<Caller> {
@@ -50,19 +51,19 @@
         }
     }
 
-    /// The id for a new job: under the same key always the same.
+    /// The id for a new job. The same idempotency key always gives the same id.
     async fn job_id(&self, shard: &Name, key: Option<&str>, team: &str) -> Result<JobId> {
         let entry = &self.entry;
-        let fresh = JobId::new(shard.clone(), &entry.me, entry.next());
+        let fresh = JobId::new(shard.clone(), &entry.me, entry.next_number());
         let Some(key) = key else { return Ok(fresh) };
-        if key.is_empty() || key.len() > MAX_KEY {
+        if key.is_empty() || key.len() > MAX_KEY_LEN {
             return Err(refuse(Reason::Malformed));
         }
         let key: Name = format!("{team}/job/{key}").into();
         let keeper = entry.key_shard(&key).ok_or_else(|| refuse(Reason::NoOwner))?;
         let holder: Name = fresh.to_string().into();
         let ask = OwnerRequest::TakeKey { key, holder };
-        match entry.ask_owner(&keeper, ask, OWNER_LIMIT).await.map_err(fail)? {
+        match entry.ask_owner(&keeper, ask, OWNER_TIMEOUT).await.map_err(api_error)? {
             PeerResponse::OwnerAnswer(Answer::KeyKnown(known)) => {
                 known.parse().map_err(|_| refuse(Reason::KeyKnown))
             }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Offers a job to shards until one takes it.
+    /// Offers a job to shards until one accepts it.
     async fn submit(&self, spec: JobSpec, key: Option<&str>) -> Result<JobAccepted> {
         let entry = &self.entry;
         let table = entry.table();
@@ -79,33 +80,33 @@
         if row.team != spec.team {
             return Err(refuse(Reason::WrongTeam));
         }
-        let order = entry.offer_order(row, &spec, entry.next()).map_err(fail)?;
+        let order = entry.offer_order(row, &spec, entry.next_number()).map_err(api_error)?;
         let mut last = not_run(Reason::NoOwner, None);
         for shard in order {
             let job = self.job_id(&shard, key, &spec.team).await?;
-            match entry.submit_to(job.clone(), spec.clone(), OWNER_LIMIT).await {
+            match entry.submit_to(job.clone(), spec.clone(), OWNER_TIMEOUT).await {
                 Ok(()) => return Ok(self.accepted(job, spec).await),
                 Err(refused) if refused.run == Executed::Unknown || key.is_some() => {
-                    return Err(fail(refused));
+                    return Err(api_error(refused));
                 }
                 Err(refused) => last = refused,
             }
         }
-        Err(fail(last))
+        Err(api_error(last))
     }
 
-    /// Says where an accepted job is kept, and not more than is so.
+    /// Appends an accepted job to the log, and reports it as kept there only if it was read back.
     async fn accepted(&self, job: JobId, spec: JobSpec) -> JobAccepted {
         let entry = &self.entry;
         let record = Record::Job { job: job.clone(), spec, at: entry.now() };
         let logged = entry.is_log_fresh()
-            && entry.writer.commit(vec![record], entry.now(), COMMIT_LIMIT).await;
+            && entry.writer.commit(vec![record], entry.now(), COMMIT_TIMEOUT).await;
         let kept = if logged { JobStorage::Log } else { JobStorage::Peer };
         let kept = format!("{kept:?}").to_lowercase();
         JobAccepted { job: job.to_string(), kept }
     }
 
-    /// A shard, and its tasks by kind if its owner answers.
+    /// The view of a shard, and its task counts by kind of work if its owner answers.
     async fn shard_view(
         &self,
         shard: Name,
@@ -132,12 +133,12 @@
         };
         let loads = state.as_ref().map(|state| state.loads.clone()).unwrap_or_default();
         if let Some(state) = state {
-            view.fill(state);
+            view.fill_from_owner(state);
         }
         (view, loads)
     }
 
-    /// Tasks by team, for people.
+    /// The task counts of each team, formatted for operators.
     fn team_views(&self, loads: &[(Name, Load)]) -> Vec<String> {
         let table = self.entry.table();
         let mut teams: BTreeMap<&Name, (u32, u32)> = BTreeMap::new();
@@ -167,7 +168,7 @@
         let table = self.entry.table();
         let row = table.rows.get(job.kind.as_str());
         let row = row.ok_or_else(|| refuse(Reason::UnknownKind))?;
-        if !caller.may(&row.team) {
+        if !caller.may_act_for(&row.team) {
             return Err(refuse(Reason::WrongTeam));
         }
         let spec = JobSpec {
@@ -187,8 +188,8 @@
     async fn get_job(&self, request: &Request, id: Path<String>) -> Result<Json<JobView>> {
         let caller = self.caller(request)?;
         let id: JobId = id.parse().map_err(|_| refuse(Reason::NotFound))?;
-        let status = self.entry.job_status(&id, OWNER_LIMIT).await.map_err(fail)?;
-        match caller.may(&status.spec.team) {
+        let status = self.entry.job_status(&id, OWNER_TIMEOUT).await.map_err(api_error)?;
+        match caller.may_act_for(&status.spec.team) {
             true => Ok(Json(status.into())),
             false => Err(refuse(Reason::NotFound)),
         }
@@ -199,12 +200,12 @@
     async fn delete_job(&self, request: &Request, id: Path<String>) -> Result<Json<JobView>> {
         let caller = self.caller(request)?;
         let id: JobId = id.parse().map_err(|_| refuse(Reason::NotFound))?;
-        let status = self.entry.job_status(&id, OWNER_LIMIT).await.map_err(fail)?;
-        if !caller.may(&status.spec.team) {
+        let status = self.entry.job_status(&id, OWNER_TIMEOUT).await.map_err(api_error)?;
+        if !caller.may_act_for(&status.spec.team) {
             return Err(refuse(Reason::NotFound));
         }
         let ask = OwnerRequest::Cancel { job: id.clone() };
-        match self.entry.ask_owner(&id.shard, ask, OWNER_LIMIT).await.map_err(fail)? {
+        match self.entry.ask_owner(&id.shard, ask, OWNER_TIMEOUT).await.map_err(api_error)? {
             PeerResponse::OwnerAnswer(Answer::Cancelled(status)) => Ok(Json((*status).into())),
             _ => Err(refuse(Reason::NotFound)),
         }
@@ -254,25 +255,25 @@
     ) -> Result<Json<Published>> {
         let caller = self.operator(request)?;
         if let Err(faults) = Table::parse(&csv) {
-            return Err(faulty(&faults));
+            return Err(invalid_table(&faults));
         }
         let entry = &self.entry;
-        let number = entry.next();
+        let number = entry.next_number();
         let id = key.0.unwrap_or_else(|| format!("{}/{number}", entry.me));
         let id: Name = id.into();
         let by = caller.name;
         let publish = TablePublish { id: id.clone(), base: base.0, by, csv: csv.0.into() };
         let records = vec![Record::Publish(publish)];
-        let read_back = entry.writer.commit(records, entry.now(), COMMIT_LIMIT).await;
+        let read_back = entry.writer.commit(records, entry.now(), COMMIT_TIMEOUT).await;
         let verdict = lock(&entry.fold).tables.verdict(&id).cloned();
         match verdict {
             Some(Verdict::Accepted(rev)) => Ok(Json(Published { rev })),
-            Some(Verdict::Lost { rev, by }) => Err(lost(rev, &by)),
+            Some(Verdict::Lost { rev, by }) => Err(conflict(rev, &by)),
             Some(Verdict::Faulty) => Err(refuse(Reason::Malformed)),
             None if read_back => Err(refuse(Reason::NoLog)),
             None => {
                 let (reason, run) = (Reason::NoLog, Executed::Unknown);
-                Err(fail(RequestError { reason, run, after: Some(COMMIT_LIMIT) }))
+                Err(api_error(RequestError { reason, run, after: Some(COMMIT_TIMEOUT) }))
             }
         }
     }
@@ -291,7 +292,7 @@
             loads.extend(view.1);
         }
         let (slots, waiting) = entry.slot_load();
-        let peers = lock(&entry.peers).fresh(entry.now());
+        let peers = lock(&entry.peers).reachable(entry.now());
         Ok(Json(StatusView {
             entry: entry.me.to_string(),
             domain: entry.settings.domain.to_string(),
@@ -331,8 +332,8 @@
     }
 }
 
-/// The refusal of a table with faults: all of them.
-fn faulty(faults: &[Fault]) -> poem::Error {
+/// The error response for an invalid table, with all of its faults.
+fn invalid_table(faults: &[Fault]) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
         "title": "Faulty table",
@@ -344,8 +345,8 @@
     problem_error(StatusCode::UNPROCESSABLE_ENTITY, &body)
 }
 
-/// The refusal of a publish that came second.
-fn lost(rev: u64, by: &str) -> poem::Error {
+/// The error response for a table that lost against another one with the same base revision.
+fn conflict(rev: u64, by: &str) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
         "title": "Another table was published first",
--- a/src/entry/handover.rs
+++ b/src/entry/handover.rs
@@ -10,18 +10,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long the successor may take to answer once.
-const SUCCESSOR_LIMIT: Millis = Millis(1_000);
-/// How often the successor is told.
-const TRIES: u32 = 10;
-/// Pause before it is told again.
-const PAUSE: Millis = Millis(100);
+/// Timeout of one request to the successor.
+const SUCCESSOR_TIMEOUT: Millis = Millis(1_000);
+/// The number of attempts to reach the successor.
+const MAX_ATTEMPTS: u32 = 10;
+/// Delay between two attempts.
+const RETRY_DELAY: Millis = Millis(100);
 
 impl Entry {
-    /// Hands a shard over to one of its replicas. Once this entry has stepped down, only
-    /// that one can own the shard in this epoch, so it is told until it answers.
+    /// Hands a shard over to one of its replicas. Once this entry has stepped down, only that replica
+    /// can own the shard in this epoch, so the request is repeated until it answers.
     pub(super) async fn hand_over(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
-        let Some((to, addr)) = self.successor(handle).await else { return };
+        let Some((to, addr)) = self.find_successor(handle).await else { return };
         let Some((epoch, state)) = handle.shard().hand_over() else { return };
         let (shard, name) = (handle.id.clone(), to.name.clone());
         self.trace.record(EventKind::OwnershipHandedOver {
@@ -29,28 +29,29 @@
             epoch,
             to: name.clone(),
         });
-        self.news.notify_one();
+        self.state_changed.notify_one();
         let from = self.me.clone();
         let ask = PeerRequest::HandOver { shard, from, to, epoch, state };
-        for _ in 0..TRIES {
-            if self.quic.request(&name, addr, ask.clone(), SUCCESSOR_LIMIT).await.is_ok() {
+        for _ in 0..MAX_ATTEMPTS {
+            if self.quic.request(&name, addr, ask.clone(), SUCCESSOR_TIMEOUT).await.is_ok() {
                 return;
             }
-            tokio::time::sleep(PAUSE.duration()).await;
+            tokio::time::sleep(RETRY_DELAY.duration()).await;
         }
     }
 
-    /// A replica that can be reached, is not stopping, and knows of hand-overs.
-    async fn successor(&self, handle: &ShardHandle) -> Option<(EntryId, SocketAddr)> {
+    /// A replica that is reachable, is not stopping, and speaks a protocol version with hand-overs.
+    async fn find_successor(&self, handle: &ShardHandle) -> Option<(EntryId, SocketAddr)> {
         let replicas = handle.shard().owner().map(|owner| owner.replicas())?;
         for id in replicas {
             let addr = {
                 let peers = lock(&self.peers);
-                let fresh = peers.fresh(self.now()).into_iter().find(|(name, ..)| *name == id.name);
+                let fresh =
+                    peers.reachable(self.now()).into_iter().find(|(name, ..)| *name == id.name);
                 fresh.filter(|_| peers.incarnation(&id.name) == Some(id.incarnation))
             };
             let Some((name, _, addr)) = addr else { continue };
-            let version = self.quic.version(&name, addr, SUCCESSOR_LIMIT).await;
+            let version = self.quic.version(&name, addr, SUCCESSOR_TIMEOUT).await;
             if version.is_ok_and(|version| version >= VERSION_2) {
                 return Some((id, addr));
             }
@@ -58,8 +59,8 @@
         None
     }
 
-    /// Goes on as the owner of a shard that its owner handed over to this run of this entry.
-    pub(super) fn take_hand_over(
+    /// Continues as the owner of a shard that its owner handed over to this incarnation.
+    pub(super) fn accept_hand_over(
         self: &Arc<Self>,
         shard: &Name,
         from: EntryId,
@@ -86,12 +87,12 @@
         }
         lock(&self.claimant).release(shard.clone(), epoch);
         let (shard, from) = (shard.clone(), from.name);
-        self.begin_office(&handle, epoch, EventKind::OwnershipContinued { shard, epoch, from });
+        self.begin_ownership(&handle, epoch, EventKind::OwnershipContinued { shard, epoch, from });
         PeerResponse::Done
     }
 
-    /// The entry that owns a shard, as far as is known: the one that says so, or the one that
-    /// claimed it last.
+    /// The entry that owns a shard, as far as this entry knows: the one whose heartbeats say so, else
+    /// the one that claimed it last.
     pub(crate) fn owner_of(&self, shard: &str) -> Option<Name> {
         let claim = lock(&self.fold).claims.last(shard).cloned()?;
         let says = lock(&self.peers).owner(self.now(), shard, claim.epoch);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,18 +1,18 @@
-//! The shell of an entry: it turns messages into events for the controllers, and their actions
-//! into messages.
+//! The process around an entry's controllers: it does all I/O, turns received messages into events
+//! for the controllers and their actions into messages.
 
 mod api;
-mod beat;
 mod handover;
+mod heartbeat;
 mod http;
 mod log;
 mod metrics;
 mod owner;
 mod peers;
-mod request;
+mod quota;
 mod route;
 mod serve;
-mod share;
+mod slots;
 mod stop;
 mod view;
 
@@ -36,7 +36,7 @@
 use crate::wire::quic::{QuicTransport, WireError};
 use metrics::Metrics;
 use peers::Peers;
-pub(crate) use request::Slot;
+pub(crate) use slots::Slot;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -48,32 +48,32 @@
 /// Why an entry cannot run.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// The socket for callers cannot be used.
-    #[error("http socket: {0}")]
+    /// The TCP socket for callers cannot be used.
+    #[error("cannot use the HTTP socket for callers: {0}")]
     Http(#[from] io::Error),
-    /// The socket for other entries cannot be used.
-    #[error("peer socket: {0}")]
+    /// The QUIC endpoint for other entries cannot be set up.
+    #[error("cannot set up the QUIC endpoint for other entries: {0}")]
     Peer(#[from] WireError),
-    /// Metrics cannot be set up.
-    #[error("metrics: {0}")]
+    /// The metrics cannot be registered.
+    #[error("cannot register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// One shard at this entry, under its own lock.
+/// This entry's state of one shard, behind locks of its own.
 #[derive(Debug)]
 pub(crate) struct ShardHandle {
     pub id: Name,
     shard: Mutex<Shard>,
     lender: Mutex<SlotLender>,
-    /// Limits of the cell that this shard is home to.
+    /// The amounts lent of the cell-wide limits that this shard manages.
     pool: Mutex<LimitPool>,
-    /// Tasks wait for a part of a limit.
-    short: Notify,
-    /// There is something to replicate.
-    kick: Notify,
-    /// A search for the shard's state is under way.
-    searching: AtomicBool,
-    /// Starts that this entry sent and that may still arrive at a worker.
+    /// Notified when tasks wait for quota.
+    quota_wanted: Notify,
+    /// Notified when the shard's state has changes to replicate.
+    replication_due: Notify,
+    /// Whether a search for the shard's state is under way.
+    is_searching: AtomicBool,
+    /// Task starts that this entry sent and that may still reach a worker, by epoch.
     flights: Mutex<InFlightStarts<u64>>,
 }
 
@@ -84,9 +84,9 @@
             shard: Mutex::new(Shard::new(id, me)),
             lender: Mutex::new(SlotLender::new(now)),
             pool: Mutex::new(LimitPool::new(0)),
-            short: Notify::new(),
-            kick: Notify::new(),
-            searching: AtomicBool::new(false),
+            quota_wanted: Notify::new(),
+            replication_due: Notify::new(),
+            is_searching: AtomicBool::new(false),
             flights: Mutex::default(),
         }
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// An entry.
+/// An entry: a process that accepts requests and jobs and owns shards of its failure domain.
 #[derive(Debug)]
 pub struct Entry {
     pub(crate) settings: Settings,
@@ -119,24 +119,24 @@
     pub(crate) metrics: Metrics,
     fold: Mutex<LogState>,
     table: RwLock<Arc<Table>>,
-    lists: Mutex<Lists>,
+    vm_lists: Mutex<Lists>,
     peers: Mutex<Peers>,
     outbox: Mutex<Outbox>,
     claimant: Mutex<Claimant>,
     shards: RwLock<BTreeMap<Name, Arc<ShardHandle>>>,
     slots: Mutex<Slots>,
-    budget: Mutex<RetryBudget>,
-    turns: Mutex<HashMap<u64, oneshot::Sender<SlotDecision>>>,
-    replies: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
+    retry_budget: Mutex<RetryBudget>,
+    slot_waiters: Mutex<HashMap<u64, oneshot::Sender<SlotDecision>>>,
+    pending_replies: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     counter: AtomicU64,
     writer: log::Writer,
-    /// A new table or list is here: tell the peers at once.
-    news: Notify,
-    /// The fold moved on.
-    folded: watch::Sender<u64>,
-    leaving: AtomicBool,
+    /// Notified when the peers should get a heartbeat at once, for instance after a new table.
+    state_changed: Notify,
+    /// The offset of the next log record to read.
+    next_offset: watch::Sender<u64>,
+    stopping: AtomicBool,
     stopped: watch::Sender<bool>,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -144,7 +144,7 @@
 }
 
 impl Entry {
-    /// Binds the entry's sockets.
+    /// Binds the sockets of an entry and starts its log writer.
     ///
     /// # Errors
     /// If a socket or the keys cannot be used.
@@ -172,31 +172,31 @@
             metrics: Metrics::new()?,
             fold: Mutex::new(LogState::new(domain.clone())),
             table: RwLock::default(),
-            lists: Mutex::default(),
+            vm_lists: Mutex::default(),
             outbox: Mutex::default(),
             claimant: Mutex::new(Claimant::new(me, domain, now)),
             shards: RwLock::default(),
             slots: Mutex::default(),
-            budget: Mutex::default(),
-            turns: Mutex::default(),
-            replies: Mutex::default(),
+            retry_budget: Mutex::default(),
+            slot_waiters: Mutex::default(),
+            pending_replies: Mutex::default(),
             counter: AtomicU64::new(1),
             writer,
-            news: Notify::new(),
-            folded: watch::Sender::new(0),
-            leaving: AtomicBool::new(false),
+            state_changed: Notify::new(),
+            next_offset: watch::Sender::new(0),
+            stopping: AtomicBool::new(false),
             stopped: watch::Sender::new(false),
-            open: AtomicUsize::new(0),
+            open_requests: AtomicUsize::new(0),
         });
         entry.trace.record(EventKind::ProcessStarted { role: "entry".into() });
         tokio::spawn(entry.clone().write_log(queue));
         Ok((entry, listener))
     }
 
-    /// Serves until [`Entry::stop`] is done.
+    /// Serves callers and peers until `stopped` completes.
     ///
     /// # Errors
-    /// If the listener fails.
+    /// If the HTTP server fails.
     pub async fn run(
         self: Arc<Self>,
         listener: TcpListener,
@@ -204,8 +204,8 @@
     ) -> io::Result<()> {
         let tasks = [
             tokio::spawn(self.clone().read_log()),
-            tokio::spawn(self.clone().read_list()),
-            tokio::spawn(self.clone().beat()),
+            tokio::spawn(self.clone().poll_vm_list()),
+            tokio::spawn(self.clone().send_heartbeats()),
             tokio::spawn(self.clone().tick()),
             tokio::spawn(self.clone().sync_workers()),
             tokio::spawn(self.clone().renew_slots()),
@@ -224,8 +224,8 @@
         Millis::now()
     }
 
-    /// A number that this incarnation never gave before.
-    pub(crate) fn next(&self) -> u64 {
+    /// A number that is unique within this incarnation of the entry.
+    pub(crate) fn next_number(&self) -> u64 {
         self.counter.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -245,7 +245,7 @@
         self.shards.read().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 
-    /// The shard of this failure domain with this name, opened if it is new.
+    /// The handle of a shard of this failure domain, created if it does not exist yet.
     fn open_shard(self: &Arc<Self>, shard: &Name) -> Arc<ShardHandle> {
         if let Some(handle) = self.handle(shard) {
             return handle;
@@ -256,32 +256,32 @@
             let handle = Arc::new(ShardHandle::new(shard.clone(), self.me.clone(), self.now()));
             shards.insert(shard.clone(), handle.clone());
             tokio::spawn(self.clone().replicate(handle.clone()));
-            tokio::spawn(self.clone().share_limits(handle.clone()));
+            tokio::spawn(self.clone().request_quota(handle.clone()));
             handle
         })
     }
 
-    /// A request adds to the budget for retries.
+    /// Credits a request to the retry budget.
     pub(crate) fn deposit_retry(&self) {
-        lock(&self.budget).deposit();
+        lock(&self.retry_budget).deposit();
     }
 
-    /// Takes a retry out of the budget.
-    pub(crate) fn take_retry(&self) -> bool {
-        let granted = lock(&self.budget).withdraw();
+    /// Takes one retry from the budget; `false` if it is used up.
+    pub(crate) fn withdraw_retry(&self) -> bool {
+        let granted = lock(&self.retry_budget).withdraw();
         self.metrics.retries.inc_by(granted as u64);
         granted
     }
 
-    /// Whether this entry is stopping.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+    /// Whether a planned stop of this entry has begun.
+    pub(crate) fn stop_requested(&self) -> bool {
+        self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether a run of an entry is over for good.
+    /// Whether an incarnation of an entry has ended for good.
     pub(crate) fn is_gone(&self, id: &EntryId) -> bool {
         let newer = lock(&self.peers).incarnation(&id.name).is_some_and(|inc| inc > id.incarnation);
         let own = id.name == self.me.name && id.incarnation < self.me.incarnation;
-        newer || own || lock(&self.lists).is_gone(&id.name)
+        newer || own || lock(&self.vm_lists).is_gone(&id.name)
     }
 }
--- a/src/entry/share.rs
+++ b/src/entry/quota.rs
@@ -1,5 +1,6 @@
-//! Limits of the whole cell: this entry's shards ask the homes of the limits for their parts, and
-//! this entry lends parts of the limits that its shards are home to.
+//! Cell-wide limits: each limit has a home shard, whose owner lends parts of it to the other shards.
+//! An entry requests quota for the shards that it owns and lends quota of the limits whose home
+//! shards it owns.
 
 use crate::clock::Millis;
 use crate::controller::quota::{HomeRequest, Limit, ShareRequest};
@@ -11,20 +12,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Time between questions of a shard for which no limit is short.
-const SHARE_EVERY: Millis = Millis(1_000);
-/// Time between questions of a shard at least.
-const SHARE_PAUSE: Millis = Millis(50);
-/// How long a home may take to answer.
-const HOME_LIMIT: Millis = Millis(1_000);
+/// Interval between quota requests of a shard that lacks no quota.
+const QUOTA_INTERVAL: Millis = Millis(1_000);
+/// Minimum interval between quota requests of a shard.
+const MIN_QUOTA_INTERVAL: Millis = Millis(50);
+/// Timeout of a quota request.
+const HOME_TIMEOUT: Millis = Millis(1_000);
 
 impl Entry {
-    /// Asks for a shard's parts of limits: at once when tasks wait for one, else now and then.
-    pub(super) async fn share_limits(self: Arc<Self>, handle: Arc<ShardHandle>) {
+    /// Requests quota for a shard: at once when tasks wait for quota, else periodically.
+    pub(super) async fn request_quota(self: Arc<Self>, handle: Arc<ShardHandle>) {
         loop {
-            let _ = tokio::time::timeout(SHARE_EVERY.duration(), handle.short.notified()).await;
-            self.ask_homes(&handle).await;
-            tokio::time::sleep(SHARE_PAUSE.duration()).await;
+            let _ = tokio::time::timeout(QUOTA_INTERVAL.duration(), handle.quota_wanted.notified())
+                .await;
+            self.query_homes(&handle).await;
+            tokio::time::sleep(MIN_QUOTA_INTERVAL.duration()).await;
         }
     }
 
@@ -33,9 +35,9 @@
         lock(&self.fold).claims.all().count()
     }
 
-    /// Asks all homes at once and waits for them all, so that a shard never has two questions
-    /// under way.
-    async fn ask_homes(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
+    /// Sends a request to the home of each limit and waits for all of them, so that a shard never has
+    /// two requests under way to the same home.
+    async fn query_homes(self: &Arc<Self>, handle: &Arc<ShardHandle>) {
         let known = self.known_shards();
         let (epoch, asks) = {
             let mut shard = handle.shard();
@@ -45,14 +47,14 @@
         };
         let questions = self.questions(&handle.id, epoch, asks);
         let answers = questions.into_iter().map(|(home, question)| async move {
-            if let PeerResponse::LentQuota(parts) = self.ask_home(&home, question).await {
+            if let PeerResponse::LentQuota(parts) = self.query_home(&home, question).await {
                 self.step(handle, Event::LimitShares { epoch, parts });
             }
         });
         join_all(answers).await;
     }
 
-    /// One question to each home.
+    /// Groups the requested limits by home shard, with one request for each.
     fn questions(
         &self,
         shard: &Name,
@@ -67,7 +69,7 @@
             let fresh = || HomeRequest {
                 shard: shard.clone(),
                 epoch,
-                seq: self.next(),
+                seq: self.next_number(),
                 home: fold.claims.epoch(home),
                 shards: known.len(),
                 asks: Vec::new(),
@@ -77,29 +79,29 @@
         questions
     }
 
-    async fn ask_home(&self, home: &Name, question: HomeRequest) -> PeerResponse {
+    async fn query_home(&self, home: &Name, question: HomeRequest) -> PeerResponse {
         match self.owner_of(home) {
-            Some(owner) if owner == self.me.name => self.lend_parts(home, &question),
-            Some(owner) => self.ask_home_at(owner, home.clone(), question).await,
+            Some(owner) if owner == self.me.name => self.lend_quota(home, &question),
+            Some(owner) => self.query_remote_home(owner, home.clone(), question).await,
             None => PeerResponse::NotOwner,
         }
     }
 
-    async fn ask_home_at(&self, owner: Name, home: Name, question: HomeRequest) -> PeerResponse {
+    async fn query_remote_home(&self, owner: Name, home: Name, question: HomeRequest) -> PeerResponse {
         let Some(addr) = lock(&self.peers).addr(&owner) else { return PeerResponse::NotOwner };
         let ask =
             |version| (version >= VERSION_2).then_some(PeerRequest::LendQuota { home, question });
-        let answer = self.quic.request_by_version(&owner, addr, ask, HOME_LIMIT).await;
+        let answer = self.quic.request_by_version(&owner, addr, ask, HOME_TIMEOUT).await;
         answer.unwrap_or(PeerResponse::NotOwner)
     }
 
-    /// Lends parts of the limits that a shard owned here is home to.
-    pub(super) fn lend_parts(&self, home: &Name, question: &HomeRequest) -> PeerResponse {
+    /// Lends quota of the limits whose home is a shard that this entry owns.
+    pub(super) fn lend_quota(&self, home: &Name, question: &HomeRequest) -> PeerResponse {
         let Some(handle) = self.handle(home) else { return PeerResponse::NotOwner };
         let Some(epoch) = handle.shard().owner().map(|owner| owner.epoch()) else {
             return PeerResponse::NotOwner;
         };
-        let (known, shards) = (self.known_shards(), self.holders());
+        let (known, shards) = (self.known_shards(), self.possible_holders());
         let table = self.table();
         let whole = |limit: &Limit| match limit {
             Limit::Row(kind) => table.rows.get(kind).map_or(0, |row| row.limit as u64),
@@ -111,10 +113,11 @@
             .map_or(PeerResponse::NotOwner, PeerResponse::LentQuota)
     }
 
-    /// The shards that may hold parts: not those whose workers and last owner are gone for good.
-    fn holders(&self) -> BTreeSet<Name> {
+    /// The shards that may hold quota: all but those that have neither listed workers nor a last
+    /// owner that may still run.
+    fn possible_holders(&self) -> BTreeSet<Name> {
         let claims: Vec<_> = lock(&self.fold).claims.all().cloned().collect();
-        let list = lock(&self.lists).newest().clone();
+        let list = lock(&self.vm_lists).newest().clone();
         let listed = |shard: &Name| list.vms.iter().any(|vm| vm.rack == *shard);
         let held = claims
             .into_iter()
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,4 +1,5 @@
-//! Finding the owner of a shard, and the shard for a job or a key.
+//! Routing of requests to the owner of a shard, and the choice of a shard for a job or an
+//! idempotency key.
 
 use crate::clock::Millis;
 use crate::controller::shard::owner::{Answer, Event, Refusal};
@@ -15,21 +16,22 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// How long one try to reach an owner may take.
-const OWNER_LIMIT: Millis = Millis(2_000);
-/// Pause before an owner is looked for again.
-const OWNER_PAUSE: Millis = Millis(100);
-/// Callers come again after this long when a shard has no owner.
-const OWNER_RETRY: Millis = Millis(2_000);
+/// Timeout of one attempt to reach an owner.
+const OWNER_TIMEOUT: Millis = Millis(2_000);
+/// Delay between two attempts.
+const OWNER_RETRY_DELAY: Millis = Millis(100);
+/// The `Retry-After` delay when a shard has no reachable owner.
+const NO_OWNER_RETRY: Millis = Millis(2_000);
 
-/// The refusal of a caller whose shard has no owner now. Nothing was run.
+/// The error for a request to a shard whose owner could not be reached; `run` says whether the
+/// request may have been carried out.
 fn no_owner(run: Executed) -> RequestError {
-    RequestError { reason: Reason::NoOwner, run, after: Some(OWNER_RETRY) }
+    RequestError { reason: Reason::NoOwner, run, after: Some(NO_OWNER_RETRY) }
 }
 
 impl Entry {
-    /// Asks the owner of a shard, wherever it is, and tries again while ownership changes. All
-    /// questions to owners are idempotent.
+    /// Sends a request to the owner of a shard, which may be this entry, and retries while ownership
+    /// changes. A retry is safe because all requests to owners are idempotent.
     ///
     /// # Errors
     /// If no owner answers within `limit`.
@@ -45,18 +47,18 @@
             match self.try_owner(shard, ask.clone()).await {
                 Ok(PeerResponse::NotOwner) => {}
                 Ok(PeerResponse::Pending) => run = Executed::Unknown,
-                Ok(tell) => return Ok(tell),
+                Ok(response) => return Ok(response),
                 Err(true) => {}
                 Err(false) => run = Executed::Unknown,
             }
-            if self.now() + OWNER_PAUSE >= until {
+            if self.now() + OWNER_RETRY_DELAY >= until {
                 return Err(no_owner(run));
             }
-            tokio::time::sleep(OWNER_PAUSE.duration()).await;
+            tokio::time::sleep(OWNER_RETRY_DELAY.duration()).await;
         }
     }
 
-    /// One try; the error says whether surely nothing was sent.
+    /// Makes one attempt; the error is `true` if the request certainly was not sent.
     async fn try_owner(
         self: &Arc<Self>,
         shard: &Name,
@@ -70,11 +72,11 @@
         let name = self.owner_of(shard).filter(|name| *name != self.me.name).ok_or(true)?;
         let addr = lock(&self.peers).addr(&name).ok_or(true)?;
         let ask = PeerRequest::Owner { shard: shard.clone(), request: ask };
-        let answer = self.quic.request(&name, addr, ask, OWNER_LIMIT).await;
+        let answer = self.quic.request(&name, addr, ask, OWNER_TIMEOUT).await;
         answer.map_err(|err| err.is_unsent())
     }
 
-    /// Answers a question to the owner of a shard, if that is this entry.
+    /// Handles a request to the owner of a shard, if that is this entry.
     pub(super) async fn answer_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
@@ -83,13 +85,13 @@
         let now = self.now();
         match ask {
             OwnerRequest::Submit { job, spec } => {
-                self.ask_office(handle, |token| Event::Submit { token, job, spec }).await
+                self.ask_local_owner(handle, |token| Event::Submit { token, job, spec }).await
             }
             OwnerRequest::Cancel { job } => {
-                self.ask_office(handle, |token| Event::Cancel { token, job }).await
+                self.ask_local_owner(handle, |token| Event::Cancel { token, job }).await
             }
             OwnerRequest::TakeKey { key, holder } => {
-                self.ask_office(handle, |token| Event::TakeKey { token, key, holder }).await
+                self.ask_local_owner(handle, |token| Event::TakeKey { token, key, holder }).await
             }
             OwnerRequest::FreeKey { key, holder } => {
                 let done = self.step(handle, Event::FreeKey { key, holder });
@@ -116,20 +118,20 @@
         }
     }
 
-    async fn ask_office(
+    async fn ask_local_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         event: impl FnOnce(u64) -> Event,
     ) -> PeerResponse {
-        let token = self.next();
+        let token = self.next_number();
         let (reply, waiting) = oneshot::channel();
-        lock(&self.replies).insert(token, reply);
+        lock(&self.pending_replies).insert(token, reply);
         if !self.step(handle, event(token)) {
-            lock(&self.replies).remove(&token);
+            lock(&self.pending_replies).remove(&token);
             return PeerResponse::NotOwner;
         }
-        let answer = tokio::time::timeout(OWNER_LIMIT.duration(), waiting).await;
-        lock(&self.replies).remove(&token);
+        let answer = tokio::time::timeout(OWNER_TIMEOUT.duration(), waiting).await;
+        lock(&self.pending_replies).remove(&token);
         match answer {
             Ok(Ok(answer)) => PeerResponse::OwnerAnswer(answer),
             _ => PeerResponse::Pending,
@@ -152,14 +154,15 @@
         })
     }
 
-    /// The shard that keeps an idempotency key.
+    /// The shard that stores an idempotency key.
     pub(crate) fn key_shard(&self, key: &str) -> Option<Name> {
         let fold = lock(&self.fold);
         let shards: Vec<Name> = fold.claims.all().map(|claim| claim.shard.clone()).collect();
         rendezvous(key, shards.iter()).cloned()
     }
 
-    /// What the shards of the cell could take, as far as this entry knows.
+    /// The capacity that the shards of the cell offer, as far as this entry knows: shard, failure
+    /// domain and capacity.
     fn known_rooms(&self) -> Vec<(Name, Name, ShardCapacity)> {
         let mut rooms = lock(&self.peers).rooms(self.now());
         for handle in self.shards() {
@@ -171,8 +174,9 @@
         rooms
     }
 
-    /// The shards to offer a job to, best first: its row's site first, then those with room now,
-    /// then those with the fewest tasks waiting.
+    /// The shards to offer a job to, best first: those of this failure domain if the row gives it a
+    /// weight above zero, then those that can start the job now, then by the weight of their failure
+    /// domain and by their load.
     ///
     /// # Errors
     /// If no worker is large enough, or if that is not known because a shard has no owner now.
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Whether the owners of all shards that may take a row's work have said what they have.
+    /// Whether the owners of all shards that may run a row's work have announced their capacity.
     fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, ShardCapacity)]) -> bool {
         let fold = lock(&self.fold);
         let mut shards =
@@ -221,7 +225,7 @@
         shards.peek().is_some() && shards.all(known)
     }
 
-    /// A job's state, from the owner of its shard.
+    /// The status of a job, from the owner of its shard.
     ///
     /// # Errors
     /// If there is no such job, or no owner answers.
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Offers a job to a shard.
+    /// Submits a job to the owner of a shard.
     ///
     /// # Errors
     /// If it is refused, or no owner answers.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,5 @@
-//! What the administration API takes and gives.
+//! Request and response types of the administration API. Their doc comments are part of its OpenAPI
+//! description.
 
 use crate::controller::shard::owner::Load;
 use crate::id::Name;
@@ -163,8 +164,8 @@
 }
 
 impl ShardView {
-    /// Takes over what the shard's owner said.
-    pub(super) fn fill(&mut self, state: ShardStatus) {
+    /// Fills in the status that the shard's owner reported.
+    pub(super) fn fill_from_owner(&mut self, state: ShardStatus) {
         let room =
             |(name, total, used): &(Name, Size, Size)| format!("{name} used {used} of {total}");
         let load = |(kind, load): &(Name, Load)| {
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -1,14 +1,14 @@
-//! The chain of filters that a request passes: identify, classify, admit, site, hold, once,
-//! forward. Each takes the exchange on or refuses it for good.
+//! The chain of filters that a request passes: authenticate, classify, admit, destination, queue,
+//! idempotency, dispatch. Each filter passes the request on or refuses it for good.
 
 mod admit;
+pub mod authenticate;
 mod classify;
-mod forward;
-mod hold;
-pub mod identify;
-mod once;
+mod destination;
+mod dispatch;
+mod idempotency;
 pub mod problem;
-mod site;
+mod queue;
 
 use crate::clock::Millis;
 use crate::entry::Entry;
@@ -21,126 +21,133 @@
 use hyper::header::CONTENT_TYPE;
 use std::sync::Arc;
 
-/// A request on its way through the chain.
+/// A request as received from a caller or from another failure domain.
 #[derive(Debug, Clone)]
-pub struct Exchange {
-    /// Its id, unique in the cell.
+pub struct InboundRequest {
+    /// The request's id, unique in the cell.
     pub id: Name,
     /// The kind of work.
     pub kind: Name,
     /// The team of its caller; `None` for an operator.
     pub team: Option<Name>,
-    /// Its idempotency key.
+    /// The idempotency key, if the caller gave one.
     pub key: Option<Name>,
-    /// Whether its caller allows that it is run again.
+    /// Whether the caller allows the request to be run more than once.
     pub may_repeat: bool,
-    /// When it came.
-    pub came: Millis,
-    /// How long its caller waits, if it said so.
-    pub wait: Option<Millis>,
-    /// Headers that go to the runner.
+    /// When this entry received the request.
+    pub received: Millis,
+    /// How long the caller waits for the response, if it said so.
+    pub max_wait: Option<Millis>,
+    /// The headers to pass on to the runner.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// An exchange with its policy.
+/// A request with the table row of its kind of work.
 #[derive(Debug, Clone)]
-pub struct Classified {
-    /// The exchange.
-    pub exchange: Exchange,
-    /// The row of its kind.
+pub struct ClassifiedRequest {
+    /// The request.
+    pub request: InboundRequest,
+    /// The table row of its kind of work.
     pub row: Row,
-    /// When its answer is due.
-    pub due: Millis,
+    /// When the response is due.
+    pub deadline: Millis,
 }
 
-impl Classified {
-    /// Whether it may be run again after it may have run.
+impl ClassifiedRequest {
+    /// Whether the request may be run again when an earlier attempt may have been run.
     pub fn repeatable(&self) -> bool {
-        self.row.repeatable && self.exchange.may_repeat
+        self.row.repeatable && self.request.may_repeat
     }
 }
 
-impl Exchange {
-    /// A request that another failure domain sent here.
-    pub fn from_forward(forward: ForwardedRequest, now: Millis) -> Self {
+impl InboundRequest {
+    /// Converts a request that an entry of another failure domain forwarded to this one.
+    pub fn from_forwarded(forwarded: ForwardedRequest, now: Millis) -> Self {
         Self {
-            id: forward.id,
-            kind: forward.kind,
-            team: Some(forward.team),
-            key: forward.key,
-            may_repeat: forward.may_repeat,
-            came: now,
-            wait: Some(forward.remaining),
-            headers: forward.headers,
-            body: forward.body.into(),
+            id: forwarded.id,
+            kind: forwarded.kind,
+            team: Some(forwarded.team),
+            key: forwarded.key,
+            may_repeat: forwarded.may_repeat,
+            received: now,
+            max_wait: Some(forwarded.remaining),
+            headers: forwarded.headers,
+            body: forwarded.body.into(),
         }
     }
 }
 
-/// The refusal of a request of which nothing was run.
+/// The error for a request that was certainly not run.
 pub(crate) fn not_run(reason: Reason, after: Option<Millis>) -> RequestError {
     RequestError { reason, run: Executed::No, after }
 }
 
-/// Takes a caller's request through the whole chain.
+/// Takes a caller's request through the filters and records its outcome.
 ///
 /// # Errors
-/// The final refusal.
-pub async fn run(entry: Arc<Entry>, exchange: Exchange) -> Result<ForwardedResponse, RequestError> {
-    let (id, kind, came) = (exchange.id.clone(), exchange.kind.clone(), exchange.came);
-    let result = chain(&entry, exchange).await;
-    report(&entry, id, kind, came, &result);
+/// If a filter refuses the request or it fails.
+pub async fn run(
+    entry: Arc<Entry>,
+    request: InboundRequest,
+) -> Result<ForwardedResponse, RequestError> {
+    let (id, kind, received) = (request.id.clone(), request.kind.clone(), request.received);
+    let result = apply_filters(&entry, request).await;
+    record_outcome(&entry, id, kind, received, &result);
     result
 }
 
-async fn chain(entry: &Arc<Entry>, exchange: Exchange) -> Result<ForwardedResponse, RequestError> {
-    let classified = classify::apply(entry, exchange)?;
+async fn apply_filters(
+    entry: &Arc<Entry>,
+    request: InboundRequest,
+) -> Result<ForwardedResponse, RequestError> {
+    let classified = classify::apply(entry, request)?;
     admit::apply(entry, &classified)?;
-    match site::apply(entry, &classified).await? {
-        Some(answer) => Ok(answer),
-        None => serve_here(entry, &classified).await,
+    match destination::apply(entry, &classified).await? {
+        Some(response) => Ok(response),
+        None => serve_locally(entry, &classified).await,
     }
 }
 
-/// Takes a request of another failure domain through the rest of the chain.
-pub async fn run_forwarded(entry: Arc<Entry>, exchange: Exchange) -> ForwardedResponse {
-    let classified = classify::apply(&entry, exchange);
+/// Serves a request that another failure domain forwarded. It was admitted there and is not
+/// forwarded again.
+pub async fn run_forwarded(entry: Arc<Entry>, request: InboundRequest) -> ForwardedResponse {
+    let classified = classify::apply(&entry, request);
     let result = match &classified {
-        Ok(classified) => serve_here(&entry, classified).await,
+        Ok(classified) => serve_locally(&entry, classified).await,
         Err(refused) => Err(refused.clone()),
     };
     result.unwrap_or_else(ForwardedResponse::Refused)
 }
 
-async fn serve_here(
+async fn serve_locally(
     entry: &Arc<Entry>,
-    classified: &Classified,
+    classified: &ClassifiedRequest,
 ) -> Result<ForwardedResponse, RequestError> {
-    let slot = hold::apply(entry, classified).await?;
-    let key = once::apply(entry, classified).await?;
-    let result = forward::apply(entry, classified, slot).await;
+    let slot = queue::apply(entry, classified).await?;
+    let key = idempotency::apply(entry, classified).await?;
+    let result = dispatch::apply(entry, classified, slot).await;
     if let (Some(key), Err(RequestError { run: Executed::No, .. })) = (key, &result) {
-        key.free(entry);
+        key.release(entry);
     }
-    result.map(whole)
+    result.map(complete_response)
 }
 
-fn whole(answer: HttpResponse) -> ForwardedResponse {
-    let content_type = answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+fn complete_response(response: HttpResponse) -> ForwardedResponse {
+    let content_type = response.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     ForwardedResponse::Complete {
-        status: answer.status.as_u16(),
+        status: response.status.as_u16(),
         content_type: content_type.map(str::to_string),
-        body: answer.body.to_vec(),
+        body: response.body.to_vec(),
     }
 }
 
-fn report(
+fn record_outcome(
     entry: &Entry,
     request: Name,
     kind: Name,
-    came: Millis,
+    received: Millis,
     result: &Result<ForwardedResponse, RequestError>,
 ) {
     let (status, run) = match result {
@@ -150,6 +157,6 @@
         }
     };
     entry.metrics.requests.with_label_values(&[&*kind, &status.to_string()]).inc();
-    let waited = entry.now().since(came);
+    let waited = entry.now().since(received);
     entry.trace.record(EventKind::RequestAnswered { request, status, run: run.into(), waited });
 }
--- a/src/filter/hold.rs
+++ b/src/filter/queue.rs
@@ -1,28 +1,32 @@
-//! The bounded queue for a slot of a runner.
+//! The filter that queues a request until a runner has a free slot.
 
 use crate::controller::slots::SlotRequest;
 use crate::entry::{Entry, Slot};
-use crate::filter::{Classified, not_run};
+use crate::filter::{ClassifiedRequest, not_run};
 use crate::wire::msg::{Reason, RequestError};
 use std::sync::Arc;
 
-/// Waits for a slot.
+/// Waits for a slot of a runner.
 ///
 /// # Errors
-/// At once if the queue is full or the turn would come too late; when it should come again.
-pub async fn apply(entry: &Arc<Entry>, classified: &Classified) -> Result<Slot, RequestError> {
+/// At once if the queue is full or no slot is expected before the deadline; the error says when to
+/// retry.
+pub async fn apply(
+    entry: &Arc<Entry>,
+    classified: &ClassifiedRequest,
+) -> Result<Slot, RequestError> {
     let now = entry.now();
     let request = SlotRequest {
-        id: entry.next(),
+        id: entry.next_number(),
         kind: classified.row.kind.clone(),
         weight: classified.row.weight,
         limit: classified.row.limit,
         queue: classified.row.queue,
         came: now,
-        due: classified.due,
+        due: classified.deadline,
     };
-    let taken = entry.take_slot(request).await;
-    let slot = taken.map_err(|(after, full)| {
+    let result = entry.acquire_slot(request).await;
+    let slot = result.map_err(|(after, full)| {
         let reason = if full { Reason::QueueFull } else { Reason::TooLate };
         not_run(reason, Some(after))
     })?;
