--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -143,7 +143,9 @@
                 used_cpu += size.cpu as u64;
                 running.insert(task.clone(), size.cpu as u64);
             }
-            EventKind::WorkerEndedTask { task, .. } => used_cpu -= running.remove(task).unwrap_or(0),
+            EventKind::WorkerEndedTask { task, .. } => {
+                used_cpu -= running.remove(task).unwrap_or(0)
+            }
             _ => {}
         }
         peak = peak.max(used_cpu);
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -78,7 +78,8 @@
         let fresh = PeerState::new(heartbeat.domain.clone(), heartbeat.addr);
         let known = self.known.entry(heartbeat.from.name.clone()).or_insert(fresh);
         let taken = known.inbox.take(&heartbeat.from, delta);
-        (taken == DeltaOutcome::Applied).then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
+        (taken == DeltaOutcome::Applied)
+            .then(|| Heartbeat { shards: known.inbox.shards(), ..heartbeat })
     }
 
     /// The number of the newest state that is known of an incarnation of an entry; 0 if none is.
--- a/src/entry/quota.rs
+++ b/src/entry/quota.rs
@@ -87,7 +87,12 @@
         }
     }
 
-    async fn query_remote_home(&self, owner: Name, home: Name, question: HomeRequest) -> PeerResponse {
+    async fn query_remote_home(
+        &self,
+        owner: Name,
+        home: Name,
+        question: HomeRequest,
+    ) -> PeerResponse {
         let Some(addr) = lock(&self.peers).addr(&owner) else { return PeerResponse::NotOwner };
         let ask =
             |version| (version >= VERSION_2).then_some(PeerRequest::LendQuota { home, question });
