--- a/src/id.rs
+++ b/src/id.rs
@@ -38,7 +38,7 @@
 
 /// A text is not a valid job id.
 #[derive(Debug, Error, PartialEq)]
-#[error("{0:?} is not a job id: expected SHARD.HEX with 16 hexadecimal digits")]
+#[error("{0:?} is not a job id: want SHARD.HEX")]
 pub struct ParseJobIdError(pub String);
 
 impl JobId {
--- a/src/workload.rs
+++ b/src/workload.rs
@@ -22,7 +22,7 @@
 
 /// A text is neither a job key nor a task key.
 #[derive(Debug, Error, PartialEq)]
-#[error("{0:?} is neither a job key of 16 hexadecimal digits nor a task key")]
+#[error("{0:?} is not 16 hexadecimal digits, or not the name of a task")]
 pub struct ParseKeyError(pub String);
 
 impl fmt::Display for JobKey {
@@ -206,16 +206,16 @@
     #[error("a job needs at least one step")]
     NoSteps,
     /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
-    #[error("the payload for tasks has {0} bytes; the maximum is {MAX_PAYLOAD_BYTES}")]
+    #[error("the text for tasks has {0} bytes, and at most {MAX_PAYLOAD_BYTES} are taken")]
     PayloadTooLong(usize),
     /// A step has no tasks.
     #[error("step {0} has no tasks")]
     EmptyStep(usize),
     /// A step depends on itself or on a later step.
-    #[error("step {0} depends on step {1}, which is not an earlier step")]
+    #[error("step {0} depends on step {1}, which is not before it")]
     DependencyOrder(usize, u16),
     /// The job has more than [`MAX_TASKS`] tasks.
-    #[error("the job has {0} tasks; the maximum is {MAX_TASKS}")]
+    #[error("the job has {0} tasks, and at most {MAX_TASKS} are taken")]
     TooManyTasks(u64),
 }
 
