--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -1,33 +1,34 @@
-//! Who owns each shard: the fold of the log's claims, and when to claim.
+//! The ownership of shards: the claims read from the log, and the decision when to claim a shard.
 
 use crate::clock::Millis;
 use crate::id::{EntryId, Name, hash};
 use crate::record::Claim;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An owner not heard for this long is suspected.
+/// An owner without a heartbeat for this long is taken for failed.
 pub const OWNER_TIMEOUT: Millis = Millis(3_000);
-/// Each further candidate waits this much longer before it claims.
+/// Each entry waits this much longer for every entry that ranks before it as the next owner.
 const CLAIM_STAGGER: Millis = Millis(500);
-/// A claim not read back after this long is decided again.
+/// A claim that was not read back from the log after this long is decided anew.
 const CLAIM_TIMEOUT: Millis = Millis(2_000);
 
-/// Each claim since the last owner that got to work makes the next one wait twice as long, up to
-/// this many times: entries that cannot hear each other do not take the shard from one another
-/// without end.
+/// The delay before a claim doubles with each claim since the last active owner, at most this many
+/// times, so that entries that cannot reach each other do not keep taking the shard from one
+/// another.
 const MAX_DOUBLINGS: u32 = 8;
-/// Claims without an owner at work that make nobody wait.
+/// The number of claims since the last active owner that cause no delay.
 const UNDELAYED_CLAIMS: u32 = 3;
 
-/// The claims on all shards, folded in the order of the log: from the last owner that got to work
-/// on, or from the first.
+/// The claims on all shards in the order of the log. The claims on a shard start with that of its
+/// last active owner, or with the first one.
 #[derive(Debug, Default)]
 pub struct Claims {
     shards: BTreeMap<Name, Vec<Claim>>,
 }
 
 impl Claims {
-    /// Folds one claim; `false` if it is void.
+    /// Applies a claim from the log; returns `false` if it is void because its epoch was claimed
+    /// before.
     pub fn fold(&mut self, claim: &Claim) -> bool {
         if claim.epoch != self.epoch(&claim.shard) + 1 {
             return false;
@@ -36,7 +37,7 @@
         true
     }
 
-    /// The owner of this epoch has its state at all replicas: earlier claims are forgotten.
+    /// Drops the claims before `epoch`, whose owner has its state at all replicas.
     pub fn active(&mut self, shard: &str, epoch: u64) {
         if let Some(history) = self.shards.get_mut(shard)
             && history.iter().any(|claim| claim.epoch == epoch)
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Takes a history from a snapshot of the log if it is newer.
+    /// Replaces the claims on a shard by those from a snapshot of the log; returns `false` if they
+    /// are not newer.
     pub fn restore(&mut self, claims: &[Claim]) -> bool {
         let Some(newest) = claims.last() else { return false };
         if self.epoch(&newest.shard) >= newest.epoch {
@@ -55,44 +57,44 @@
         true
     }
 
-    /// The claims on a shard in order.
+    /// The claims on a shard, in order of their epochs.
     pub fn history(&self, shard: &str) -> &[Claim] {
         self.shards.get(shard).map_or(&[], Vec::as_slice)
     }
 
-    /// The claim in force.
+    /// The last valid claim on a shard, which names its owner.
     pub fn last(&self, shard: &str) -> Option<&Claim> {
         self.history(shard).last()
     }
 
-    /// The epoch in force, 0 if there is none.
+    /// The epoch of the last valid claim; 0 if the shard was never claimed.
     pub fn epoch(&self, shard: &str) -> u64 {
         self.last(shard).map_or(0, |claim| claim.epoch)
     }
 
-    /// The histories of all shards, for a snapshot of the log.
+    /// The claims on all shards, for a snapshot of the log.
     pub fn histories(&self) -> Vec<Vec<Claim>> {
         self.shards.values().cloned().collect()
     }
 
-    /// All shards ever claimed, with the claim in force.
+    /// The last valid claim on every shard.
     pub fn all(&self) -> impl Iterator<Item = &Claim> {
         self.shards.values().filter_map(|history| history.last())
     }
 }
 
-/// What an entry knows about another one of its failure domain.
+/// Another entry of the same failure domain.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its present run.
+    /// Its name and incarnation.
     pub id: EntryId,
-    /// When it was last heard.
+    /// When its last heartbeat arrived.
     pub heard: Millis,
     /// Whether it is stopping.
     pub leaving: bool,
 }
 
-/// Decides when this entry claims shards of its failure domain.
+/// Decides when this entry claims a shard of its failure domain.
 #[derive(Debug)]
 pub struct Claimant {
     me: EntryId,
@@ -103,17 +105,18 @@
 }
 
 impl Claimant {
-    /// A claimant that starts at `now`; peers get the suspicion time to be heard first.
+    /// Creates a claimant that starts at `now`. Peers get [`OWNER_TIMEOUT`] for a first heartbeat
+    /// before it claims a shard.
     pub fn new(me: EntryId, domain: Name, now: Millis) -> Self {
         Self { me, domain, since: now, last_claims: BTreeMap::new(), released: BTreeMap::new() }
     }
 
-    /// The owner of `epoch` gave this shard up in favour of this entry.
+    /// Records that the owner of `epoch` released this shard for this entry to claim.
     pub fn release(&mut self, shard: Name, epoch: u64) {
         self.released.insert(shard, epoch);
     }
 
-    /// The claim to append for one shard, if any.
+    /// The claim on a shard to append to the log, if this entry should claim it now.
     pub fn decide(
         &mut self,
         now: Millis,
@@ -156,7 +159,8 @@
         fresh.map(|peer| peer.id.clone()).collect()
     }
 
-    /// Whether the owner should change the replicas of its shard: one is lost or a new one came.
+    /// Whether this owner should claim its shard anew because the set of its possible replicas
+    /// changed.
     fn wants_change(&self, now: Millis, claim: &Claim, fresh: &[EntryId]) -> bool {
         let known: BTreeSet<&EntryId> = claim.replicas.iter().collect();
         let seen: BTreeSet<&EntryId> = fresh.iter().collect();
@@ -180,7 +184,7 @@
         }
     }
 
-    /// How long this entry waits for candidates that go first.
+    /// How long this entry waits for the entries that rank before it for this shard.
     fn claim_delay(&self, now: Millis, shard: &Name, peers: &BTreeMap<Name, Peer>) -> Millis {
         let weight = |name: &Name| hash(&[shard.as_bytes(), name.as_bytes()]);
         let mine = weight(&self.me.name);
--- a/src/controller/gossip.rs
+++ b/src/controller/gossip.rs
@@ -1,22 +1,22 @@
-//! Heartbeats that carry only what changed: what an entry says of its shards, and what a peer said.
+//! Delta-encoded heartbeats: an entry sends its peers only those of its shard states that changed.
 //!
-//! Messages may be lost, late, doubled or swapped, and either side may restart. Each message names
-//! the state that it builds on; a receiver that does not hold that state says so and gets a whole
-//! one next time.
+//! Messages may be lost, delayed, duplicated or reordered, and either side may restart. Each
+//! message names the state that it builds on. A receiver that does not hold that state reports so
+//! and gets the full state next time.
 
 use crate::id::{EntryId, Name};
 use crate::wire::msg::ShardBeat;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Shards whose state changed after the message `base`.
+/// The shards that changed after the state number `base`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// The number of this state; each later one is higher.
     pub seq: u64,
-    /// The state that it builds on; 0: none, all shards are in it.
+    /// The state that it builds on; 0 if it has all shards and builds on none.
     pub base: u64,
-    /// The newest state of the receiver that the sender holds; 0: none.
+    /// The newest state of the receiver that the sender holds; 0 if it holds none.
     pub held: u64,
     /// The shards that changed.
     pub shards: Vec<ShardBeat>,
@@ -29,17 +29,17 @@
     seq: u64,
 }
 
-/// What this entry says of its shards.
+/// The shard states of this entry, and what each peer holds of them.
 #[derive(Debug, Default)]
 pub struct Outbox {
     seq: u64,
     shards: BTreeMap<Name, Change>,
-    /// By peer: its incarnation and the newest state that it holds.
+    /// The incarnation of each peer and the newest state that it holds.
     acked: BTreeMap<Name, (u64, u64)>,
 }
 
 impl Outbox {
-    /// Takes in the present state of all shards; those that are not named keep theirs.
+    /// Sets the present state of `shards`; other shards keep theirs.
     pub fn update(&mut self, shards: Vec<ShardBeat>) {
         self.seq += 1;
         for beat in shards {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What a peer lacks; `held` is what this entry holds of that peer.
+    /// The delta that a peer needs. `held` is the newest state of that peer that this entry holds.
     pub fn delta(&self, peer: &str, held: u64) -> Delta {
         let base = self.acked.get(peer).map_or(0, |(_, seq)| *seq);
         let changed = self.shards.values().filter(|change| change.seq > base);
@@ -58,7 +58,7 @@
         Delta { seq: self.seq, base, held, shards }
     }
 
-    /// A run of a peer holds this state; 0: none.
+    /// Records that a peer holds the state `held`; 0 if it holds none.
     pub fn acked(&mut self, peer: &EntryId, held: u64) {
         let fresh = (peer.incarnation, 0);
         let known = self.acked.entry(peer.name.clone()).or_insert(fresh);
@@ -70,7 +70,7 @@
     }
 }
 
-/// What one peer said of its shards.
+/// The shard states of one peer.
 #[derive(Debug, Default, Clone)]
 pub struct Inbox {
     inc: u64,
@@ -78,20 +78,20 @@
     shards: BTreeMap<Name, ShardBeat>,
 }
 
-/// What became of a message.
+/// The result of applying a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeltaOutcome {
-    /// The peer's state is now the one of the message.
+    /// The state of the message is now held.
     Applied,
-    /// A newer one is held already.
+    /// The same or a newer state was held already.
     Stale,
-    /// The state that it builds on is missing: nothing is held any more, so that the sender
-    /// learns of it.
+    /// The state that it builds on is missing. The held state was dropped, so that the next
+    /// heartbeat tells the sender to send the full state.
     MissingBase,
 }
 
 impl Inbox {
-    /// Takes in a message from a run of the peer.
+    /// Applies a message from the peer.
     pub fn take(&mut self, from: &EntryId, delta: Delta) -> DeltaOutcome {
         match () {
             _ if from.incarnation < self.inc => return DeltaOutcome::Stale,
@@ -111,12 +111,12 @@
         DeltaOutcome::Applied
     }
 
-    /// The newest state held of a run of the peer; 0: none.
+    /// The newest state held of this incarnation of the peer; 0 if none is held.
     pub fn held(&self, inc: u64) -> u64 {
         if inc == self.inc { self.seq } else { 0 }
     }
 
-    /// The shards in that state.
+    /// The shards in the held state.
     pub fn shards(&self) -> Vec<ShardBeat> {
         self.shards.values().cloned().collect()
     }
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -1,30 +1,31 @@
-//! Sick workers: a worker is judged against its peers on the same kinds of work.
+//! Detection of failing workers, by comparing a worker's failure rate with that of the other
+//! workers on the same kind of work.
 
 use crate::clock::Millis;
 use crate::id::Name;
 use std::collections::BTreeMap;
 
-/// The weight that the past keeps with each new outcome.
+/// The weight that earlier outcomes keep when a new one is added to the failure rate.
 const SCORE_DECAY: f64 = 0.8;
-/// Outcomes of one kind on one worker before it is judged.
+/// The number of outcomes of one kind on a worker that its failure rate must rest on.
 const MIN_OUTCOMES: u32 = 3;
-/// A failing share this much above the peers' makes a worker suspect.
+/// A worker is failing if its failure rate exceeds the mean of its peers by more than this.
 const FAILURE_RATE_MARGIN: f64 = 0.5;
-/// The first probation, doubled each time the probe fails.
+/// The first probation time, doubled each time a probe task fails.
 const MIN_PROBATION_TIME: Millis = Millis(10_000);
-/// The longest probation.
+/// The longest probation time.
 const MAX_PROBATION_TIME: Millis = Millis(300_000);
-/// At most one in this many workers of a shard is set aside.
+/// At most one in this many workers of a shard is excluded at the same time.
 const WORKERS_PER_EXCLUSION: usize = 4;
 
-/// Outcomes of one kind of work on one worker.
+/// The failure rate of one kind of work on one worker, as a decaying average.
 #[derive(Debug, Clone, Copy, Default)]
 struct FailureScore {
     rate: f64,
     count: u32,
 }
 
-/// A worker set aside; after `until` it gets one probe task at a time.
+/// The probation of an excluded worker, which gets one probe task at a time after `until`.
 #[derive(Debug, Clone, Copy)]
 struct Probation {
     until: Millis,
@@ -32,18 +33,18 @@
     probing: bool,
 }
 
-/// What a worker may be given.
+/// Which tasks a worker may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerHealth {
-    /// Anything.
+    /// Any task.
     Healthy,
-    /// One task, to see whether it works again.
+    /// One task, which tests whether the worker has recovered.
     Probe,
-    /// Nothing.
+    /// No task.
     Excluded,
 }
 
-/// The outcomes of a shard's workers.
+/// The failure rates and probations of a shard's workers.
 #[derive(Debug, Default)]
 pub struct Health {
     scores: BTreeMap<Name, BTreeMap<Name, FailureScore>>,
@@ -51,7 +52,7 @@
 }
 
 impl Health {
-    /// Counts an outcome. `workers` is the number of workers in the shard.
+    /// Records an outcome of a task. `workers` is the number of workers in the shard.
     pub fn record_outcome(
         &mut self,
         now: Millis,
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Whether a worker fails clearly more than its peers do on the kinds it was given.
+    /// Whether the worker's failure rate is clearly above that of its peers for any kind of work
+    /// that it ran.
     fn is_failing(&self, worker: &Name) -> bool {
         let Some(kinds) = self.scores.get(worker) else { return false };
         kinds.iter().any(|(kind, score)| {
@@ -93,7 +95,7 @@
         })
     }
 
-    /// The failing share of one kind over the other workers; `None` without any outcome there.
+    /// The mean failure rate of one kind on the other workers; `None` if none of them ran it.
     fn peers_rate(&self, worker: &Name, kind: &Name) -> Option<f64> {
         let others = self.scores.iter().filter(|(name, _)| *name != worker);
         let scores: Vec<&FailureScore> = others.filter_map(|(_, kinds)| kinds.get(kind)).collect();
@@ -110,7 +112,7 @@
         self.scores.remove(worker);
     }
 
-    /// What a worker may be given now.
+    /// Which tasks a worker may get now.
     pub fn worker_health(&self, now: Millis, worker: &str) -> WorkerHealth {
         match self.excluded.get(worker) {
             None => WorkerHealth::Healthy,
@@ -119,19 +121,19 @@
         }
     }
 
-    /// A probe task was given to this worker.
+    /// Marks that a probe task was bound to this worker.
     pub fn start_probe(&mut self, worker: &str) {
         if let Some(probation) = self.excluded.get_mut(worker) {
             probation.probing = true;
         }
     }
 
-    /// A worker left: what is known of it is dropped.
+    /// Drops the data of a worker that was removed.
     pub fn forget(&mut self, worker: &Name) {
         self.clear(worker);
     }
 
-    /// Workers set aside.
+    /// The excluded workers.
     pub fn excluded(&self) -> Vec<Name> {
         self.excluded.keys().cloned().collect()
     }
--- a/src/controller/list.rs
+++ b/src/controller/list.rs
@@ -1,11 +1,11 @@
-//! The platform's list of VMs, as it was last read. The list lags and may be unreachable.
+//! The platform's list of VMs, as last read. The list may lag behind the VMs or be unreachable.
 
 use crate::id::Name;
 use crate::size::Size;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a VM does.
+/// The role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -21,37 +21,37 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vm {
-    /// Its name, never used again for another VM.
+    /// Its name, which is never reused for another VM.
     pub name: Name,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Where it answers: IP number and port.
+    /// The IP address and port of its service.
     pub addr: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Its rack: the shard that it belongs to.
+    /// Its rack, which is also the name of its shard.
     pub rack: Name,
-    /// What it has; for workers.
+    /// The resources of a worker.
     #[serde(default)]
     pub size: Size,
-    /// How many requests it takes at once; for runners.
+    /// How many requests a runner serves at the same time.
     #[serde(default)]
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is about to be removed.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A version of the list.
+/// One version of the VM list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct VmList {
-    /// The version; it only grows.
+    /// The version number, which only grows.
     pub rev: u64,
-    /// The VMs that exist. A VM that was listed and is not any more is gone for good.
+    /// The VMs that exist. A VM that disappears from the list never comes back.
     pub vms: Vec<Vm>,
 }
 
-/// The newest list read, and what was ever listed.
+/// The newest list that was read, and the VMs that have disappeared from it.
 #[derive(Debug, Default)]
 pub struct Lists {
     newest: VmList,
@@ -59,7 +59,7 @@
 }
 
 impl Lists {
-    /// Takes a list; `false` if it is not newer than the one held.
+    /// Replaces the list by a newer one; returns `false` if `list` is not newer.
     pub fn take(&mut self, list: VmList) -> bool {
         if list.rev <= self.newest.rev {
             return false;
@@ -78,7 +78,7 @@
         &self.newest
     }
 
-    /// Whether a VM was listed once and is listed no more.
+    /// Whether a VM has disappeared from the list.
     pub fn is_gone(&self, vm: &str) -> bool {
         self.gone.contains_key(vm)
     }
--- a/src/controller/log_state.rs
+++ b/src/controller/log_state.rs
@@ -1,8 +1,8 @@
-//! The fold of the platform's log at one entry: tables, claims, and what the log keeps of shards.
+//! The state that one entry derives from the platform's log: tables, claims, jobs, and the states
+//! of shards without replicas.
 //!
-//! An entry that starts after retention has dropped the log's beginning, or that fell behind it,
-//! is not in sync: it holds publishes and claims back until a snapshot record tells it what came
-//! before them.
+//! An entry is out of sync if log retention dropped records before it read them. It then buffers
+//! publishes and claims until a snapshot record gives it the state before them.
 
 use crate::clock::Millis;
 use crate::controller::claims::Claims;
@@ -13,40 +13,40 @@
 use crate::record::{Claim, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a folded record changed.
+/// What a record from the log changed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LogChange {
-    /// A new table is in force here.
+    /// A new table took effect at this entry.
     Table,
-    /// A claim is in force.
+    /// A claim won its epoch.
     Claim(Claim),
-    /// The log holds a shard's notes up to this number.
+    /// The log holds the state changes of a shard up to this number.
     StateStored {
         /// The shard.
         shard: Name,
         /// The epoch.
         epoch: u64,
-        /// The last note held.
+        /// The number of the last change in the log.
         seq: u64,
     },
-    /// A job is kept in the log.
+    /// The record of a job was read from the log.
     Job(JobId),
 }
 
-/// A job as the log has it.
+/// A job, as its records in the log describe it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogJob {
-    /// What was asked for.
+    /// The submitted job.
     pub spec: JobSpec,
     /// When it was accepted.
     pub at: Millis,
-    /// When its record was last appended, by the offset.
+    /// The log offset at which its record was last appended.
     pub offset: u64,
-    /// Tasks that ended.
+    /// The outcomes of its ended tasks, by index.
     pub ended: BTreeMap<u32, TaskOutcome>,
 }
 
-/// The fold.
+/// The state derived from the log, and how far the log was read.
 #[derive(Debug)]
 pub struct LogState {
     domain: Name,
@@ -55,16 +55,17 @@
     gap_end: u64,
     buffered: Vec<(u64, Record)>,
     snapshot: u64,
-    /// The tables.
+    /// The published tables.
     pub tables: Tables,
-    /// The claims.
+    /// The claims on shards.
     pub claims: Claims,
     states: BTreeMap<Name, Replica>,
     jobs: BTreeMap<JobId, LogJob>,
 }
 
 impl LogState {
-    /// An empty fold for an entry of `domain`: shards of other failure domains are passed over.
+    /// Creates the state for an entry of `domain`. Shard states of other failure domains are
+    /// skipped.
     pub fn new(domain: Name) -> Self {
         Self {
             domain,
@@ -80,12 +81,12 @@
         }
     }
 
-    /// The offset to read next.
+    /// The next log offset to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether everything before [`LogState::next`] is known.
+    /// Whether the effect of every record before [`LogState::next`] is known.
     pub fn synced(&self) -> bool {
         self.synced
     }
@@ -95,7 +96,8 @@
         self.snapshot
     }
 
-    /// The log begins at `first`, later than the offset to read next: records were missed.
+    /// Skips to offset `first`, where the log now begins, and goes out of sync because records were
+    /// lost.
     pub fn gap(&mut self, first: u64) {
         self.next = first;
         self.gap_end = first;
@@ -103,7 +105,7 @@
         self.buffered.clear();
     }
 
-    /// Folds the records of the append at `offset`.
+    /// Applies the records of the append at `offset` and returns what they changed.
     pub fn apply(&mut self, offset: u64, records: Vec<Record>) -> Vec<LogChange> {
         let mut changes = Vec::new();
         self.next = offset + 1;
@@ -206,13 +208,13 @@
         }
     }
 
-    /// What the log holds of a shard from epochs without replicas.
+    /// The state of a shard in the log, from epochs without replicas.
     pub fn state(&self, shard: &str) -> StateSnapshot {
         self.states.get(shard).map(|replica| replica.state().clone()).unwrap_or_default()
     }
 
-    /// What a new owner needs of a shard's past: the entries that may have owned it, by a claim or
-    /// because it was handed over to them, and the jobs that the log has.
+    /// What a new owner needs to know about a shard before its claim: the entries that may have
+    /// owned it by a claim or a handover, and the jobs in the log.
     pub fn before(&self, claim: &Claim) -> (BTreeSet<EntryId>, Vec<(JobId, LogJob)>) {
         let shard = &claim.shard;
         let earlier = self.claims.history(shard).iter().filter(|at| at.epoch < claim.epoch);
@@ -222,7 +224,7 @@
         (former, jobs.map(|(id, job)| (id.clone(), job.clone())).collect())
     }
 
-    /// A record with all that a later reader needs to know of what came before.
+    /// A snapshot record, from which a later reader can start without the records before it.
     pub fn snapshot(&self) -> Record {
         let table = self.tables.folded().cloned();
         Record::Snapshot { end_offset: self.next, table, claims: self.claims.histories() }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,6 @@
-//! The decisions, as plain state machines: no socket, no clock, no task inside.
+//! The decisions of the scheduler, as state machines without sockets, clocks or async tasks.
 //!
-//! Each takes the time and an event and returns what has to be done; the entry's shell does it.
+//! Each takes the present time and an event and returns actions, which the entry carries out.
 
 pub mod claims;
 pub mod gossip;
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -1,15 +1,16 @@
-//! The choice of a worker: hard limits by the ledger first, then a score by the row's weights.
+//! The choice of a worker for a task: workers with enough free resources, ranked by a score with
+//! the weights of the task's row.
 
 use crate::id::Name;
 use crate::size::Size;
 use std::collections::BTreeMap;
 
-/// The score lost for each task of the same kind on a worker, in thousandths of a whole worker.
+/// Taken off the spread score of a worker for each task of the same kind there, in thousandths.
 const SAME_KIND_PENALTY: i64 = 100;
-/// A full share, in thousandths.
+/// The share of a worker that is fully used, in thousandths.
 const FULL_SHARE_PERMILLE: i64 = 1000;
 
-/// The room of one worker: what it has and what is set aside.
+/// The total and reserved resources of one worker.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     total: Size,
@@ -18,32 +19,32 @@
 }
 
 impl Ledger {
-    /// An empty ledger for a worker of this size.
+    /// Creates the ledger of a worker of this size without reservations.
     pub fn new(total: Size) -> Self {
         Self { total, used: Size::default(), kinds: BTreeMap::new() }
     }
 
-    /// What the worker has.
+    /// The resources of the worker.
     pub fn total(&self) -> Size {
         self.total
     }
 
-    /// What is set aside.
+    /// The reserved resources.
     pub fn used(&self) -> Size {
         self.used
     }
 
-    /// What is left.
+    /// The resources that are not reserved.
     pub fn free(&self) -> Size {
         self.total.saturating_sub(&self.used)
     }
 
-    /// The worker's size changed. What is set aside stays set aside.
+    /// Sets a new size of the worker and keeps all reservations.
     pub fn resize(&mut self, total: Size) {
         self.total = total;
     }
 
-    /// Sets room aside; `false`, and no change, if there is not enough.
+    /// Reserves resources for a task. Returns `false` and changes nothing if they are not free.
     pub fn reserve(&mut self, kind: &Name, size: &Size) -> bool {
         let fits = self.free().can_fit(size);
         if fits {
@@ -52,13 +53,13 @@
         fits
     }
 
-    /// Counts room that is taken already, whether or not it fits: a task found running.
+    /// Reserves resources for a task that runs on the worker already, even if they are not free.
     pub fn reserve_unchecked(&mut self, kind: &Name, size: &Size) {
         self.used = self.used.checked_add(size).unwrap_or(Size::new(u32::MAX, u32::MAX, u32::MAX));
         *self.kinds.entry(kind.clone()).or_insert(0) += 1;
     }
 
-    /// Gives room back.
+    /// Releases the resources of a task.
     pub fn release(&mut self, kind: &Name, size: &Size) {
         self.used = self.used.saturating_sub(size);
         if let Some(n) = self.kinds.get_mut(kind) {
@@ -67,12 +68,13 @@
         self.kinds.retain(|_, n| *n > 0);
     }
 
-    /// Tasks of one kind here.
+    /// The number of tasks of one kind on this worker.
     pub fn kind(&self, kind: &str) -> u32 {
         self.kinds.get(kind).copied().unwrap_or(0)
     }
 
-    /// How well a task fits here: fuller is better by `pack`, fewer of its kind by `spread`.
+    /// The score of this worker for a task. `pack` weighs how full the worker would be, `spread`
+    /// how few tasks of the same kind it has.
     fn score(&self, kind: &str, size: &Size, weights: Weights) -> i64 {
         let after = self.used.checked_add(size).unwrap_or(self.total);
         let full = self.total.dominant_share(&after) as i64;
@@ -81,17 +83,17 @@
     }
 }
 
-/// The row's weights for the choice of a worker.
+/// The weights of a row for the choice of a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct Weights {
-    /// Weight of filling workers up.
+    /// The weight of filling workers up.
     pub pack: u32,
-    /// Weight of spreading over workers.
+    /// The weight of spreading tasks of a kind over workers.
     pub spread: u32,
 }
 
-/// The best worker among `open` for one task. A worker without accelerators is preferred for a
-/// task that needs none. Ties go to the first.
+/// Returns the best worker among `open` for one task, the first one on a tie. A task that needs no
+/// accelerator goes to a worker without accelerators if one has enough free resources.
 pub fn pick<'a>(
     open: impl Iterator<Item = (&'a Name, &'a Ledger)>,
     kind: &str,
@@ -107,7 +109,7 @@
     best.map(|(_, name)| name)
 }
 
-/// Workers for all `count` tasks of a gang, or `None` if they do not all fit at once.
+/// Returns a worker for each of the `count` tasks of a gang; `None` if they do not fit all at once.
 pub fn pick_gang<'a>(
     open: impl Iterator<Item = (&'a Name, &'a Ledger)>,
     kind: &Name,
--- a/src/controller/queue.rs
+++ b/src/controller/queue.rs
@@ -1,8 +1,8 @@
-//! Waiting tasks of one shard, grouped by shape so that one look decides for a whole group.
+//! The waiting tasks of one shard, grouped by shape so that one attempt decides for a whole group.
 //!
-//! Tasks of one shape need the same room under the same policy. A shape whose oldest task found no
-//! room is blocked until room that may help is freed or the policy changes, so a queue full of
-//! tasks that cannot run costs little.
+//! Tasks of one shape need the same resources and fall under the same limits. If the oldest task of
+//! a shape cannot be placed, the shape is blocked until enough resources are freed or the workers
+//! or the table change, so a long queue of tasks that cannot run costs little.
 
 use crate::clock::Millis;
 use crate::controller::quota::Limit;
@@ -10,21 +10,22 @@
 use crate::size::Size;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What decides where and when a task may run.
+/// The properties of a task that decide where and when it can run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Shape {
     /// The kind of work.
     pub kind: Name,
-    /// The team.
+    /// The team that submitted the job.
     pub team: Name,
-    /// What a task needs.
+    /// The resources that each task needs.
     pub size: Size,
-    /// For a gang the number of tasks that must run at once, otherwise 0.
+    /// The number of tasks that must start at the same time if the job is a gang; otherwise 0.
     pub gang: u32,
 }
 
 impl Shape {
-    /// What tasks of this shape need of a limit at once; `None` if it is not theirs.
+    /// How much of a limit must be free before a task or gang of this shape can start; `None` if
+    /// the limit does not apply to it.
     fn need(&self, limit: &Limit) -> Option<u64> {
         let count = self.gang.max(1) as u64;
         match limit {
@@ -34,12 +35,12 @@
     }
 }
 
-/// Why the tasks of a shape cannot run now.
+/// The reason why the tasks of a shape cannot start now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BlockReason {
-    /// No open worker has room.
+    /// No schedulable worker has enough free resources.
     Resources,
-    /// A limit or quota is reached.
+    /// A limit on running tasks or a team's quota is reached.
     Limit,
 }
 
@@ -50,7 +51,7 @@
     blocked: Option<BlockReason>,
 }
 
-/// The waiting tasks of a shard.
+/// The waiting tasks of a shard, and the shapes that are not blocked.
 #[derive(Debug, Default)]
 pub struct Queue {
     buckets: BTreeMap<Shape, Bucket>,
@@ -81,7 +82,7 @@
         bucket.jobs.insert((at, job), (0..tasks).collect());
     }
 
-    /// The bucket of a shape; a new one is worth a look, one that is blocked stays so.
+    /// The bucket of a shape. A new bucket is not blocked; an existing one stays as it is.
     fn bucket(&mut self, shape: Shape) -> &mut Bucket {
         if !self.buckets.contains_key(&shape) {
             self.open.insert(shape.clone());
@@ -94,17 +95,17 @@
         self.open.remove(shape);
     }
 
-    /// The heads of all shapes that are not blocked.
+    /// The oldest waiting job of each shape that is not blocked.
     pub fn heads(&self) -> Vec<Head> {
         self.open.iter().filter_map(|shape| self.head(shape)).collect()
     }
 
-    /// The head of one shape.
+    /// The oldest waiting job of one shape.
     pub fn head(&self, shape: &Shape) -> Option<Head> {
         self.buckets.get(shape)?.head(shape)
     }
 
-    /// Takes the next waiting task of a job; `None` when it has no more.
+    /// Removes and returns the next waiting task of a job; `None` if it has no more.
     pub fn take(&mut self, head: &Head) -> Option<u32> {
         let bucket = self.buckets.get_mut(&head.shape)?;
         let key = (head.at, head.job.clone());
@@ -119,7 +120,7 @@
         index
     }
 
-    /// Drops all waiting tasks of a job.
+    /// Removes all waiting tasks of a job.
     pub fn drop_job(&mut self, head: &Head) {
         let Some(bucket) = self.buckets.get_mut(&head.shape) else { return };
         bucket.jobs.remove(&(head.at, head.job.clone()));
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Marks a shape as blocked.
+    /// Blocks a shape until it may be possible to place its tasks again.
     pub fn block(&mut self, shape: &Shape, why: BlockReason) {
         if let Some(bucket) = self.buckets.get_mut(shape) {
             bucket.blocked = Some(why);
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Room of this size was freed on one worker: shapes that it may help are worth a look again.
+    /// Unblocks the shapes that may start after a worker's free resources grew to `free`: those
+    /// that fit into it, and those blocked by a limit.
     pub fn unblock_for(&mut self, free: &Size) {
         for (shape, bucket) in &mut self.buckets {
             let helps = match bucket.blocked {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Workers or the policy changed: every shape is worth a look again.
+    /// Unblocks all shapes after the workers, the table or the limit shares changed.
     pub fn unblock(&mut self) {
         for (shape, bucket) in &mut self.buckets {
             if bucket.blocked.take().is_some() {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// The least of a limit that a waiting task, or a gang of them, needs; 1 if none waits.
+    /// The smallest amount of a limit that any waiting task or gang needs; 1 if none waits.
     pub fn least(&self, limit: &Limit) -> u64 {
         let needs = self.buckets.keys().filter_map(|shape| shape.need(limit));
         needs.min().unwrap_or(1)
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -1,32 +1,33 @@
-//! Limits of the whole cell, divided over shards: a row's limit on running tasks, and a team's
-//! quota of processors.
+//! Limits of the cell, divided over its shards: a row's limit on running tasks, and a team's quota
+//! of processors.
 //!
-//! One shard is *home* to each limit. Its owner lends parts of the limit to the owners of all
-//! shards. A part has no end in time, since the tasks that it was used for go on: a shard that
-//! cannot be reached keeps what it has. What a shard may use in any case, the *floor*, is never
-//! lent to others, so a failure domain that is cut off can still start something.
+//! Each limit has one *home* shard, whose owner grants shares of the limit to the owners of all
+//! shards. A share does not expire, since the tasks that use it keep running: a shard that cannot
+//! be reached keeps its share. The *guaranteed share* of a shard is never granted to others, so a
+//! failure domain that is cut off can still start tasks.
 //!
-//! The loans are not replicated: a new home lends no more than is held until every shard has told
-//! it what it holds. A question names the epoch of the home and the number of shards that its asker
-//! knows; an asker that has once asked a later home takes nothing from an earlier one, so no time
-//! has to pass for this to be safe.
+//! Grants are not replicated. A new owner of a home shard grants no more than each shard already
+//! holds until every shard has reported its shares. A request names the epoch of the home and the
+//! number of shards that the requester knows. A requester that has asked a later owner of the home
+//! accepts nothing from an earlier one, so this is safe without waiting for any time to pass.
 
 use crate::id::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The floors of all shards together are one part in this many of a limit.
+/// The guaranteed shares of all shards together are the limit divided by this.
 const GUARANTEE_DIVISOR: u64 = 2;
-/// A shard wants this part more than it needs, so that the next task finds room at once.
+/// A shard gets its need divided by this on top of its need, so that the next task can start at
+/// once.
 const HEADROOM_DIVISOR: u64 = 4;
 
-/// What is limited in the whole cell.
+/// A limit that applies to the whole cell.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Limit {
-    /// Running tasks of a kind.
+    /// The number of running tasks of a kind.
     Row(Name),
-    /// Processors of a team, in thousandths of a core.
+    /// The processors used by a team, in thousandths of a core.
     Team(Name),
 }
 
@@ -39,86 +40,89 @@
     }
 }
 
-/// What a shard says of one limit when it asks its home for a part.
+/// A shard's request for a share of one limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareRequest {
     /// The limit.
     pub limit: Limit,
-    /// The part that it holds.
+    /// The share that the shard holds.
     pub held: u64,
-    /// What is in use of it.
+    /// How much of the share is in use.
     pub used: u64,
-    /// What is in use and what waits.
+    /// How much is in use and waited for.
     pub need: u64,
-    /// The least that is of use beyond what is used.
+    /// The smallest useful increase, which one waiting task or gang needs.
     pub step: u64,
 }
 
-/// A shard's question to a home: all limits of that home of which it holds or needs a part. A shard
-/// has one question under way at a time.
+/// A shard's request to one home, with all limits of that home of which it holds or needs a share.
+/// A shard has one request to a home in progress at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeRequest {
-    /// The shard that asks.
+    /// The requesting shard.
     pub shard: Name,
-    /// Its epoch.
+    /// The epoch of the requesting shard's owner.
     pub epoch: u64,
-    /// Its number; a later one in the same epoch is higher.
+    /// The number of the request, which grows within the epoch.
     pub seq: u64,
-    /// The home's epoch, as the asker knows it.
+    /// The epoch of the home shard, as the requester knows it.
     pub home: u64,
-    /// The shards that the asker knows; they decide which shard is home to what.
+    /// The number of shards that the requester knows. The known shards decide which one is home to
+    /// which limit.
     pub shards: usize,
-    /// The parts.
+    /// The requests, one for each limit.
     pub asks: Vec<ShareRequest>,
 }
 
 impl ShareRequest {
-    /// A part that holds whole steps, the next one above `part`.
+    /// Rounds `part` up so that the unused rest is a multiple of `step`.
     fn steps_up(&self, part: u64) -> u64 {
         self.used + part.saturating_sub(self.used).next_multiple_of(self.step.max(1))
     }
 
-    /// A part that holds whole steps, the next one below `part`, unless that is all it needs.
+    /// Rounds `part` down so that the unused rest is a multiple of `step`, unless it covers the
+    /// need.
     fn steps_down(&self, part: u64) -> u64 {
         let spare = part.saturating_sub(self.used);
         if part >= self.need { part } else { part - spare % self.step.max(1) }
     }
 }
 
-/// What a shard needs of one limit now.
+/// A shard's present need of one limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Need {
     /// The limit.
     pub limit: Limit,
-    /// The limit in the whole cell.
+    /// The limit of the whole cell.
     pub whole: u64,
-    /// In use.
+    /// How much is in use.
     pub used: u64,
-    /// What waits for it.
+    /// How much waiting tasks need.
     pub waiting: u64,
-    /// The least that something that waits needs.
+    /// The smallest amount that a waiting task or gang needs.
     pub step: u64,
 }
 
-/// The part of a limit that each of `shards` may use in any case.
+/// The share of a limit that each of `shards` may always use.
 fn guaranteed_share(whole: u64, shards: usize) -> u64 {
     whole / GUARANTEE_DIVISOR / shards.max(1) as u64
 }
 
-/// A part that is held.
+/// A share that this shard holds.
 #[derive(Debug, Clone, Copy, Default)]
 struct Share {
     amount: u64,
-    /// Given back, but its home has not answered since: it may still count it as lent.
+    /// Whether it was given back, but the home has not confirmed that yet and may still count it as
+    /// held.
     returned: bool,
 }
 
-/// What a shard gets while there is enough for all: its need and some to spare.
+/// The share that a shard gets while the limit is large enough for all: its need plus headroom.
 fn with_headroom(need: u64, least: u64, whole: u64) -> u64 {
     (need + (need / HEADROOM_DIVISOR).max(least)).min(whole.max(need))
 }
 
-/// The borrower's side: the parts that one shard holds.
+/// The requesting side: the shares that one shard holds.
 #[derive(Debug)]
 pub struct LimitShares {
     shards: usize,
@@ -126,24 +130,24 @@
 }
 
 impl LimitShares {
-    /// The parts of one of `shards`, none lent yet.
+    /// Creates the shares of one of `shards` shards, with none granted yet.
     pub fn new(shards: usize) -> Self {
         Self { shards, held: BTreeMap::new() }
     }
 
-    /// The number of shards in the cell changed.
+    /// Sets the number of shards in the cell.
     pub fn set_shards(&mut self, shards: usize) {
         self.shards = shards;
     }
 
-    /// What may be in use of a limit here.
+    /// How much of a limit this shard may use.
     pub fn allowed(&self, limit: &Limit, whole: u64) -> u64 {
         let held = self.held.get(limit).map_or(0, |part| part.amount);
         held.max(guaranteed_share(whole, self.shards)).min(whole)
     }
 
-    /// The question to the homes. What is not needed any more is given back first: nothing above
-    /// `held` is used from here on.
+    /// The requests to the homes. Gives back what is no longer needed first: from here on the shard
+    /// uses no more than the `held` of each request.
     pub fn share_requests(&mut self, needs: &[Need]) -> Vec<ShareRequest> {
         let unneeded = |limit: &Limit| !needs.iter().any(|need| need.limit == *limit);
         let mut asks = Vec::with_capacity(needs.len());
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Takes what a home lent; `true` if something grew.
+    /// Applies the shares that a home granted; returns whether any share grew.
     pub fn apply_grants(&mut self, parts: &[(Limit, u64)], used: impl Fn(&Limit) -> u64) -> bool {
         let mut grew = false;
         for (limit, amount) in parts {
@@ -188,40 +192,40 @@
     }
 }
 
-/// One shard's part of a limit, as its home knows it.
+/// One shard's share of a limit, as its home knows it.
 #[derive(Debug, Clone, Copy, Default)]
 struct GrantedShare {
-    /// At most this much is held.
+    /// The most that the shard may hold.
     lent: u64,
     need: u64,
 }
 
-/// The home's side: who holds which part.
+/// The home's side: which shard holds which share.
 #[derive(Debug)]
 pub struct LimitPool {
     epoch: u64,
-    /// Shards that said what they hold, with the number of shards that they knew.
+    /// The shards that have reported their shares, with the number of shards that each knew.
     known_counts: BTreeMap<Name, usize>,
-    /// The last question of each shard: its epoch and number.
+    /// The epoch and number of the last request of each shard.
     last: BTreeMap<Name, (u64, u64)>,
     loans: BTreeMap<Limit, BTreeMap<Name, GrantedShare>>,
 }
 
 impl LimitPool {
-    /// The pool of an owner of the home in `epoch`.
+    /// Creates the pool of the home's owner in `epoch`.
     pub fn new(epoch: u64) -> Self {
         let (known_counts, last, loans) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self { epoch, known_counts, last, loans }
     }
 
-    /// The same owner goes on in a later epoch.
+    /// Continues under the same owner in a later epoch.
     pub fn renew(&mut self, epoch: u64) {
         self.epoch = epoch;
     }
 
-    /// Answers a question; `None` if it is for another home, or a later one was answered. `known`
-    /// is the number of shards that the home knows, `shards` are those that may hold parts, `whole`
-    /// says a limit's size.
+    /// Answers a request; `None` if it is for another epoch of the home, or the same or a later
+    /// request was answered before. `known` is the number of shards that the home knows, `shards`
+    /// are those that may hold shares, and `whole` returns the size of a limit.
     pub fn grant(
         &mut self,
         question: &HomeRequest,
@@ -245,8 +249,8 @@
         Some(asks.iter().map(grant).collect())
     }
 
-    /// A shard holds nothing of limits that it does not name, and a shard that is gone nothing at
-    /// all.
+    /// Drops the grants of limits that a shard's request does not name, and of shards that no
+    /// longer exist.
     fn forget(&mut self, shard: &Name, asks: &[ShareRequest], shards: &BTreeSet<Name>) {
         for (limit, loans) in &mut self.loans {
             loans.retain(|other, _| shards.contains(other));
@@ -257,7 +261,8 @@
         self.loans.retain(|_, loans| !loans.is_empty());
     }
 
-    /// Decides on a part and keeps it as lent. `certain` is whether all that others hold is known.
+    /// Decides on a shard's share and records it. `certain` tells whether the shares of all other
+    /// shards are known; otherwise a share grows up to the guaranteed one only.
     fn part(
         &mut self,
         shard: &Name,
@@ -285,8 +290,8 @@
     }
 }
 
-/// The most that each may have so that all needs, cut to it, are no more than `whole`; `None` if
-/// there is enough for all.
+/// The cap on each need under which all needs together fit into `whole` (max-min fairness); `None`
+/// if they fit without a cap.
 fn fair_cap(mut needs: Vec<u64>, whole: u64) -> Option<u64> {
     needs.sort_unstable();
     let mut left = whole;
--- a/src/controller/recover.rs
+++ b/src/controller/recover.rs
@@ -1,39 +1,42 @@
-//! How a claimant finds a shard's state: from the newest epoch down, by sealing its holders.
+//! Recovery of a shard's state by a claimant: it seals the entries that held the state in earlier
+//! epochs, from the newest epoch down.
 //!
-//! An owner starts a task only after every replica of its epoch that is not gone, and at least
-//! one, holds the note that binds it. A claimant may decide once no such commit can follow its
-//! seals, which [`Recovery`] works out; docs/design/ownership.md has the argument.
+//! An owner starts a task only once at least one replica, and every replica of its epoch whose VM
+//! still exists, holds the change that binds the task. A claimant may use the recovered state once
+//! no such commit can follow its seals, which [`Recovery`] checks; docs/design/ownership.md has the
+//! proof.
 
 use crate::controller::replica::StateSnapshot;
 use crate::id::EntryId;
 use crate::record::Claim;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the search needs next.
+/// The next step of a recovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Next {
-    /// Ask any of these entries to seal the shard; wait for an answer.
+    /// Ask these entries to seal the shard and wait for an answer of any of them.
     Ask(BTreeSet<EntryId>),
-    /// This state has all that was committed.
+    /// The recovered state, which has every committed change.
     Found(Box<StateSnapshot>),
-    /// Every holder is gone for good: rebuild from the log's jobs and the workers' lists.
+    /// Every holder of the state is gone: rebuild it from the jobs in the log and the workers'
+    /// reports.
     Rebuild,
 }
 
-/// The search for a shard's state by the winner of a claim.
+/// The recovery of a shard's state by the winner of a claim.
 #[derive(Debug)]
 pub struct Recovery {
     me: EntryId,
     earlier: Vec<Claim>,
-    /// The first epoch of the history: if it is not 1, its owner got to work.
+    /// The first epoch of the known claims. If it is not 1, its owner was active.
     floor: u64,
     log: StateSnapshot,
     answers: BTreeMap<EntryId, StateSnapshot>,
 }
 
 impl Recovery {
-    /// A search below `mine`: `history` has the claims in order, `log` the state that the log
-    /// holds from epochs without replicas, read at least up to `mine`.
+    /// Creates a recovery for the claim `mine`. `history` has the claims in order; `log` is the
+    /// state in the log from epochs without replicas, read at least up to `mine`.
     pub fn new(mine: &Claim, history: &[Claim], log: StateSnapshot) -> Self {
         let below = history.iter().filter(|claim| claim.epoch < mine.epoch);
         let earlier: Vec<Claim> = below.cloned().collect();
@@ -41,12 +44,12 @@
         Self { me: mine.owner.clone(), earlier, floor, log, answers: BTreeMap::new() }
     }
 
-    /// Takes the answer of an entry that sealed itself.
+    /// Records the state of an entry that sealed itself.
     pub fn answer(&mut self, from: &EntryId, state: StateSnapshot) {
         self.answers.insert(from.clone(), state);
     }
 
-    /// What to do now, given the entries that are `gone` for good.
+    /// The next step, given the entries that are `gone` because their VM no longer exists.
     pub fn next(&mut self, gone: impl Fn(&EntryId) -> bool) -> Next {
         while let Some(last) = self.earlier.last() {
             let holders: BTreeSet<&EntryId> = last.replicas.iter().chain([&last.owner]).collect();
@@ -75,12 +78,13 @@
         }
     }
 
-    /// Whether nothing more can be committed in this epoch than the answers have.
+    /// Whether the answers have every change that was or can be committed in this epoch.
     ///
-    /// The owner's own word is enough. Otherwise every replica has to be sealed or gone, and one
-    /// sealed that still exists: the owner cannot have left that one out. If it dies later and is
-    /// left out, the owner needs a new acknowledgement of one of the others, which are sealed or
-    /// gone. If some are gone, this entry has to be one of the replicas, or the owner gone too.
+    /// The answer of the owner is enough. Otherwise every replica must be sealed or gone, and at
+    /// least one sealed replica must still exist, since the owner cannot have removed that one. If
+    /// it dies later and is removed, the owner needs a new acknowledgement of another replica, all
+    /// of which are sealed or gone. If some replicas are gone, either this entry must be a replica,
+    /// or the owner must be gone too.
     fn is_closed(&self, claim: &Claim, gone: &impl Fn(&EntryId) -> bool) -> bool {
         let sealed = |id: &EntryId| self.answers.contains_key(id);
         let all = claim.replicas.iter().all(|id| sealed(id) || gone(id));
@@ -90,7 +94,8 @@
         sealed(&claim.owner) || (all && some && (whole || held))
     }
 
-    /// The newest state that a holder of this epoch had when it was sealed, if it was used at all.
+    /// The newest state of this epoch or a later one among the answers of its holders; `None` if
+    /// this epoch's owner never sent a state.
     fn newest(&self, claim: &Claim) -> Option<&StateSnapshot> {
         let holders = claim.replicas.iter().chain([&claim.owner]);
         let states = holders.filter_map(|id| self.answers.get(id));
--- a/src/controller/replica.rs
+++ b/src/controller/replica.rs
@@ -1,8 +1,8 @@
 //! A replica of a shard's state at an entry that does not own the shard.
 //!
-//! The owner sends a whole [`ShardState`] once an epoch and numbered notes after it. Once a replica is
-//! sealed for a claimant it takes nothing from earlier epochs, so the former owner, which needs
-//! every replica's answer before it starts a task, can commit nothing more.
+//! The owner sends the full [`ShardState`] once an epoch and numbered state changes after it. A
+//! replica that is sealed for a claimant refuses updates of earlier epochs. The former owner needs
+//! the acknowledgement of every replica before it starts a task, so it can commit nothing more.
 
 use crate::controller::shard::owner::LEASE;
 use crate::controller::shard_state::ShardState;
@@ -13,43 +13,43 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The state of a shard up to a note.
+/// The state of a shard up to a numbered change.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateSnapshot {
-    /// The epoch in which the state was sent; 0: never.
+    /// The epoch in which the owner sent the state; 0 if no owner did.
     pub epoch: u64,
-    /// The number of the last note in it.
+    /// The number of the last change in it.
     pub seq: u64,
-    /// The state.
+    /// The jobs and idempotency keys.
     #[serde(rename = "book")]
     pub contents: ShardState,
 }
 
-/// What an owner sends to a replica.
+/// An update from an owner to a replica.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// The owner's epoch.
     pub epoch: u64,
-    /// The whole state, at first contact in an epoch.
+    /// The full state, in the first update of an epoch.
     pub base: Option<StateSnapshot>,
-    /// The number of the first note.
+    /// The number of the first change in `changes`.
     pub first: u64,
-    /// The notes.
+    /// The changes, in order.
     pub changes: Vec<StateChange>,
 }
 
-/// Why a replica did not take an update.
+/// The reason why a replica refused an update.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum ReplicaError {
-    /// A later epoch has begun.
+    /// The replica is sealed for a later epoch.
     #[error("sealed for epoch {0}")]
     Sealed(u64),
-    /// Notes are missing: the base has to be sent again.
+    /// Changes are missing after this one: the owner has to send the full state again.
     #[error("a gap after note {0}")]
     Gap(u64),
 }
 
-/// A replica.
+/// A replica: its state, and the epoch for which it is sealed.
 #[derive(Debug, Default)]
 pub struct Replica {
     sealed: u64,
@@ -57,10 +57,11 @@
 }
 
 impl Replica {
-    /// Takes an update and returns the number of the last note held.
+    /// Applies an update and returns the number of the last change held.
     ///
     /// # Errors
-    /// [`ReplicaError::Sealed`] from a deposed owner, [`ReplicaError::Gap`] if notes are missing.
+    /// [`ReplicaError::Sealed`] from a replaced owner, [`ReplicaError::Gap`] if changes are
+    /// missing.
     pub fn update(&mut self, update: Update) -> Result<u64, ReplicaError> {
         if update.epoch < self.sealed {
             return Err(ReplicaError::Sealed(self.sealed));
@@ -86,23 +87,23 @@
         Ok(self.state.seq)
     }
 
-    /// Refuses every epoch before `epoch` from now on and returns what is held.
+    /// Refuses updates of epochs before `epoch` from now on and returns the state held here.
     pub fn seal(&mut self, epoch: u64) -> &StateSnapshot {
         self.sealed = self.sealed.max(epoch);
         &self.state
     }
 
-    /// The epoch before which every one is refused.
+    /// The epoch for which the replica is sealed; updates of earlier ones are refused.
     pub fn sealed(&self) -> u64 {
         self.sealed
     }
 
-    /// What is held.
+    /// The state held here.
     pub fn state(&self) -> &StateSnapshot {
         &self.state
     }
 
-    /// The leases that keep the shard's tasks running, by worker.
+    /// Orders that renew the leases of all bound tasks, by worker.
     pub fn renewals(&self) -> BTreeMap<Name, SyncOrder> {
         let mut orders: BTreeMap<Name, SyncOrder> = BTreeMap::new();
         for (task, _, bound) in self.state.contents.all_bound() {
@@ -113,7 +114,8 @@
         orders
     }
 
-    /// Takes over the state of a deposed owner at this entry, so that a claimant can ask for it.
+    /// Keeps the state of an owner at this entry that was replaced, so that a claimant can ask for
+    /// it.
     pub fn restore(&mut self, state: StateSnapshot) {
         if state.epoch >= self.state.epoch {
             self.state = state;
--- a/src/controller/retry.rs
+++ b/src/controller/retry.rs
@@ -1,13 +1,13 @@
-//! A budget for retries, so that a failing upstream is not met by a storm.
+//! A budget for retries, so that a failing upstream is not overloaded by retried requests.
 
-/// What one request adds, in thousandths of a retry.
+/// The amount that each request adds to the budget, in thousandths of a retry.
 const REQUEST_DEPOSIT: u32 = 100;
-/// What one retry costs.
+/// The amount that each retry takes from the budget, in thousandths of a retry.
 const RETRY_COST: u32 = 1_000;
-/// The most that can be saved up.
+/// The largest amount that the budget holds, in thousandths of a retry.
 const MAX_SAVED: u32 = 20_000;
 
-/// A token bucket: one retry for ten requests.
+/// A token bucket that allows one retry for every ten requests.
 #[derive(Debug)]
 pub struct RetryBudget {
     saved: u32,
@@ -20,12 +20,12 @@
 }
 
 impl RetryBudget {
-    /// A request came.
+    /// Adds the deposit of one request.
     pub fn deposit(&mut self) {
         self.saved = (self.saved + REQUEST_DEPOSIT).min(MAX_SAVED);
     }
 
-    /// Takes one retry out; `false` if there is none.
+    /// Takes one retry from the budget; returns `false` if the budget does not cover it.
     pub fn withdraw(&mut self) -> bool {
         let rest = self.saved.checked_sub(RETRY_COST);
         self.saved = rest.unwrap_or(self.saved);
--- a/src/controller/shard/journal.rs
+++ b/src/controller/shard/journal.rs
@@ -57,8 +57,8 @@
         journal
     }
 
-    /// Starts a new epoch of the same owner. Replicas need the full state again; pending effects keep
-    /// waiting.
+    /// Starts a new epoch of the same owner. Replicas need the full state again; pending effects
+    /// keep waiting.
     pub fn start_epoch(&mut self, claim: &Claim) {
         self.epoch = claim.epoch;
         self.replicas = claim.replicas.iter().map(|id| (id.clone(), Progress::default())).collect();
@@ -106,7 +106,8 @@
         later.take(MAX_UPDATE_CHANGES).map(|(_, change)| change.clone()).collect()
     }
 
-    /// The next record to append in an epoch without replicas; `None` if every change was handed out.
+    /// The next record to append in an epoch without replicas; `None` if every change was handed
+    /// out.
     pub fn next_record(&mut self, shard: &Name, state: &ShardState) -> Option<Record> {
         let log = self.log.as_mut()?;
         let (epoch, shard) = (self.epoch, shard.clone());
@@ -125,8 +126,8 @@
         Some(Record::Notes { shard, epoch, first, notes })
     }
 
-    /// Makes the next record of an epoch without replicas hold the full state, which has to be appended
-    /// again before log retention drops it.
+    /// Makes the next record of an epoch without replicas hold the full state, which has to be
+    /// appended again before log retention drops it.
     pub fn reset_log_base(&mut self) {
         if let Some(log) = &mut self.log {
             log.has_base = false;
@@ -159,13 +160,13 @@
         }
     }
 
-    /// Removes a replica whose VM no longer exists, unless it is the last one. Effects no longer wait
-    /// for it.
+    /// Removes a replica whose VM no longer exists, unless it is the last one. Effects no longer
+    /// wait for it.
     ///
     /// A claimant may have sealed that replica before it died and may take the others for gone, so
-    /// their earlier acknowledgements do not prove that this entry still owns the shard. Nothing more
-    /// is committed until every remaining replica has acknowledged a change made after the removal.
-    /// Returns whether there is such a change to send.
+    /// their earlier acknowledgements do not prove that this entry still owns the shard. Nothing
+    /// more is committed until every remaining replica has acknowledged a change made after the
+    /// removal. Returns whether there is such a change to send.
     pub fn remove_replica(&mut self, id: &EntryId) -> bool {
         if self.replicas.len() <= 1 || !self.replicas.contains_key(id) {
             return false;
--- a/src/controller/shard/lifecycle.rs
+++ b/src/controller/shard/lifecycle.rs
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Stops the other tasks of a gang after one of them could not run, so that all start again together.
+    /// Stops the other tasks of a gang after one of them could not run, so that all start again
+    /// together.
     fn restart_gang(&mut self, now: Millis, id: &JobId) {
         if self.restarting_gangs.insert(id.clone()) {
             let job = self.state.jobs.get(id);
@@ -183,8 +184,8 @@
         self.requeue_stopped_gang(now, id);
     }
 
-    /// Once no task of a restarting gang is bound, queues the whole gang again, or ends its remaining
-    /// tasks if some have ended for good.
+    /// Once no task of a restarting gang is bound, queues the whole gang again, or ends its
+    /// remaining tasks if some have ended for good.
     fn requeue_stopped_gang(&mut self, now: Millis, id: &JobId) {
         let job = self.state.jobs.get(id).filter(|job| job.bound.is_empty());
         let Some(job) = job.filter(|_| self.restarting_gangs.contains(id)) else { return };
@@ -284,8 +285,8 @@
         }
     }
 
-    /// Reserves resources for a task that is bound to a worker already, by a former owner or because it
-    /// was found running during a rebuild.
+    /// Reserves resources for a task that is bound to a worker already, by a former owner or
+    /// because it was found running during a rebuild.
     fn restore_binding(&mut self, task: TaskId, name: &Name) {
         let Some(job) = self.state.jobs.get(&task.job) else { return };
         let (kind, team, size) = (job.spec.kind.clone(), job.spec.team.clone(), job.spec.size);
@@ -422,8 +423,8 @@
         }
     }
 
-    /// Whether a worker may forget an ended task. It must remember the task as long as a start may arrive,
-    /// or it would run the task again.
+    /// Whether a worker may forget an ended task. It must remember the task as long as a start may
+    /// arrive, or it would run the task again.
     fn can_forget(&self, now: Millis, task: &TaskId) -> bool {
         let fenced = self.unfenced.is_empty();
         let committed = self.journal.committed();
@@ -453,8 +454,8 @@
     }
 
     /// Ends a rebuild once every worker has reported after the last start of a former owner could
-    /// arrive. Tasks that no worker reported are queued, or end with an unknown outcome if they must
-    /// not be repeated.
+    /// arrive. Tasks that no worker reported are queued, or end with an unknown outcome if they
+    /// must not be repeated.
     fn finish_rebuild(&mut self, now: Millis) {
         let listed = self.unreported.as_ref().is_some_and(BTreeSet::is_empty);
         if !listed || self.workers.is_empty() {
--- a/src/controller/shard/limits.rs
+++ b/src/controller/shard/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of rows and teams at one shard: its shares of the limits that the table sets for the cell.
+//! Limits of rows and teams at one shard: its shares of the limits that the table sets for the
+//! cell.
 
 use crate::controller::queue::Shape;
 use crate::controller::quota::{Limit, LimitShares, Need, ShareRequest};
@@ -53,7 +54,8 @@
         }
     }
 
-    /// The share requests to the home shards of all limits that tasks of this shard use or wait for.
+    /// The share requests to the home shards of all limits that tasks of this shard use or wait
+    /// for.
     pub fn share_requests(&mut self) -> Vec<ShareRequest> {
         let needs = self.limit_needs();
         self.limit_shares.as_mut().map_or_else(Vec::new, |parts| parts.share_requests(&needs))
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,5 +1,5 @@
-//! One shard at one entry, which follows the shard as a replica, recovers its state as the winner of
-//! a claim, or owns it.
+//! One shard at one entry, which follows the shard as a replica, recovers its state as the winner
+//! of a claim, or owns it.
 
 pub mod event;
 pub mod journal;
@@ -83,11 +83,12 @@
         }
     }
 
-    /// Applies an update from the owner to the replica and returns the number of the last change held.
+    /// Applies an update from the owner to the replica and returns the number of the last change
+    /// held.
     ///
     /// # Errors
-    /// As [`Replica::update`]; also [`ReplicaError::Sealed`] if this entry owns or claims the same or a
-    /// later epoch.
+    /// As [`Replica::update`]; also [`ReplicaError::Sealed`] if this entry owns or claims the same
+    /// or a later epoch.
     pub fn update(&mut self, update: Update) -> Result<u64, ReplicaError> {
         let epoch = self.epoch();
         if epoch >= update.epoch {
@@ -108,8 +109,9 @@
         }
     }
 
-    /// Refuses earlier epochs from now on and returns the state held here to the claimant of `epoch`;
-    /// `None` if this entry handed that state over, since its successor may have changed it.
+    /// Refuses earlier epochs from now on and returns the state held here to the claimant of
+    /// `epoch`; `None` if this entry handed that state over, since its successor may have changed
+    /// it.
     pub fn seal(&mut self, epoch: u64) -> Option<StateSnapshot> {
         self.step_down(epoch);
         let state = self.replica.seal(epoch).clone();
@@ -135,8 +137,8 @@
         Some((epoch, state))
     }
 
-    /// Whether this entry can continue from a state that the owner of `claim` handed over: it must be
-    /// a replica of that epoch, know of no later epoch, and not have handed over or received the
+    /// Whether this entry can continue from a state that the owner of `claim` handed over: it must
+    /// be a replica of that epoch, know of no later epoch, and not have handed over or received the
     /// shard in this epoch before.
     pub fn can_accept_handover(&self, claim: &Claim, state: &StateSnapshot) -> bool {
         let follows = matches!(self.phase, Phase::Follower);
@@ -167,8 +169,8 @@
         false
     }
 
-    /// Handles the claim that won an epoch of this shard. Returns whether this entry lost the ownership
-    /// by it.
+    /// Handles the claim that won an epoch of this shard. Returns whether this entry lost the
+    /// ownership by it.
     pub fn on_claim(
         &mut self,
         now: Millis,
@@ -205,9 +207,9 @@
         }
     }
 
-    /// The next step of the recovery: entries to ask, or the source of the state once it is known. If
-    /// every holder of the state is gone, a rebuild waits [`MAX_MESSAGE_DELAY`] from the claim, so that
-    /// the last starts of those holders have arrived.
+    /// The next step of the recovery: entries to ask, or the source of the state once it is known.
+    /// If every holder of the state is gone, a rebuild waits [`MAX_MESSAGE_DELAY`] from the claim,
+    /// so that the last starts of those holders have arrived.
     pub fn next_recovery_step(
         &mut self,
         now: Millis,
--- a/src/controller/shard/owner.rs
+++ b/src/controller/shard/owner.rs
@@ -52,7 +52,8 @@
     pub(super) table: Arc<Table>,
     /// Unreplicated data of bound tasks.
     pub(super) runtimes: HashMap<TaskId, TaskRuntime>,
-    /// Starts that this owner sent and that may still arrive. A task may end before its start is sent.
+    /// Starts that this owner sent and that may still arrive. A task may end before its start is
+    /// sent.
     pub(super) in_flight_starts: InFlightStarts<TaskId>,
     /// Ended tasks that their workers must not forget yet.
     pub(super) ended_tasks: HashMap<TaskId, EndedTask>,
@@ -75,7 +76,8 @@
     /// The workers that may get new tasks.
     pub(super) schedulable: Vec<Name>,
     pub(super) reservation: Option<Reservation>,
-    /// This shard's shares of the limits of the cell; `None` if it is the only shard and has them all.
+    /// This shard's shares of the limits of the cell; `None` if it is the only shard and has them
+    /// all.
     pub(super) limit_shares: Option<LimitShares>,
     /// Finished jobs with the time when they finished.
     closed_jobs: BTreeMap<JobId, Millis>,
@@ -89,8 +91,8 @@
 }
 
 impl ShardOwner {
-    /// Creates the owner for the epoch of `claim`. `former` are earlier owners that may still have a
-    /// start in flight; `jobs` are the jobs in the log, used if no complete state exists.
+    /// Creates the owner for the epoch of `claim`. `former` are earlier owners that may still have
+    /// a start in flight; `jobs` are the jobs in the log, used if no complete state exists.
     pub fn new(
         claim: &Claim,
         source: StateSource,
@@ -152,8 +154,8 @@
 
     /// Creates the owner for the rest of an epoch that another entry handed over.
     ///
-    /// The former owner counts as fenced only once it knows of a later epoch: a message with the epoch
-    /// of `claim` may be one that it sent while it still owned the shard or before it did.
+    /// The former owner counts as fenced only once it knows of a later epoch: a message with the
+    /// epoch of `claim` may be one that it sent while it still owned the shard or before it did.
     pub fn from_hand_over(
         claim: &Claim,
         me: &EntryId,
@@ -177,7 +179,8 @@
         self.fence_epoch
     }
 
-    /// Converts the owner into its replicated state, which an entry keeps when it loses the ownership.
+    /// Converts the owner into its replicated state, which an entry keeps when it loses the
+    /// ownership.
     pub fn into_state(self) -> StateSnapshot {
         StateSnapshot { epoch: self.journal.epoch(), seq: self.journal.seq(), contents: self.state }
     }
@@ -251,8 +254,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Applies a change to the state and queues it for the replicas. `effect` runs once every replica
-    /// holds the change.
+    /// Applies a change to the state and queues it for the replicas. `effect` runs once every
+    /// replica holds the change.
     pub(super) fn record_change(&mut self, change: StateChange, effect: Option<Effect>) -> u64 {
         self.state.apply(&change);
         self.actions.push(Action::Replicate);
@@ -368,8 +371,8 @@
         self.journal.replicas()
     }
 
-    /// The address of a worker and the next sync order for it: leases to renew and ended tasks that it
-    /// may forget.
+    /// The address of a worker and the next sync order for it: leases to renew and ended tasks that
+    /// it may forget.
     pub fn sync_order(&mut self, worker: &str) -> Option<(Name, SyncOrder)> {
         let worker = self.workers.get_mut(worker)?;
         let renew = worker.tasks.iter().cloned().collect();
--- a/src/controller/shard/reservation.rs
+++ b/src/controller/shard/reservation.rs
@@ -2,8 +2,8 @@
 //!
 //! The most urgent shape that does not fit anywhere first reserves all workers against less urgent
 //! work, so that freed resources add up for it as soon as possible. If it still does not fit after
-//! [`FULL_RESERVATION_TIME`], it keeps only as many workers as it would need if they were empty: a shape
-//! that waits for long-lived services to end must not block a whole shard.
+//! [`FULL_RESERVATION_TIME`], it keeps only as many workers as it would need if they were empty: a
+//! shape that waits for long-lived services to end must not block a whole shard.
 
 use crate::clock::Millis;
 use crate::controller::place::Ledger;
@@ -32,8 +32,8 @@
         self.reservation.as_ref().is_some_and(|reservation| reservation.shape == *shape)
     }
 
-    /// Handles a shape that cannot be placed: reserves workers for it if it is the most urgent one that
-    /// fits nowhere.
+    /// Handles a shape that cannot be placed: reserves workers for it if it is the most urgent one
+    /// that fits nowhere.
     pub(super) fn reserve(&mut self, now: Millis, shape: &Shape, priority: u64, why: BlockReason) {
         let less = self.reservation.as_ref().is_none_or(|held| held.priority < priority);
         match why {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// The workers with the most free resources for a shape, as many as it would need if they were empty.
+    /// The workers with the most free resources for a shape, as many as it would need if they were
+    /// empty.
     fn fewest_workers(&self, shape: &Shape) -> BTreeSet<Name> {
         let able =
             self.schedulable_ledgers().filter(|(_, ledger)| ledger.total().can_fit(&shape.size));
@@ -96,8 +97,8 @@
     }
 
     /// The workers that a shape may use: all schedulable ones except those reserved for more urgent
-    /// work. A shape of a higher weight ignores the reservation, since it gets freed resources first
-    /// anyway.
+    /// work. A shape of a higher weight ignores the reservation, since it gets freed resources
+    /// first anyway.
     pub(super) fn ledgers_for(
         &self,
         shape: &Shape,
--- a/src/controller/shard/runtime.rs
+++ b/src/controller/shard/runtime.rs
@@ -28,7 +28,8 @@
 pub(super) enum StopReason {
     /// A caller cancelled its job.
     Cancel,
-    /// The task should go back to the queue, because its worker refused it or its gang starts again.
+    /// The task should go back to the queue, because its worker refused it or its gang starts
+    /// again.
     Restart,
 }
 
--- a/src/controller/shard_ranking.rs
+++ b/src/controller/shard_ranking.rs
@@ -1,50 +1,52 @@
-//! Which shard a job is offered to first.
+//! The order in which the shards of the cell are tried for a new job.
 
 use crate::id::{Name, hash};
 use crate::size::Size;
 use serde::{Deserialize, Serialize};
 
-/// What a shard could take, as its owner said last.
+/// The free resources and the waiting work of a shard, as its owner last reported them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardCapacity {
-    /// The largest worker.
+    /// The largest total of each resource on any worker.
     pub largest: Size,
-    /// The most that is free on one worker.
+    /// The largest free amount of each resource on any worker.
     pub max_free: Size,
-    /// All that is free.
+    /// The free resources of all workers together.
     pub total_free: Size,
-    /// Processors that waiting tasks need, in thousandths of a core.
+    /// Processors that the waiting tasks need together, in thousandths of a core.
     pub backlog: u64,
-    /// The highest weight of what waits.
+    /// The highest row weight of the kinds that have waiting tasks.
     pub max_weight: u32,
 }
 
-/// A shard that a job may be offered to.
+/// A shard that may take a job.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// The shard.
+    /// The name of the shard.
     pub shard: Name,
     /// Whether it lies in another failure domain than the caller's entry.
     pub is_remote: bool,
-    /// The weight of its failure domain.
+    /// The weight that the job's row gives to the shard's failure domain.
     pub weight: u32,
-    /// What it could take.
+    /// The capacity that its owner last reported.
     pub capacity: ShardCapacity,
 }
 
-/// What is offered.
+/// The resources that a job asks for.
 #[derive(Debug, Clone, Copy)]
 pub struct JobDemand {
-    /// What a task needs.
+    /// The resources that each task needs.
     pub size: Size,
-    /// How many tasks have to start at once.
+    /// How many tasks must start at the same time.
     pub count: u32,
-    /// The weight of the row.
+    /// The weight of the job's row.
     pub weight: u32,
 }
 
-/// The shards that may take an offer, best first: near ones, then those with capacity now where
-/// nothing as urgent waits, then those with the least to do. `seed` spreads jobs over equals.
+/// Returns the shards whose workers are large enough for the job, best first. Shards in the
+/// caller's failure domain come first, then those that can start it now because no work of the same
+/// or a higher weight waits there, then those of failure domains with a higher weight, then those
+/// with the least load. `seed` spreads jobs over shards that are equal otherwise.
 pub fn rank_shards(candidates: &[Candidate], demand: &JobDemand, seed: u64) -> Vec<Name> {
     let fitting =
         candidates.iter().filter(|candidate| candidate.capacity.largest.can_fit(&demand.size));
--- a/src/controller/shard_state.rs
+++ b/src/controller/shard_state.rs
@@ -1,7 +1,8 @@
-//! A shard's replicated state: jobs, their tasks, and idempotency keys, folded from notes.
+//! The replicated state of a shard: jobs, their tasks, and idempotency keys. It is built by
+//! applying state changes.
 //!
-//! The life of a task is a typestate: [`Queued`], [`Bound`] and [`Ended`] each offer only the
-//! steps that may follow.
+//! The states of a task are separate types: [`Queued`], [`Bound`] and [`Ended`] each offer only the
+//! transitions that may follow.
 
 use crate::clock::Millis;
 use crate::controller::log_state::LogJob;
@@ -10,30 +11,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A task that waits: nobody has sent a start for this attempt.
+/// A waiting task. No start was sent for this attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queued {
-    /// The attempt that it waits for.
+    /// The attempt that will be started next.
     pub attempt: u32,
 }
 
-/// A task tied to one worker: a start may have been sent there, and nowhere else.
+/// A task bound to one worker. A start may have been sent to that worker and to no other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Bound {
     /// The present attempt.
     pub attempt: u32,
     /// The only worker that may run it.
     pub worker: Name,
-    /// The worker's incarnation when the task was bound.
+    /// The incarnation of the worker when the task was bound.
     pub inc: u64,
     /// The entry that bound it.
     pub owner: EntryId,
 }
 
-/// A task that is over.
+/// A task that has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ended {
-    /// How it ended.
+    /// Its outcome.
     pub outcome: TaskOutcome,
 }
 
@@ -57,59 +58,59 @@
     }
 }
 
-/// A task in any state of its life.
+/// A task in any of its states.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Task {
     /// Waiting.
     Queued(Queued),
-    /// Tied to a worker.
+    /// Bound to a worker.
     Bound(Bound),
-    /// Over.
+    /// Ended for good.
     Ended(Ended),
 }
 
 /// A job and its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was asked for.
+    /// The submitted job.
     pub spec: JobSpec,
     /// When it was accepted.
     pub at: Millis,
-    /// Whether the caller withdrew it: its queued tasks will not be started.
+    /// Whether a caller cancelled it. Its queued tasks will not be started.
     pub cancelled: bool,
     /// The tasks by index.
     pub tasks: Vec<Task>,
-    /// How many tasks are queued.
+    /// The number of queued tasks.
     pub queued: u32,
     /// The indices of bound tasks.
     pub bound: BTreeSet<u32>,
 }
 
-/// An idempotency key that was taken.
+/// An idempotency key that is in use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Key {
-    /// Who took it: an entry for a request, a job's id for a job.
+    /// Its holder: an entry for a request, or the id of a job.
     pub holder: Name,
-    /// When.
+    /// When it was taken.
     pub at: Millis,
 }
 
-/// A shard's replicated state.
+/// The replicated state of a shard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardState {
     /// The jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// The keys.
+    /// The idempotency keys.
     pub keys: BTreeMap<Name, Key>,
-    /// The version of the VM list that owners have gone by.
+    /// The newest version of the VM list that an owner has applied.
     pub list: u64,
-    /// The state was lost and comes from the log: queued tasks may run on a worker that has not
-    /// been asked yet.
+    /// Whether the state was lost and is being rebuilt from the log. Queued tasks may be running on
+    /// workers that have not reported yet.
     pub rebuilding: bool,
 }
 
 impl Job {
-    /// A job whose tasks all wait.
+    /// Creates a job with all tasks queued.
     pub fn new(spec: JobSpec, at: Millis) -> Self {
         let queued = spec.tasks;
         let tasks = vec![Task::Queued(Queued { attempt: 0 }); queued as usize];
@@ -121,7 +122,7 @@
         self.bound.is_empty() && (self.cancelled || self.queued == 0)
     }
 
-    /// The bound task at `index`, if it is one.
+    /// The task at `index` if it is bound.
     pub fn bound_at(&self, index: u32) -> Option<&Bound> {
         match self.tasks.get(index as usize) {
             Some(Task::Bound(bound)) => Some(bound),
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The attempt of the queued task at `index`, if it is one.
+    /// The attempt of the task at `index` if it is queued.
     pub fn queued_at(&self, index: u32) -> Option<u32> {
         match self.tasks.get(index as usize) {
             Some(Task::Queued(queued)) => Some(queued.attempt),
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Counts for callers; `why` is left empty.
+    /// The status of the job for callers, without the reason why it waits.
     pub fn status(&self, job: &JobId) -> JobStatus {
         let mut ended = BTreeMap::new();
         let mut add = |outcome| *ended.entry(outcome).or_insert(0) += 1;
@@ -177,7 +178,7 @@
 }
 
 impl ShardState {
-    /// Applies one note. A note that does not follow from the present state changes nothing.
+    /// Applies one change. A change that is not valid in the present state has no effect.
     pub fn apply(&mut self, change: &StateChange) {
         match change {
             StateChange::Barrier => {}
@@ -235,7 +236,7 @@
         }
     }
 
-    /// The open jobs of a shard whose state nobody holds, from the log's records.
+    /// Rebuilds the state of a shard from its open jobs in the log, when no complete state exists.
     pub fn from_log(jobs: Vec<(JobId, LogJob)>) -> Self {
         let mut book = Self { rebuilding: true, ..Self::default() };
         for (id, known) in jobs {
@@ -248,12 +249,12 @@
         book
     }
 
-    /// The attempt of a queued task that may still be started.
+    /// The attempt of a task if it is queued and its job is not cancelled.
     pub fn queued(&self, job: &JobId, index: u32) -> Option<u32> {
         self.jobs.get(job).filter(|job| !job.cancelled)?.queued_at(index)
     }
 
-    /// The bound task with this id, if its attempt is the present one.
+    /// The binding of a task if this attempt of it is bound.
     pub fn bound(&self, id: &TaskId) -> Option<&Bound> {
         let bound = self.jobs.get(&id.job)?.bound_at(id.index)?;
         (bound.attempt == id.attempt).then_some(bound)
--- a/src/controller/slots.rs
+++ b/src/controller/slots.rs
@@ -1,30 +1,32 @@
-//! Slots of runners: the owner of a shard lends them to the entries of its failure domain, and
-//! each entry gives them to its waiting requests.
+//! Slots of runners. The owner of a shard lends them to the entries of its failure domain, and each
+//! entry assigns them to its waiting requests.
 //!
-//! A lease counts from when the entry asked, at the owner from when it answered, so it ends at the
-//! entry first. The owner counts it for [`OWNERSHIP_PROOF_TTL`] longer: it may not know yet that the entry
-//! has renewed it with a new owner. An entry whose lease ran out keeps [`GUARANTEED_SLOTS`] slots of each runner, which the owner
-//! never lends to others while the entry may exist.
+//! At the entry a lease counts from its request, at the owner from the answer, so it expires at the
+//! entry first. The owner counts a lease for [`OWNERSHIP_PROOF_TTL`] longer, since the entry may
+//! have renewed it with a new owner of which this one does not know yet. An entry whose lease
+//! expired keeps [`GUARANTEED_SLOTS`] slots of each runner, which the owner lends to no other entry
+//! as long as this one may exist.
 
 use crate::clock::Millis;
 use crate::id::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long lent slots may be used without renewal.
+/// How long an entry may use lent slots without renewing their lease.
 pub const SLOT_LEASE: Millis = Millis(10_000);
-/// How lately an owner must have known that it still owns the shard, to lend slots.
+/// How recent the proof must be that an owner still owns its shard, for it to lend slots.
 pub const OWNERSHIP_PROOF_TTL: Millis = Millis(3_000);
-/// Slots of each runner that an entry may use after its lease ran out.
+/// The number of slots of each runner that an entry may use after its lease expired.
 const GUARANTEED_SLOTS: u32 = 1;
-/// A runner that could not be reached is left alone for this long.
+/// A runner that could not be reached gets no requests for this long.
 const UNREACHABLE_BACKOFF: Millis = Millis(1_000);
-/// A request of weight 0 ranks as if it had come this much later, in milliseconds.
+/// A request of weight 0 ranks as if it had arrived this much later, in milliseconds; others are
+/// delayed less.
 const LOW_WEIGHT_DELAY_MS: u64 = 5_000;
-/// The weight of the past in the mean service time, in parts of 8.
+/// The weight of earlier requests in the mean service time, in eighths.
 const MEAN_PAST_WEIGHT: u64 = 7;
 
-/// What an entry says of one runner when it asks for slots.
+/// The slots of one runner that an entry holds, as reported in its request for slots.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUsage {
     /// The runner.
@@ -42,7 +44,7 @@
     until: Millis,
 }
 
-/// The owner's side: who holds which slots of a shard's runners.
+/// The owner's side: which entry holds how many slots of each runner of the shard.
 #[derive(Debug)]
 pub struct SlotLender {
     since: Millis,
@@ -53,8 +55,8 @@
 }
 
 impl SlotLender {
-    /// A lender that begins at `now`. Until all that its predecessor lent has run out, it renews
-    /// what entries hold and lends no more.
+    /// Creates a lender that starts at `now`. Until every lease of its predecessor has expired, it
+    /// only renews the slots that entries hold already.
     pub fn new(now: Millis) -> Self {
         Self {
             since: now,
@@ -65,32 +67,33 @@
         }
     }
 
-    /// A lender of a shard that never had an owner: nothing can be held.
+    /// Creates a lender for a shard that never had an owner, so that no entry can hold slots.
     pub fn first() -> Self {
         Self::new(Millis(0))
     }
 
-    /// The runners of the shard and their slots.
+    /// Sets the runners of the shard with their numbers of slots.
     pub fn set_runners(&mut self, runners: BTreeMap<Name, u32>) {
         self.loans.retain(|(runner, _), _| runners.contains_key(runner));
         self.runners = runners;
     }
 
-    /// The entries of the failure domain: each may use [`GUARANTEED_SLOTS`] slots, heard or not.
+    /// Sets the entries of the failure domain. Each may use [`GUARANTEED_SLOTS`] slots of each
+    /// runner, even if it never asked for slots.
     pub fn set_entries(&mut self, entries: BTreeSet<Name>) {
         self.entries = entries;
     }
 
-    /// An entry is gone for good: what it held is free.
+    /// Frees the slots of an entry whose VM no longer exists.
     pub fn gone(&mut self, entry: &Name) {
         self.entries.remove(entry);
         self.waiting_entries.remove(entry);
         self.loans.retain(|(_, holder), _| holder != entry);
     }
 
-    /// Lends slots to `entry` and returns the count for each runner. `waiting` requests have no
-    /// slot there. What the entry says that it holds stays counted until it says that it holds
-    /// less: the answer may be lost.
+    /// Lends slots to `entry`, at which `waiting` requests have no slot, and returns the number for
+    /// each runner. The slots that the entry reports as held stay counted until it reports fewer,
+    /// because the answer may be lost.
     pub fn lend(
         &mut self,
         now: Millis,
@@ -149,7 +152,7 @@
         want.min(free).max(used.min(free))
     }
 
-    /// Slots of a runner that an entry may be using.
+    /// The number of slots of a runner that an entry may be using.
     fn held(&self, now: Millis, runner: &Name, entry: &Name) -> u32 {
         match self.loans.get(&(runner.clone(), entry.clone())) {
             Some(loan) if loan.until > now => loan.count.max(GUARANTEED_SLOTS),
@@ -158,7 +161,7 @@
     }
 }
 
-/// One runner as an entry sees it.
+/// A runner with the slots that this entry holds and uses there.
 #[derive(Debug, Clone)]
 struct Runner {
     shard: Name,
@@ -172,34 +175,34 @@
 /// A request that asks for a slot.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
-    /// Names the request within the entry.
+    /// Identifies the request within the entry.
     pub id: u64,
     /// The kind of work.
     pub kind: Name,
     /// The row's weight.
     pub weight: u32,
-    /// The most requests of the kind that may be at runners at once.
+    /// The largest number of requests of the kind that may be at runners at the same time.
     pub limit: u32,
-    /// The most requests of the kind that may wait here.
+    /// The largest number of requests of the kind that may wait at this entry.
     pub queue: u32,
-    /// When it came.
+    /// When it arrived.
     pub came: Millis,
     /// When its answer is due.
     pub due: Millis,
 }
 
-/// What became of a request that asked for a slot.
+/// The decision on a request that asked for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// It may go to this runner.
+    /// It has a slot and is sent to this runner.
     Go { id: u64, runner: Name },
-    /// It waits.
+    /// It waits for a slot.
     Wait,
-    /// It is given up now; its like should come again after this long.
+    /// It is rejected; the caller should retry after `after`. `full` means that the queue is full.
     GiveUp { id: u64, after: Millis, full: bool },
 }
 
-/// The entry's side: the slots that it holds, and the requests that wait for one.
+/// The entry's side: the slots that it holds and the requests that wait for one.
 #[derive(Debug, Default)]
 pub struct Slots {
     runners: BTreeMap<Name, Runner>,
@@ -209,7 +212,7 @@
 }
 
 impl Slots {
-    /// The runners that may be used: name, shard, and whether they are leaving.
+    /// Sets the runners: name, shard, and whether they are leaving.
     pub fn set_runners(&mut self, runners: Vec<(Name, Name, bool)>) {
         let names: BTreeSet<Name> = runners.iter().map(|(name, _, _)| name.clone()).collect();
         self.runners.retain(|name, runner| runner.used > 0 || names.contains(name));
@@ -229,14 +232,14 @@
         }
     }
 
-    /// A runner said that it is leaving.
+    /// Marks a runner as leaving.
     pub fn leave(&mut self, runner: &str) {
         if let Some(runner) = self.runners.get_mut(runner) {
             runner.leaving = true;
         }
     }
 
-    /// Takes slots that were asked for at `asked`.
+    /// Records the slots lent in answer to the request sent at `asked`.
     pub fn lent(&mut self, asked: Millis, loans: &[(Name, u32)]) {
         for (name, count) in loans {
             if let Some(runner) = self.runners.get_mut(name) {
@@ -246,7 +249,8 @@
         }
     }
 
-    /// What to tell the owner of a shard: the use of each runner, and how many wait.
+    /// The report to the owner of a shard: the slots held and used at each runner, and the number
+    /// of waiting requests.
     pub fn uses(&self, now: Millis, shard: &str) -> (Vec<SlotUsage>, u32) {
         let here = self.runners.iter().filter(|(_, runner)| *runner.shard == *shard);
         let uses = here.map(|(name, runner)| {
@@ -256,7 +260,7 @@
         (uses.collect(), self.waiting.len() as u32)
     }
 
-    /// A request wants a slot.
+    /// Assigns a slot to a request, queues it, or rejects it.
     pub fn ask(&mut self, now: Millis, request: SlotRequest) -> SlotDecision {
         let id = request.id;
         let alike = self.waiting.values().filter(|other| other.kind == request.kind).count();
@@ -291,7 +295,7 @@
         SlotDecision::Go { id, runner: name }
     }
 
-    /// The runner with most free slots.
+    /// The runner with the most free slots.
     fn free(&self, now: Millis) -> Option<Name> {
         let open = self
             .runners
@@ -303,7 +307,8 @@
         best.map(|(_, name)| name.clone())
     }
 
-    /// How long a request would wait behind those that go before it, from mean service times.
+    /// The estimated time until a request is served, from the mean service times of the requests
+    /// before it and of its own kind.
     fn wait_ahead(&self, now: Millis, request: &SlotRequest) -> Millis {
         let slots: u32 = self.runners.values().map(|runner| runner.allowed(now)).sum();
         let before = self.waiting.range(..(rank(request), request.id));
@@ -311,12 +316,12 @@
         Millis(work / slots.max(1) as u64) + self.mean(&request.kind)
     }
 
-    /// How long a runner takes for a request of this kind, as far as is known.
+    /// The mean service time of a kind of request; 0 if none was served yet.
     fn mean(&self, kind: &Name) -> Millis {
         Millis(self.means.get(kind).map_or(0, |micros| micros / 1000))
     }
 
-    /// A request is done with its slot: it took `took`; `reached` is whether the runner answered.
+    /// Frees the slot of a request that took `took`. `reached` tells whether the runner answered.
     pub fn release(&mut self, now: Millis, name: &str, kind: &Name, took: Millis, reached: bool) {
         if let Some(runner) = self.runners.get_mut(name) {
             runner.used = runner.used.saturating_sub(1);
@@ -332,7 +337,7 @@
         }
     }
 
-    /// Requests that may go now, and requests whose time is over.
+    /// The waiting requests that get a slot now, and those that can no longer meet their deadline.
     pub fn turns(&mut self, now: Millis) -> Vec<SlotDecision> {
         let late = self
             .waiting
@@ -358,28 +363,28 @@
         turns
     }
 
-    /// The caller went away.
+    /// Drops a waiting request whose caller disconnected.
     pub fn forget(&mut self, id: u64) {
         self.waiting.retain(|key, _| key.1 != id);
     }
 
-    /// Slots of a runner that may be in use here now.
+    /// The number of slots of a runner that this entry may use now.
     pub fn allowed(&self, now: Millis, runner: &str) -> u32 {
         self.runners.get(runner).map_or(0, |runner| runner.allowed(now))
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Each runner with the slots in use here, those that may be, and whether it is leaving.
+    /// Each runner with the slots that this entry uses and may use, and whether it is leaving.
     pub fn runners(&self, now: Millis) -> Vec<(Name, u32, u32, bool)> {
         let all = self.runners.iter();
         all.map(|(name, at)| (name.clone(), at.used, at.allowed(now), at.leaving)).collect()
     }
 
-    /// Requests that are at a runner.
+    /// The number of requests that are at a runner.
     pub fn used(&self) -> u32 {
         self.runners.values().map(|runner| runner.used).sum()
     }
@@ -391,7 +396,8 @@
     }
 }
 
-/// Lower goes first: the arrival, later by a handicap for low weights. Everyone's turn comes.
+/// The rank of a request, lower first: its arrival time plus a delay that shrinks with its weight.
+/// The delay is bounded, so no request waits forever behind later ones of a higher weight.
 fn rank(request: &SlotRequest) -> u64 {
     request.came.0 + LOW_WEIGHT_DELAY_MS / (request.weight as u64 + 1)
 }
--- a/src/controller/table.rs
+++ b/src/controller/table.rs
@@ -1,4 +1,4 @@
-//! The table in force: the fold of publishes in the order of the log.
+//! The current table, which results from applying the published tables in the order of the log.
 
 use crate::id::Name;
 use crate::record::TablePublish;
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// How many verdicts are kept for operators who ask.
+/// The number of results of publishes that are kept for operators to query.
 const VERDICTS: usize = 1024;
 
 /// A table with its revision.
@@ -19,25 +19,25 @@
     pub publish: TablePublish,
 }
 
-/// What became of a publish.
+/// The result of a publish.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// It is in force as this revision.
+    /// It took effect as this revision.
     Accepted(u64),
-    /// Another one was first: its revision and operator.
+    /// Another publish came first.
     Lost {
-        /// The revision that it would have had to be edited from.
+        /// The current revision, on which the publish should have been based.
         rev: u64,
-        /// Who published that.
+        /// The operator who published that revision.
         by: Name,
     },
-    /// It cannot be read.
+    /// The table could not be parsed.
     Faulty,
 }
 
-/// The tables of the cell: what the log says, and what is in force here, which may be ahead of it
-/// when a peer passed it on.
+/// The newest table in the log and the current table at this entry, which may be newer if a peer
+/// sent it.
 #[derive(Debug, Default)]
 pub struct Tables {
     folded: Option<Revision>,
@@ -47,9 +47,9 @@
 }
 
 impl Tables {
-    /// Folds one publish from the log; `true` if a new revision came into force here.
+    /// Applies a publish from the log; returns whether a new revision took effect here.
     ///
-    /// A publish whose id has a verdict already keeps it, so a repeated append has one effect.
+    /// A publish whose id has a result already is ignored, so a repeated append has one effect.
     pub fn publish(&mut self, publish: &TablePublish) -> bool {
         if self.verdict(&publish.id).is_some() {
             return false;
@@ -70,7 +70,7 @@
         self.adopt(new)
     }
 
-    /// Takes the log's revision from a snapshot of the log.
+    /// Takes the log's newest revision from a snapshot; returns whether it took effect here.
     pub fn restore(&mut self, new: Option<Revision>) -> bool {
         let Some(new) = new else { return false };
         if new.rev <= self.folded.as_ref().map_or(0, |folded| folded.rev) {
@@ -81,7 +81,7 @@
         self.adopt(new)
     }
 
-    /// Takes a revision from a peer; `true` if it is higher and now in force here.
+    /// Takes a revision from a peer; returns whether it is newer and took effect here.
     pub fn adopt(&mut self, new: Revision) -> bool {
         if new.rev <= self.rev() {
             return false;
@@ -92,7 +92,7 @@
         true
     }
 
-    /// The revision that the log has, for a snapshot.
+    /// The newest revision in the log, for a snapshot.
     pub fn folded(&self) -> Option<&Revision> {
         self.folded.as_ref()
     }
@@ -111,22 +111,22 @@
         }
     }
 
-    /// What became of a publish, if it was seen.
+    /// The result of a publish, if it is known.
     pub fn verdict(&self, id: &str) -> Option<&Verdict> {
         self.verdicts.iter().rev().find(|(seen, _)| **seen == *id).map(|(_, verdict)| verdict)
     }
 
-    /// The revision in force, 0 before the first.
+    /// The number of the current revision; 0 before the first.
     pub fn rev(&self) -> u64 {
         self.current.as_ref().map_or(0, |current| current.rev)
     }
 
-    /// The revision in force with its text.
+    /// The current revision with the text of its table.
     pub fn current(&self) -> Option<&Revision> {
         self.current.as_ref()
     }
 
-    /// The table in force.
+    /// The current table.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
