--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -255,7 +255,7 @@
     ) -> Result<Json<Published>> {
         let caller = self.operator(request)?;
         if let Err(faults) = Table::parse(&csv) {
-            return Err(invalid_table(&faults));
+            return Err(faulty(&faults));
         }
         let entry = &self.entry;
         let number = entry.next_number();
@@ -333,7 +333,7 @@
 }
 
 /// The error response for an invalid table, with all of its faults.
-fn invalid_table(faults: &[Fault]) -> poem::Error {
+fn faulty(faults: &[Fault]) -> poem::Error {
     let body = serde_json::json!({
         "type": "about:blank",
         "title": "Faulty table",
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -38,13 +38,13 @@
     pub(crate) async fn ask_owner(
         self: &Arc<Self>,
         shard: &Name,
-        ask: OwnerRequest,
+        request: OwnerRequest,
         limit: Millis,
     ) -> Result<PeerResponse, RequestError> {
         let until = self.now() + limit;
         let mut run = Executed::No;
         loop {
-            match self.try_owner(shard, ask.clone()).await {
+            match self.try_owner(shard, request.clone()).await {
                 Ok(PeerResponse::NotOwner) => {}
                 Ok(PeerResponse::Pending) => run = Executed::Unknown,
                 Ok(response) => return Ok(response),
@@ -62,17 +62,17 @@
     async fn try_owner(
         self: &Arc<Self>,
         shard: &Name,
-        ask: OwnerRequest,
+        request: OwnerRequest,
     ) -> Result<PeerResponse, bool> {
         if let Some(handle) = self.handle(shard)
             && handle.shard().office().is_some()
         {
-            return Ok(self.answer_owner(&handle, ask).await);
+            return Ok(self.answer_owner(&handle, request).await);
         }
         let name = self.owner_of(shard).filter(|name| *name != self.me.name).ok_or(true)?;
         let addr = lock(&self.peers).addr(&name).ok_or(true)?;
-        let ask = PeerRequest::Owner { shard: shard.clone(), request: ask };
-        let answer = self.quic.request(&name, addr, ask, OWNER_TIMEOUT).await;
+        let request = PeerRequest::Owner { shard: shard.clone(), request };
+        let answer = self.quic.request(&name, addr, request, OWNER_TIMEOUT).await;
         answer.map_err(|err| err.is_unsent())
     }
 
@@ -80,10 +80,10 @@
     pub(super) async fn answer_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
-        ask: OwnerRequest,
+        request: OwnerRequest,
     ) -> PeerResponse {
         let now = self.now();
-        match ask {
+        match request {
             OwnerRequest::Submit { job, spec } => {
                 self.ask_local_owner(handle, |token| Event::Submit { token, job, spec }).await
             }
