--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -46,12 +46,12 @@
     pub restarted: u64,
 }
 
-/// What was found out about an incarnation of a worker that may have crashed.
+/// The resolution of an unconfirmed crash of a worker's incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::cell) enum CrashResolution {
-    /// It ended: another incarnation is at its address.
+    /// The incarnation ended: another incarnation is at its address.
     Ended,
-    /// It did not crash: it answers again.
+    /// The incarnation did not crash: it answers again.
     Alive,
     /// No report confirmed the crash or ruled it out within [`CONFIRM_TIMEOUT`].
     Unknown,
@@ -62,7 +62,7 @@
 struct PossibleCrash {
     /// The address of the worker.
     addr: Name,
-    /// When it was first considered crashed.
+    /// When the incarnation was first considered crashed.
     since: Millis,
     /// The tasks that ran there.
     tasks: BTreeSet<TaskKey>,
@@ -114,7 +114,7 @@
             let (worker, addr) = (incarnation.clone(), addr.clone());
             let evidence = match has_started || !self.has_crashed_at(task, &addr) {
                 true => evidence,
-                // Its start may not have reached the worker, which may keep crashing by itself.
+                // The start may not have reached the worker, which may keep crashing by itself.
                 false => Evidence::Doubtful,
             };
             let crash = Crash { worker, addr, evidence, is_confirmed };
--- a/src/cell/jobs/job.rs
+++ b/src/cell/jobs/job.rs
@@ -18,37 +18,37 @@
 /// The status of a task.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum TaskStatus {
-    /// It needs a worker, now or once its step is ready.
+    /// The task needs a worker, now or once its step is ready.
     #[default]
     Waiting,
-    /// It was assigned to a worker.
+    /// The task was assigned to a worker.
     Placed {
         /// The worker.
         worker: Name,
         /// The run number of the assignment.
         run: u64,
     },
-    /// It has succeeded.
+    /// The task has succeeded.
     Done,
 }
 
 /// The state of one task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Task {
-    /// Its status.
+    /// The status of the task.
     pub status: TaskStatus,
-    /// The runs of it that failed. After a takeover a worker may report the same failure again,
-    /// which must not count twice.
+    /// The runs of the task that failed. After a takeover a worker may report the same failure
+    /// again, which must not count twice.
     pub failed_runs: Vec<u64>,
     /// The number of its last run that was started in this epoch.
     pub last_run: u64,
-    /// Its last checkpoint; empty if there is none.
+    /// The name of the task's last checkpoint; empty if there is none.
     pub checkpoint: Name,
-    /// Workers on which it failed; placement avoids them.
+    /// Workers on which the task failed; placement avoids them.
     pub failed_workers: Vec<Name>,
-    /// Crashes of workers while it ran on them.
+    /// Crashes of workers while the task ran on them.
     pub crashes: Vec<Crash>,
-    /// Since when it has waited for a worker. Only set for tasks that run until their job is
+    /// When the task began to wait for a worker. Only set for tasks that run until their job is
     /// cancelled.
     pub idle_since: Option<Millis>,
 }
@@ -87,11 +87,11 @@
 pub struct Ticket {
     /// The text that an order to start a task must carry.
     pub text: Name,
-    /// When it expires.
+    /// When the ticket expires.
     pub expires_at: Millis,
 }
 
-/// What the advice service answered about the workers for a step.
+/// The answers of the advice service about the workers for a step.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Clearances {
     /// A request for the step is queued or was sent, and has not been answered yet.
@@ -133,49 +133,49 @@
 /// The state of one step of one repetition.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StepState {
-    /// Its tasks.
+    /// The tasks of the step.
     pub tasks: Vec<Task>,
     /// Number of tasks that have not succeeded yet.
     pub unfinished: u32,
     /// Indices of the tasks that need a worker.
     pub waiting: BTreeSet<u32>,
-    /// What the advice service answered about workers for the step.
+    /// The answers of the advice service about workers for the step.
     pub clearances: Clearances,
-    /// Since when it is ready: its dependencies are done and its scheduled time has come.
+    /// When the step became ready: its dependencies are done and its scheduled time has come.
     pub ready_since: Option<Millis>,
-    /// Why it waits, and for how long it has.
+    /// The reason and the length of the step's current wait.
     pub wait: Option<Wait>,
-    /// Since when tasks of it wait and none has been assigned to a worker.
+    /// Since when tasks of the step wait and none has been assigned to a worker.
     pub idle_since: Option<Millis>,
 }
 
 /// The state of one job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Its queue.
+    /// The queue of the job.
     pub queue: Arc<Queue>,
-    /// What the caller submitted.
+    /// The definition that the caller submitted.
     pub work: Arc<JobDefinition>,
     /// The workspace of its caller; `None` if any caller may ask for it.
     pub workspace: Option<Name>,
-    /// Its workspace had used up its share of submissions when the job was submitted.
+    /// The job's workspace had used up its share of submissions when the job was submitted.
     pub is_over_share: bool,
     /// When this owner first learned of the job.
     pub known_since: Millis,
     /// The batch with the record of the job.
     pub batch: u64,
-    /// It was accepted by an earlier owner, so its tasks may run on workers that have not reported
-    /// to this owner yet.
+    /// The job was accepted by an earlier owner, so its tasks may run on workers that have not
+    /// reported to this owner yet.
     pub is_inherited: bool,
-    /// One of its tasks has been assigned to a worker.
+    /// A task of the job has been assigned to a worker.
     pub was_placed: bool,
-    /// A worker has confirmed that it started one of its tasks.
+    /// A worker has confirmed that it started a task of the job.
     pub has_run: bool,
-    /// The failure domain in which its tasks are placed as far as there are free resources.
+    /// The failure domain in which the job's tasks are placed as far as there are free resources.
     pub home_domain: Option<Name>,
-    /// How it ended, the batch with the record of that, and when.
+    /// The outcome of the job, the batch that records it, and the time at which the job ended.
     pub closed: Option<(JobOutcome, u64, Millis)>,
-    /// The store has a record of its progress.
+    /// The store has a record of the job's progress.
     pub has_progress: bool,
     /// The store has a record of crashes of workers that ran its tasks.
     pub has_crashes: bool,
--- a/src/cell/jobs/restart_policy.rs
+++ b/src/cell/jobs/restart_policy.rs
@@ -46,7 +46,7 @@
 pub struct Crash {
     /// The incarnation that ended. It counts once for a task, however often its end is noticed.
     pub worker: Incarnation,
-    /// The address at which it was reached.
+    /// The address at which the worker was reached.
     pub addr: Name,
     /// How strongly the crash implicates the task.
     pub evidence: Evidence,
@@ -58,15 +58,16 @@
 /// How a task may be started again, depending on the crashes of workers that ran it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::cell) enum RestartPolicy {
-    /// It runs on any worker with enough free resources.
+    /// The task runs on any worker with enough free resources.
     Normal,
-    /// It runs only on workers that have been up for long enough, and alone there where that is
-    /// possible.
+    /// The task runs only on workers that have been up for long enough, and alone there where that
+    /// is possible.
     Quarantined,
-    /// It waits until an unconfirmed crash is confirmed or ruled out. If all crashes are doubtful
-    /// it waits until its job is cancelled, because no job is given up on doubtful evidence alone.
+    /// The task waits until an unconfirmed crash is confirmed or ruled out. If all crashes are
+    /// doubtful it waits until its job is cancelled, because no job is given up on doubtful
+    /// evidence alone.
     Paused,
-    /// It is given up, and its job fails.
+    /// The task is given up, and its job fails.
     Exhausted,
 }
 
--- a/src/cell/jobs/wait.rs
+++ b/src/cell/jobs/wait.rs
@@ -18,7 +18,7 @@
 pub struct WaitLogTimer {
     /// When the wait began.
     pub since: Millis,
-    /// The length of the wait at which it is logged next.
+    /// The length of the wait, in milliseconds, at which the wait is logged next.
     next_log: Millis,
 }
 
@@ -43,7 +43,7 @@
 pub struct Wait {
     /// Why the step waits.
     pub reason: WaitReason,
-    /// Since when it has waited for this reason, and when that is logged.
+    /// When the step began to wait for this reason, and when the wait is logged next.
     pub timer: WaitLogTimer,
 }
 
--- a/src/cell/owner/authority.rs
+++ b/src/cell/owner/authority.rs
@@ -23,7 +23,7 @@
 /// A peer that has not been heard from for this long is assumed to have been removed.
 const PEER_EXPIRY: Millis = Millis(60_000);
 
-/// What the owner knows about another entry.
+/// The state of another entry, as known to the owner.
 #[derive(Debug)]
 struct Peer {
     last_seen: Millis,
--- a/src/cell/owner/balance.rs
+++ b/src/cell/owner/balance.rs
@@ -32,7 +32,7 @@
 pub struct Candidate {
     /// The number of the cell.
     pub cell: u32,
-    /// Its utilization, as in [`ServiceLoad::utilization`].
+    /// The utilization of the cell, as in [`ServiceLoad::utilization`].
     pub utilization: u32,
 }
 
--- a/src/cell/owner/log_reports.rs
+++ b/src/cell/owner/log_reports.rs
@@ -16,14 +16,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What an entry reports to a new owner about the time before the takeover.
+/// An entry's report to a new owner about the time before the takeover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogReport {
     /// Whether the entry has not told any owner within [`STEADY_LOG_TIME`] that it cannot read the
     /// log.
     pub log_steady: bool,
-    /// The number of other entries that the last owner it heard from counted; 0 if it heard from
-    /// none.
+    /// The number of other entries counted by the last owner that the entry heard from; 0 if it
+    /// heard from none.
     pub peers: u32,
 }
 
--- a/src/cell/placing/candidate.rs
+++ b/src/cell/placing/candidate.rs
@@ -45,13 +45,13 @@
     pub step_runs: u32,
     /// Runs of all steps on the worker.
     pub total_runs: usize,
-    /// No recent run on it failed.
+    /// No recent run on the worker failed.
     pub is_healthy: bool,
-    /// Its process has been running for long enough to count as stable.
+    /// The worker's process has been running for long enough to count as stable.
     pub is_stable: bool,
-    /// It runs tasks that serve user requests.
+    /// The worker runs tasks that serve user requests.
     pub serves_users: bool,
-    /// Resources on it are reserved for a gang of another step.
+    /// Resources on the worker are reserved for a gang of another step.
     pub is_reserved: bool,
 }
 
--- a/src/cell/workers/restart.rs
+++ b/src/cell/workers/restart.rs
@@ -14,14 +14,14 @@
 use crate::workload::TaskKey;
 use std::collections::BTreeSet;
 
-/// What becomes of a run when its worker has restarted.
+/// The state of a run after its worker has restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunAfterRestart {
-    /// The new incarnation has it.
+    /// The new incarnation has the run.
     Kept,
-    /// It ended with the previous incarnation, or was never sent.
+    /// The run ended with the previous incarnation, or was never sent.
     Lost,
-    /// Its start was not answered and may still arrive, so the new incarnation has to be told to
+    /// The start was not answered and may still arrive, so the new incarnation has to be told to
     /// refuse it.
     InFlight,
 }
@@ -112,8 +112,8 @@
     }
 
     /// Handles a list entry with another incarnation of a worker than the one that last reported.
-    /// It is a later one, because incarnations that ended are known. The worker is asked for a
-    /// report at once, and gets no new tasks until it reports.
+    /// The listed incarnation is the later one, because incarnations that ended are known. The
+    /// worker is asked for a report at once, and gets no new tasks until it reports.
     pub(in crate::cell) fn expect_new_incarnation(&mut self, now: Millis, listed: &WorkerInfo) {
         let Some(worker) = self.workers.get_mut(&listed.id) else { return };
         let is_new = worker.is_other_incarnation(listed.started_at)
@@ -131,16 +131,16 @@
     running.chain(report.ended.iter().map(|row| (row.task, row.run))).collect()
 }
 
-/// What becomes of a run on a worker that has restarted; `is_reported` if the new incarnation
-/// reported the run.
+/// Returns the state of a run on a worker that has restarted. `is_reported` is true if the new
+/// incarnation reported the run.
 fn run_after_restart(run: &Run, sent: Millis, is_reported: bool) -> RunAfterRestart {
     match run.phase {
         _ if is_reported => RunAfterRestart::Kept,
         _ if !run.is_sent => RunAfterRestart::Lost,
-        // It was confirmed after the report call was sent, so by the new incarnation.
+        // The start was confirmed after the report call was sent, so by the new incarnation.
         Phase::Running(at) if at >= sent => RunAfterRestart::Kept,
         _ if run.has_started => RunAfterRestart::Lost,
-        // It was assigned by an earlier owner, which may have sent it.
+        // The run was assigned by an earlier owner, which may have sent it.
         Phase::Running(_) => RunAfterRestart::Lost,
         Phase::Starting | Phase::Stopping(_) => RunAfterRestart::InFlight,
     }
--- a/src/cell/workers/roster.rs
+++ b/src/cell/workers/roster.rs
@@ -15,8 +15,8 @@
 pub enum RemovalReason {
     /// Another incarnation answers at its address.
     Replaced,
-    /// It is not listed any more, it does not answer, and its leases have expired or nothing runs
-    /// on it.
+    /// The worker is not listed any more, it does not answer, and its leases have expired or
+    /// nothing runs on it.
     Unlisted,
 }
 
--- a/src/cell/workers/worker.rs
+++ b/src/cell/workers/worker.rs
@@ -49,7 +49,7 @@
 pub struct Run {
     /// The run number, which rises with each start of the task.
     pub run: u64,
-    /// The resources that it is charged.
+    /// The resources charged for the run.
     pub charge: Resources,
     /// Counts the run towards the usage of its workspace until it is dropped.
     pub usage_guard: Option<UsageGuard>,
@@ -59,27 +59,28 @@
     pub stop_pending: bool,
     /// A start was sent and may have reached the worker.
     pub is_sent: bool,
-    /// It was sent to an earlier incarnation of the worker; the current one is told to refuse it.
+    /// The run was sent to an earlier incarnation of the worker; the current one is told to refuse
+    /// it.
     pub is_stale: bool,
     /// When this owner assigned the run or first learned of it.
     pub known_since: Millis,
     /// The worker has confirmed that it started the run.
     pub has_started: bool,
-    /// The share of its processor time that it may use, in percent.
+    /// The share of its processor time that the run may use, in percent.
     pub percent: u32,
-    /// It uses only processors that other tasks leave idle.
+    /// The run uses only processors that other tasks leave idle.
     pub is_filler: bool,
-    /// The limit for the tail latency of its responses; 0 if it serves no requests.
+    /// The limit for the tail latency of the run's responses; 0 if it serves no requests.
     pub tail_limit: Millis,
-    /// It saves checkpoints of its progress.
+    /// The run saves checkpoints of its progress.
     pub saves_progress: bool,
-    /// When this owner learned that it runs.
+    /// When this owner learned that the run had started.
     pub started_at: Millis,
-    /// When it last saved a checkpoint, or started.
+    /// When the run last saved a checkpoint, or started.
     pub progressed_at: Millis,
-    /// The run time after which it is late compared with others of its queue.
+    /// The run time after which the run is late compared with others of its queue.
     pub late_after: Option<Millis>,
-    /// It was found to be stalled or late.
+    /// The run was found to be stalled or late.
     pub is_straggler: bool,
 }
 
@@ -107,48 +108,50 @@
         }
     }
 
-    /// The worker confirmed that it runs.
+    /// Records that the worker confirmed the start of the run.
     pub fn mark_started(&mut self, now: Millis) {
         self.phase = Phase::Running(now);
         self.has_started = true;
         (self.started_at, self.progressed_at) = (now, now);
     }
 
-    /// Whether it should have saved a checkpoint by now and has not.
+    /// Whether the run should have saved a checkpoint by now and has not.
     fn is_stalled(&self, now: Millis) -> bool {
         self.saves_progress && !self.is_filler && now.since(self.progressed_at) >= STALL_TIMEOUT
     }
 
-    /// Whether it takes far longer than other runs of its queue.
+    /// Whether the run takes far longer than other runs of its queue.
     fn is_late(&self, now: Millis) -> bool {
         self.late_after.is_some_and(|limit| now.since(self.started_at) >= limit)
     }
 }
 
-/// A worker and what its owner knows of it.
+/// A worker and its state as known to the owner.
 #[derive(Debug)]
 pub struct Worker {
-    /// Its entry in the list of workers.
+    /// The worker's entry in the list of workers.
     pub listed: WorkerInfo,
     /// When the current incarnation started: the one that reports, or on which an earlier owner
     /// left runs.
     started_at: Option<Millis>,
     /// When a restart of the worker was last noticed.
     pub restarted_at: Millis,
-    /// A message to it was not answered since its last report, so it may have restarted.
+    /// A message to the worker was not answered since its last report, so it may have restarted.
     maybe_restarted: bool,
-    /// It is on the list of workers now.
+    /// The worker is on the list of workers now.
     pub is_listed: bool,
     /// The batch that records it as a worker in use.
     pub roster_batch: u64,
-    /// It has reported in this epoch, and answered since the owner last considered it unreachable.
+    /// The worker has reported in this epoch, and answered since the owner last considered it
+    /// unreachable.
     pub is_reachable: bool,
-    /// It has reported in this epoch, so the runs that earlier owners started there are known.
+    /// The worker has reported in this epoch, so the runs that earlier owners started there are
+    /// known.
     pub has_reported: bool,
     /// When the current incarnation first reported in this epoch.
     first_report: Option<Millis>,
-    /// The runs that are or may be on it. A task can have two runs for a moment, one of which is
-    /// ending.
+    /// The runs that are or may be on the worker. A task can have two runs for a moment, one of
+    /// which is ending.
     pub runs: BTreeMap<(TaskKey, u64), Run>,
     /// The resources charged for `runs`.
     pub used: Resources,
@@ -231,8 +234,8 @@
     /// Resets the state to that of a new incarnation and returns the state of the previous one.
     ///
     /// The new incarnation has none of the runs, and its clock and its numbers of ends start anew.
-    /// It gets no new tasks before its own entry in the list of workers is read, because its kind
-    /// may have changed.
+    /// The worker gets no new tasks before the new incarnation's entry in the list of workers is
+    /// read, because its kind may have changed.
     pub fn restart(
         &mut self,
         now: Millis,
@@ -250,8 +253,8 @@
         self.maybe_restarted = true;
     }
 
-    /// Whether it may have restarted: nothing that refers to its previous incarnation may be sent
-    /// to it.
+    /// Whether the worker may have restarted. Until that is known, no message that refers to the
+    /// previous incarnation may be sent to it.
     pub fn may_have_restarted(&self) -> bool {
         self.maybe_restarted
     }
@@ -425,12 +428,12 @@
         self.failures == 0
     }
 
-    /// Whether it is excluded from placement now.
+    /// Whether the worker is excluded from placement now.
     pub fn is_excluded(&self, now: Millis) -> bool {
         now < self.excluded_until
     }
 
-    /// Whether it may get new tasks when all batches up to `stored_batch` are in the store.
+    /// Whether the worker may get new tasks when all batches up to `stored_batch` are in the store.
     /// Exclusion from placement is not considered here.
     pub fn accepts_tasks(&self, stored_batch: u64) -> bool {
         let is_responsive = self.has_reported && self.is_reachable && self.unanswered_at.is_none();
--- a/src/node/msg.rs
+++ b/src/node/msg.rs
@@ -74,7 +74,7 @@
     Moved { cell: u32 },
     /// The job is in the store.
     Accepted,
-    /// Nothing was done, and nothing will be. The request may be repeated later.
+    /// The request had no effect and will have none. It may be repeated later.
     Refused(RefusalReason),
     /// The request may or may not take effect.
     InDoubt,
@@ -95,9 +95,9 @@
 /// Why an owner refused a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// It is not the owner of the cell, or not yet.
+    /// The entry is not the owner of the cell, or not yet.
     NotOwner,
-    /// It does not know the queue yet.
+    /// The owner does not know the queue yet.
     UnknownQueue,
     /// The store does not accept records.
     StoreUnavailable,
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -53,12 +53,12 @@
     /// The other entries that are connected to this owner.
     peers: Mutex<HashMap<Name, FrameSender>>,
     authority: Mutex<Authority>,
-    /// What the other entries know about the time before this epoch.
+    /// The reports of the other entries about the time before this epoch.
     witnesses: Mutex<LogReports>,
     lag: Mutex<TickLag>,
     /// The number of process pauses that the cell was told about.
     known_pauses: AtomicU64,
-    /// No heartbeat has been confirmed since the last pause.
+    /// Whether no heartbeat has been confirmed since the last pause.
     is_unconfirmed: AtomicBool,
     /// The store accepted the last batch or heartbeat.
     store_up: AtomicBool,
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -129,7 +129,7 @@
         let now = self.node.now();
         let is_start = matches!(action, Action::Start { .. });
         self.node.metrics.observe_order(is_start, &outcome, now.since(sent));
-        // It is not known whether the worker answered before or after its restart.
+        // The worker may have answered before or after its restart.
         let outcome = if has_restarted() { OrderOutcome::Unknown } else { outcome };
         {
             let mut cell = lock(&self.cell);
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -26,7 +26,7 @@
 /// Why a request to the owner of a cell got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestError {
-    /// It is certain that nothing was done.
+    /// The request was certainly not carried out.
     Unsent,
     /// The request may have been carried out.
     Unknown,
@@ -246,7 +246,7 @@
         checked
     }
 
-    /// What this entry tells a new owner about the time before its epoch.
+    /// Returns this entry's report to a new owner about the time before its epoch.
     pub fn log_history(&self) -> LogReport {
         let log_steady = lock(&self.node.history).is_log_steady(self.now());
         LogReport { log_steady, peers: self.entry_count.load(Ordering::Relaxed) }
--- a/src/platform/api.rs
+++ b/src/platform/api.rs
@@ -21,7 +21,7 @@
 /// One record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its offset in the log.
+    /// The offset of the record in the log.
     pub offset: u64,
     /// The data that was appended.
     pub data: String,
@@ -54,11 +54,11 @@
     pub kind: Name,
     /// The resources allocated to the task.
     pub size: Size,
-    /// Its declared run time; 0 if it runs until it is stopped.
+    /// The declared run time of the task; 0 if it runs until it is stopped.
     pub run: Millis,
-    /// Whether it may be repeated. Recorded in the timeline.
+    /// Whether the task may be repeated. Recorded in the timeline.
     pub repeat: bool,
-    /// How long it may run without a renewal of its lease.
+    /// How long the task may run without a renewal of its lease.
     pub lease: Millis,
     /// The timestamp of the sender's clock.
     pub stamp: Stamp,
@@ -68,11 +68,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskReply {
-    /// It is running.
+    /// The task is running.
     Running,
-    /// It has ended, now or earlier.
+    /// The task has ended, now or earlier.
     Ended(TaskOutcome),
-    /// The worker refused to start it.
+    /// The worker refused to start the task.
     Refused,
 }
 
@@ -101,9 +101,9 @@
     pub task: TaskId,
     /// The kind of work.
     pub kind: Name,
-    /// The resources allocated to it.
+    /// The resources allocated to the task.
     pub size: Size,
-    /// The resources that it uses, measured with a delay.
+    /// The resources that the task uses, measured with a delay.
     pub usage: Size,
 }
 
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -80,9 +80,9 @@
 pub struct Settings {
     /// The entry's name.
     pub name: Name,
-    /// Its IP address.
+    /// The entry's IP address.
     pub ip: Name,
-    /// Its failure domain.
+    /// The entry's failure domain.
     pub domain: Name,
     /// The address for callers, `IP:PORT`.
     pub front_addr: Name,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -22,7 +22,7 @@
     /// The store rejected the request and did nothing.
     #[error("the store rejected the request with status {0}")]
     Refused(StatusCode),
-    /// It is unknown whether the store carried out the request.
+    /// The store may or may not have carried out the request.
     #[error("no usable response from the store: {0}")]
     Unknown(HttpError),
     /// The partition's end differs from the offset that the append expects; the actual end is given.
--- a/src/platform/worker.rs
+++ b/src/platform/worker.rs
@@ -55,7 +55,7 @@
 /// Why an entry isn't the valid entry of a worker.
 #[derive(Debug, Error)]
 pub enum WorkerEntryError {
-    /// It isn't JSON, or fields are missing or have the wrong type.
+    /// The entry isn't JSON, or fields are missing or have the wrong type.
     #[error("not a worker entry: {0}")]
     Syntax(#[from] serde_json::Error),
     /// The state is unknown.
