--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -146,8 +146,8 @@
     is_overloaded: bool,
     /// Whether the list of workers was last read before a pause of the owner.
     list_stale: bool,
-    /// When the first of the workers that steps wait for will have been up for long enough.
-    next_settled: Option<Millis>,
+    /// When the first of the workers that steps wait for becomes stable.
+    next_stable: Option<Millis>,
     /// Whether something changed that may allow another task to be placed.
     needs_placement: bool,
     /// Set while earlier owners may have started runs that are not recorded. Inherited tasks are
@@ -198,7 +198,7 @@
             stored_batch: 0,
             is_overloaded: false,
             list_stale: false,
-            next_settled: None,
+            next_stable: None,
             needs_placement: true,
             unrecorded_starts: unrecorded_starts
                 .then(|| WaitLogTimer::new(now, HOLDBACK_LOG_DELAY)),
@@ -219,15 +219,15 @@
         self.stored_batch
     }
 
-    /// The current process of a worker, if the worker is known.
-    pub fn worker_life(&self, worker: &Name) -> Option<Incarnation> {
+    /// The current incarnation of a worker, if the worker is known.
+    pub fn worker_incarnation(&self, worker: &Name) -> Option<Incarnation> {
         self.workers.get(worker).map(Worker::incarnation)
     }
 
-    /// Whether a worker is known to have restarted since `life`. Returns false if either start time
-    /// is unknown.
-    pub fn has_restarted(&self, life: &Incarnation) -> bool {
-        self.worker_life(&life.id).is_some_and(|now| now.differs_from(life))
+    /// Whether a worker is known to have restarted since `incarnation`. Returns false if either
+    /// start time is unknown.
+    pub fn has_restarted(&self, incarnation: &Incarnation) -> bool {
+        self.worker_incarnation(&incarnation.id).is_some_and(|now| now.differs_from(incarnation))
     }
 
     /// The address at which a worker is called.
--- a/src/cell/placing/stability.rs
+++ b/src/cell/placing/stability.rs
@@ -25,7 +25,7 @@
         let unstable = candidates.iter().filter(|candidate| any && !candidate.is_stable);
         let times =
             unstable.filter_map(|candidate| self.workers.get(&candidate.name)?.stable_from());
-        self.next_settled = times.chain(self.next_settled).min();
+        self.next_stable = times.chain(self.next_stable).min();
         // All tasks of a gang start together.
         if all || (any && spec.is_gang) {
             let before = candidates.len();
@@ -37,7 +37,7 @@
 
     /// Schedules again once a worker that steps wait for has become stable.
     pub(in crate::cell) fn check_stability(&mut self, now: Millis) {
-        if self.next_settled.take_if(|at| now >= *at).is_some() {
+        if self.next_stable.take_if(|at| now >= *at).is_some() {
             self.needs_placement = true;
         }
     }
--- a/src/cell/records/batch.rs
+++ b/src/cell/records/batch.rs
@@ -168,8 +168,10 @@
 
     /// The start times of the workers in use, as far as they are known.
     fn worker_starts(&self) -> BTreeMap<Name, Millis> {
-        let lives = self.workers.values().map(Worker::incarnation);
-        lives.filter_map(|life| Some((life.id, life.started_at?))).collect()
+        let incarnations = self.workers.values().map(Worker::incarnation);
+        incarnations
+            .filter_map(|incarnation| Some((incarnation.id, incarnation.started_at?)))
+            .collect()
     }
 
     /// The records of the workers in use.
--- a/src/node/owner/mod.rs
+++ b/src/node/owner/mod.rs
@@ -78,9 +78,9 @@
             self.ended_epoch.fetch_max(epoch, Ordering::Relaxed);
             return;
         };
-        let doubt = !lock(&self.election).is_log_steady(self.now());
+        let unrecorded_starts = !lock(&self.election).is_log_steady(self.now());
         log::info!(
-            "event=takeover cell={} epoch={epoch} jobs={} roster={} listed={} doubt={doubt} took_ms={}",
+            "event=takeover cell={} epoch={epoch} jobs={} roster={} listed={} doubt={unrecorded_starts} took_ms={}",
             self.cell,
             snapshot.jobs.len(),
             snapshot.workers.len(),
@@ -93,7 +93,14 @@
         let bounds =
             CellConfig { lease, max_lease: node.settings.max_lease, job_retention, disabled };
         let policy = node.policy();
-        let mut cell = Cell::new(epoch, bounds, policy.queues.clone(), snapshot, doubt, self.now());
+        let mut cell = Cell::new(
+            epoch,
+            bounds,
+            policy.queues.clone(),
+            snapshot,
+            unrecorded_starts,
+            self.now(),
+        );
         cell.set_workspaces(policy.workspaces.clone());
         cell.set_workers(self.now(), listed);
         if node.adviser.is_some() {
--- a/src/node/owner/workers.rs
+++ b/src/node/owner/workers.rs
@@ -89,7 +89,7 @@
         };
         let Some(client) = self.worker_client(&name) else { return };
         let decided_at = self.node.now();
-        let Some(life) = lock(&self.cell).worker_life(&name) else { return };
+        let Some(incarnation) = lock(&self.cell).worker_incarnation(&name) else { return };
         let permits =
             lock(&self.order_permits).entry(name.clone()).or_insert_with(new_order_permits).clone();
         // Acquiring fails only if the semaphore is closed, and it never is.
@@ -100,7 +100,7 @@
         let has_authority = self.has_authority();
         // A restarted worker has seen neither the fence nor the stops that its earlier process had
         // seen, so it would not refuse an outdated order.
-        let has_restarted = || lock(&self.cell).has_restarted(&life);
+        let has_restarted = || lock(&self.cell).has_restarted(&incarnation);
         let is_withheld =
             !has_authority || sent.since(decided_at) >= ORDER_MAX_AGE || has_restarted();
         if has_restarted() && !matches!(action, Action::Start { .. }) {
--- a/tests/cellworld/mod.rs
+++ b/tests/cellworld/mod.rs
@@ -860,7 +860,7 @@
                         self.withhold_start(owner, &action, at);
                         continue;
                     }
-                    let life = self.owners[owner].cell.worker_life(&worker);
+                    let life = self.owners[owner].cell.worker_incarnation(&worker);
                     self.schedule_at(at, Event::Order { owner, worker, life, action, delivery });
                 }
                 Action::Watch(listed) => {
--- a/tests/cellworld/network.rs
+++ b/tests/cellworld/network.rs
@@ -187,7 +187,7 @@
         let Action::Start { worker, start, .. } = action else { return };
         let (worker, task, run) = (worker.clone(), start.task, start.run);
         let (life, outcome) =
-            (self.owners[owner].cell.worker_life(&worker), OrderOutcome::Withheld);
+            (self.owners[owner].cell.worker_incarnation(&worker), OrderOutcome::Withheld);
         self.schedule_at(
             at,
             Event::OrderAnswered { owner, worker, start: true, task, run, life, outcome },
