--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,4 +1,4 @@
-//! State, messages and processor time by size: the slopes of docs/CAPACITY.md.
+//! Memory, message sizes and CPU time by the size of the cell: the slopes of docs/CAPACITY.md.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -7,24 +7,29 @@
 use serde::Serialize;
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::gossip::Delta;
-use sprucerudder::controller::offer::Room;
-use sprucerudder::controller::quota::{Limit, PartAsk, Question};
-use sprucerudder::controller::shard::office::Event;
-use sprucerudder::controller::slots::SlotUse;
+use sprucerudder::controller::quota::{HomeRequest, Limit, ShareRequest};
+use sprucerudder::controller::shard::owner::Event;
+use sprucerudder::controller::shard_ranking::ShardCapacity;
+use sprucerudder::controller::slots::SlotUsage;
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
 use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, SyncOrder};
 use sprucerudder::record::{Claim, Record};
 use sprucerudder::size::Size;
 use sprucerudder::trace::Stamp;
-use sprucerudder::wire::msg::{Ask, Beat, DeltaBeat, Envelope, NEWEST, ShardBeat, Tell, encode};
+use sprucerudder::wire::msg::{
+    DeltaHeartbeat, Envelope, Heartbeat, NEWEST_VERSION, PeerRequest, PeerResponse, ShardHeartbeat,
+    encode,
+};
 use std::time::Instant;
 
-const WORKER: Size = Size::new(16_000, 32_000, 2);
+const WORKER_SIZE: Size = Size::new(16_000, 32_000, 2);
 const PAGE_BYTES: u64 = 4096;
 
-fn wire_bytes(ask: Ask) -> usize {
-    encode(NEWEST, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask }).expect("bytes").len()
+fn wire_bytes(ask: PeerRequest) -> usize {
+    encode(NEWEST_VERSION, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask })
+        .expect("bytes")
+        .len()
 }
 
 fn json_bytes<T: Serialize>(value: &T) -> usize {
@@ -55,8 +60,11 @@
     let racks = workers.div_ceil(WORKERS_PER_RACK);
     let each = tasks.div_ceil(racks as u32);
     let make = |rack| {
-        let mut owner =
-            OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows.clone());
+        let mut owner = OwnerHarness::new(
+            &format!("rack{rack}"),
+            &[WORKER_SIZE; WORKERS_PER_RACK],
+            rows.clone(),
+        );
         owner.submit(job_spec("build", each, false, Size::new(1_000, 1_000, 0)));
         assert_eq!(owner.running.len(), each as usize);
         owner
@@ -65,66 +73,80 @@
 }
 
 fn measure_owners() {
-    println!("owners: workers, tasks running, bytes of memory, of all states, us a control round");
+    println!(
+        "owners: workers, running tasks, bytes of memory, bytes of all states, us per control round"
+    );
     for (workers, tasks) in [(48, 266), (200, 1_109), (1_100, 6_100)] {
         let before = resident_memory();
         let mut all = owners(workers, tasks);
         let memory = resident_memory().saturating_sub(before);
-        let begun = Instant::now();
+        let started = Instant::now();
         for owner in &mut all {
             owner.now = owner.now + Millis(1_000);
             owner.report();
             owner.step(Event::Tick);
         }
-        let round = begun.elapsed().as_micros();
-        let states = all.into_iter().map(|owner| owner.office.into_state());
+        let round = started.elapsed().as_micros();
+        let states = all.into_iter().map(|owner| owner.shard_owner.into_state());
         let bytes: usize =
             states.map(|state| postcard::to_stdvec(&state).expect("bytes").len()).sum();
         println!("  {workers:>5} {tasks:>5} {memory:>9} {bytes:>8} {round:>7}");
     }
 }
 
-fn shard_beat(i: u32, owned: bool) -> ShardBeat {
-    let room = Room { largest: WORKER, free: WORKER, spare: WORKER, backlog: 100_000, urgent: 100 };
-    ShardBeat {
+fn shard_heartbeat(i: u32, owned: bool) -> ShardHeartbeat {
+    let room = ShardCapacity {
+        largest: WORKER_SIZE,
+        max_free: WORKER_SIZE,
+        total_free: WORKER_SIZE,
+        backlog: 100_000,
+        max_weight: 100,
+    };
+    ShardHeartbeat {
         shard: format!("nasr-hall-rack-{i}").into(),
         epoch: 300,
-        owner: owned,
-        flying: true,
+        is_owner: owned,
+        start_pending: true,
         room: owned.then_some(room),
     }
 }
 
-fn beat(shards: Vec<ShardBeat>) -> Beat {
-    Beat {
+fn heartbeat(shards: Vec<ShardHeartbeat>) -> Heartbeat {
+    Heartbeat {
         from: entry("nasr-hall-entry-1"),
         domain: "nasr-hall".into(),
         addr: "10.20.30.40:7100".parse().expect("addr"),
-        leaving: false,
-        rev: 100_000,
-        list: 100_000,
+        is_stopping: false,
+        table_rev: 100_000,
+        list_rev: 100_000,
         shards,
     }
 }
 
 fn measure_heartbeats() {
-    println!("heartbeat: shards of the failure domain (a third owned), bytes whole,");
+    println!("heartbeat: shards of the failure domain (a third owned), bytes of a full one,");
     println!("  with the owned shards changed, with nothing changed");
     for count in [2, 12, 28] {
-        let all: Vec<ShardBeat> = (0..count).map(|i| shard_beat(i, i % 3 == 0)).collect();
-        let owned: Vec<ShardBeat> = all.iter().filter(|shard| shard.owner).cloned().collect();
+        let all: Vec<ShardHeartbeat> = (0..count).map(|i| shard_heartbeat(i, i % 3 == 0)).collect();
+        let owned: Vec<ShardHeartbeat> =
+            all.iter().filter(|shard| shard.is_owner).cloned().collect();
         let delta = |shards| {
             let (seq, base, held) = (1_000_000, 999_999, 1_000_000);
             let delta = Delta { seq, base, held, shards };
-            wire_bytes(Ask::Delta(DeltaBeat { beat: beat(Vec::new()), delta }))
+            wire_bytes(PeerRequest::DeltaHeartbeat(DeltaHeartbeat {
+                heartbeat: heartbeat(Vec::new()),
+                delta,
+            }))
         };
-        let whole = wire_bytes(Ask::Beat(beat(all)));
+        let whole = wire_bytes(PeerRequest::Heartbeat(heartbeat(all)));
         println!("  {count:>5} {whole:>7} {:>7} {:>7}", delta(owned), delta(Vec::new()));
     }
 }
 
 fn measure_updates() {
-    println!("update of a replica: bindings in it, bytes; of the log in an epoch without replicas");
+    println!(
+        "update of a replica: bindings in it, bytes; bytes of the log record without replicas"
+    );
     for count in [1_u32, 10, 100] {
         let bind = |index| StateChange::Bind {
             task: task(index),
@@ -140,25 +162,25 @@
             epoch: 9,
             base: None,
             first: 1_000_000,
-            notes,
+            changes: notes,
         };
         println!(
             "  {count:>5} {:>7} {:>7}",
-            wire_bytes(Ask::Update { shard, update }),
+            wire_bytes(PeerRequest::Update { shard, update }),
             json_bytes(&record)
         );
     }
 }
 
 fn measure_syncs() {
-    println!("contact with a worker: tasks running, bytes of order and report");
+    println!("contact with a worker: running tasks, bytes of order and report");
     for count in [1_u32, 6, 20] {
         let order = SyncOrder { renew: (0..count).map(task).collect(), ..SyncOrder::default() };
         let running = |index| Running {
             task: task(index),
             kind: "campaign".into(),
-            size: WORKER,
-            usage: WORKER,
+            size: WORKER_SIZE,
+            usage: WORKER_SIZE,
         };
         let ended = vec![(task(99), TaskOutcome::Done)];
         let report = Report { inc: 1, running: (0..count).map(running).collect(), ended };
@@ -167,7 +189,7 @@
 }
 
 fn measure_log() {
-    let spec = job_spec("campaign", 30, false, WORKER);
+    let spec = job_spec("campaign", 30, false, WORKER_SIZE);
     let job_record = Record::Job { job: job(1), spec, at: Millis(1_764_000_000_000) };
     let ended = Record::Ended { job: job(1), index: 10, outcome: TaskOutcome::Done };
     println!(
@@ -191,11 +213,11 @@
 }
 
 fn measure_slots() {
-    println!("slots: runners of the shard, bytes of the question");
+    println!("slots: runners of the shard, bytes of the request");
     for runners in [2, 8, 48] {
         let usage =
-            |i| SlotUse { runner: format!("nasr-hall-runner-{i}").into(), held: 4, used: 2 };
-        let ask = Ask::Slots {
+            |i| SlotUsage { runner: format!("nasr-hall-runner-{i}").into(), held: 4, used: 2 };
+        let ask = PeerRequest::LendSlots {
             shard: "nasr-hall-rack-12".into(),
             entry: "nasr-hall-entry-1".into(),
             uses: (0..runners).map(usage).collect(),
@@ -206,14 +228,15 @@
 }
 
 fn measure_limit_parts() {
-    println!("parts of limits: limits of one home in a question, bytes of it and of the answer");
+    println!("parts of limits: limits in a request to one home, bytes of request and answer");
     for limits in [1_u64, 5, 20] {
         let limit = |i| match i % 2 {
             0 => Limit::Row(format!("campaign-{i}").into()),
             _ => Limit::Team(format!("team-{i}").into()),
         };
-        let ask = |i| PartAsk { limit: limit(i), held: 9_000, used: 8_000, need: 9_500, step: 500 };
-        let question = Question {
+        let ask =
+            |i| ShareRequest { limit: limit(i), held: 9_000, used: 8_000, need: 9_500, step: 500 };
+        let question = HomeRequest {
             shard: "nasr-hall-rack-12".into(),
             epoch: 300,
             seq: 1_000_000,
@@ -221,35 +244,41 @@
             shards: 140,
             asks: (0..limits).map(ask).collect(),
         };
-        let lent = Tell::Parts((0..limits).map(|i| (limit(i), 9_000)).collect());
-        let answer = Envelope { stamp: Stamp(u64::MAX / 2), body: lent };
-        let answer = encode(NEWEST, &answer).expect("bytes").len();
+        let reply = PeerResponse::LentQuota((0..limits).map(|i| (limit(i), 9_000)).collect());
+        let answer = Envelope { stamp: Stamp(u64::MAX / 2), body: reply };
+        let answer = encode(NEWEST_VERSION, &answer).expect("bytes").len();
         let home = "pasila-rack-3".into();
-        println!("  {limits:>5} {:>7} {answer:>7}", wire_bytes(Ask::Parts { home, question }));
+        println!(
+            "  {limits:>5} {:>7} {answer:>7}",
+            wire_bytes(PeerRequest::LendQuota { home, question })
+        );
     }
 }
 
-/// Times of single placements: submit, bind, start and end.
+/// Measures the time of single placements: submit, bind, start and end.
 fn measure_placements() {
-    println!("one placement, us: workers, stuck shapes a shard, median, 99 %, 99.9 %, most");
+    println!(
+        "one placement, us: workers, unplaceable sizes per shard, median, 99 %, 99.9 %, maximum"
+    );
     let rows = table(&[("build", "batch", 50, 10, 0), ("urgent", "batch", 100, 5, 5)]);
     for workers in [48, 200, 1_100] {
-        for stuck in [0, 200, 800] {
+        for unplaceable in [0, 200, 800] {
             let mut all = owners(workers, 5 * workers as u32);
             for owner in &mut all {
                 owner.step(Event::Table(rows.clone()));
-                for less in 0..stuck {
-                    let size = Size::new(16_000, 32_000 - less, 2);
+                for size_offset in 0..unplaceable {
+                    let size = Size::new(16_000, 32_000 - size_offset, 2);
                     owner.submit(job_spec("build", 1, false, size));
                 }
             }
             let mut rng = SplitMix64(7);
-            let mut times: Vec<u64> = (0..20_000).map(|_| placement(&mut all, &mut rng)).collect();
+            let mut times: Vec<u64> =
+                (0..20_000).map(|_| time_placement(&mut all, &mut rng)).collect();
             times.sort_unstable();
             let at = |share: usize| times[times.len() * share / 1_000] as f64 / 1_000.0;
-            let most = times[times.len() - 1] as f64 / 1_000.0;
+            let maximum = times[times.len() - 1] as f64 / 1_000.0;
             println!(
-                "  {workers:>5} {stuck:>5} {:>8.1} {:>8.1} {:>8.1} {most:>8.1}",
+                "  {workers:>5} {unplaceable:>5} {:>8.1} {:>8.1} {:>8.1} {maximum:>8.1}",
                 at(500),
                 at(990),
                 at(999)
@@ -258,15 +287,15 @@
     }
 }
 
-/// Nanoseconds of one placement.
-fn placement(all: &mut [OwnerHarness], rng: &mut SplitMix64) -> u64 {
-    let at = rng.below(all.len() as u64) as usize;
+/// Places one task; the time that it took in nanoseconds.
+fn time_placement(owners: &mut [OwnerHarness], rng: &mut SplitMix64) -> u64 {
+    let at = rng.below(owners.len() as u64) as usize;
     let job = job_spec("urgent", 1, false, Size::new(500, 500, 0));
-    let begun = Instant::now();
-    let (job, decisions) = all[at].submit(job);
+    let started = Instant::now();
+    let (job, decisions) = owners[at].submit(job);
     assert_eq!(decisions.len(), 1, "placed at once");
-    all[at].end(&TaskId { job, index: 0, attempt: 0 }, TaskOutcome::Done);
-    begun.elapsed().as_nanos() as u64
+    owners[at].end(&TaskId { job, index: 0, attempt: 0 }, TaskOutcome::Done);
+    started.elapsed().as_nanos() as u64
 }
 
 fn main() {
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,12 +1,12 @@
-//! Owners of shards without a network: what they note is committed at once, and workers answer at
-//! once.
-#![allow(dead_code, reason = "each bench uses a part")]
+//! Owners of shards without a network, for benches and tests of their cost: what an owner logs is
+//! committed at once, and workers answer at once.
+#![allow(dead_code, reason = "no bench uses all of these helpers")]
 
 use sprucerudder::clock::Millis;
 use sprucerudder::controller::list::{Role, Vm};
-use sprucerudder::controller::replica::State;
-use sprucerudder::controller::shard::Source;
-use sprucerudder::controller::shard::office::{Action, Event, Office};
+use sprucerudder::controller::replica::StateSnapshot;
+use sprucerudder::controller::shard::StateSource;
+use sprucerudder::controller::shard::owner::{Action, Event, ShardOwner};
 use sprucerudder::id::{EntryId, JobId, Name, TaskId};
 use sprucerudder::job::{JobSpec, TaskOutcome};
 use sprucerudder::platform::api::{Report, Running, TaskReply};
@@ -16,10 +16,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// Workers of a rack, which is a shard.
 pub const WORKERS_PER_RACK: usize = 8;
+/// The virtual time at which an owner starts.
 pub const START: Millis = Millis(1_000_000);
 
-/// A table whose rows have these cells: kind, class, weight, pack, spread.
+/// Builds a table from rows of kind, class, weight, pack and spread.
 pub fn table(rows: &[(&str, &str, u32, u32, u32)]) -> Arc<Table> {
     let head =
         "kind,team,class,weight,limit,queue,deadline,repeat,retries,pack,spread,quota,site:d\n";
@@ -43,17 +45,17 @@
     }
 }
 
-/// What an owner decided.
+/// A decision of an owner about a task.
 #[derive(Debug)]
 pub enum Decision {
     Started { task: TaskId, worker: Name },
     Stopped { task: TaskId },
 }
 
-/// One owner.
+/// An owner of a shard on a virtual clock, with the tasks that run on its workers.
 pub struct OwnerHarness {
     pub now: Millis,
-    pub office: Office,
+    pub shard_owner: ShardOwner,
     pub running: BTreeMap<TaskId, Name>,
     shard: Name,
     job_count: u64,
@@ -70,18 +72,22 @@
             owner,
             replicas: Vec::new(),
         };
-        let source = Source::State(Box::<State>::default());
-        let office = Office::new(&claim, source, BTreeSet::new(), Vec::new(), table, START);
-        let mut desk = Self { now: START, office, running: BTreeMap::new(), shard, job_count: 0 };
+        let source = StateSource::State(Box::<StateSnapshot>::default());
+        let shard_owner =
+            ShardOwner::new(&claim, source, BTreeSet::new(), Vec::new(), table, START);
+        let mut desk =
+            Self { now: START, shard_owner, running: BTreeMap::new(), shard, job_count: 0 };
         let vms = (0..).zip(sizes).map(|(i, size)| vm(rack, i, *size)).collect();
-        desk.step(Event::Workers { rev: 1, vms });
+        desk.step(Event::WorkerList { rev: 1, vms });
         desk.report();
         desk
     }
 
+    /// Passes an event to the owner and carries out its actions until none is left; returns its
+    /// decisions.
     pub fn step(&mut self, event: Event) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        let mut actions = self.office.step(self.now, event);
+        let mut actions = self.shard_owner.step(self.now, event);
         loop {
             let mut replies = Vec::new();
             for action in actions {
@@ -89,25 +95,25 @@
                     Action::Start { worker, order } => {
                         self.running.insert(order.task.clone(), worker.clone());
                         let (task, reply) = (order.task.clone(), Some(TaskReply::Running));
-                        replies.push(Event::Told { task, stop: false, reply });
+                        replies.push(Event::CommandReply { task, stop: false, reply });
                         decisions.push(Decision::Started { task: order.task, worker });
                     }
                     Action::Stop { task, .. } => {
                         self.running.remove(&task);
                         let reply = Some(TaskReply::Ended(TaskOutcome::Stopped));
-                        replies.push(Event::Told { task: task.clone(), stop: true, reply });
+                        replies.push(Event::CommandReply { task: task.clone(), stop: true, reply });
                         decisions.push(Decision::Stopped { task });
                     }
                     _ => {}
                 }
             }
             actions = Vec::new();
-            while self.office.log_record().is_some() {
-                let (epoch, seq) = (self.office.epoch(), u64::MAX);
-                actions.extend(self.office.step(self.now, Event::Logged { epoch, seq }));
+            while self.shard_owner.log_record().is_some() {
+                let (epoch, seq) = (self.shard_owner.epoch(), u64::MAX);
+                actions.extend(self.shard_owner.step(self.now, Event::Logged { epoch, seq }));
             }
             for event in replies {
-                actions.extend(self.office.step(self.now, event));
+                actions.extend(self.shard_owner.step(self.now, event));
             }
             if actions.is_empty() {
                 return decisions;
@@ -115,10 +121,10 @@
         }
     }
 
-    /// Every worker says what it runs.
+    /// Lets every worker report the tasks that it runs; returns the owner's decisions.
     pub fn report(&mut self) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        for worker in self.office.workers() {
+        for worker in self.shard_owner.workers() {
             let here = self.running.iter().filter(|(_, on)| **on == worker);
             let running = here.map(|(task, _)| Running {
                 task: task.clone(),
@@ -147,7 +153,7 @@
     pub fn end(&mut self, task: &TaskId, outcome: TaskOutcome) -> Vec<Decision> {
         self.running.remove(task);
         let (task, reply) = (task.clone(), Some(TaskReply::Ended(outcome)));
-        self.step(Event::Told { task, stop: false, reply })
+        self.step(Event::CommandReply { task, stop: false, reply })
     }
 
     pub fn cancel(&mut self, job: JobId) -> Vec<Decision> {
@@ -167,7 +173,7 @@
     }
 }
 
-/// A small seeded source of numbers (splitmix64).
+/// A seeded pseudorandom number generator (splitmix64).
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -179,11 +185,13 @@
         z ^ (z >> 31)
     }
 
+    /// A number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next() % n.max(1)
     }
 
-    /// A time between two events that come `rate` times a second, in milliseconds.
+    /// A random time in milliseconds between two events that occur `rate` times a second on
+    /// average, exponentially distributed.
     pub fn exponential_gap(&mut self, rate: f64) -> f64 {
         let unit = (self.next() >> 11) as f64 / (1_u64 << 53) as f64;
         -(1.0 - unit).ln() * 1000.0 / rate
--- a/src/cell/jobs/crash.rs
+++ b/src/cell/jobs/crash.rs
@@ -46,12 +46,12 @@
     pub restarted: u64,
 }
 
-/// What was found out about an incarnation of a worker that may have crashed.
+/// The resolution of an unconfirmed crash of a worker's incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::cell) enum CrashResolution {
-    /// It ended: another incarnation is at its address.
+    /// The incarnation ended: another incarnation is at its address.
     Ended,
-    /// It did not crash: it answers again.
+    /// The incarnation did not crash: it answers again.
     Alive,
     /// No report confirmed the crash or ruled it out within [`CONFIRM_TIMEOUT`].
     Unknown,
@@ -62,7 +62,7 @@
 struct PossibleCrash {
     /// The address of the worker.
     addr: Name,
-    /// When it was first considered crashed.
+    /// When the incarnation was first considered crashed.
     since: Millis,
     /// The tasks that ran there.
     tasks: BTreeSet<TaskKey>,
@@ -104,7 +104,7 @@
         if worker.listed.leaves_in.is_some() || sent.is_empty() {
             return;
         }
-        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.incarnation(), worker.listed.addr.clone());
         let is_next = |other: &Worker| {
             other.is_reachable && other.listed.addr == addr && other.listed.id != *name
         };
@@ -114,7 +114,7 @@
             let (worker, addr) = (incarnation.clone(), addr.clone());
             let evidence = match has_started || !self.has_crashed_at(task, &addr) {
                 true => evidence,
-                // Its start may not have reached the worker, which may keep crashing by itself.
+                // The start may not have reached the worker, which may keep crashing by itself.
                 false => Evidence::Doubtful,
             };
             let crash = Crash { worker, addr, evidence, is_confirmed };
@@ -140,7 +140,7 @@
         if worker.listed.leaves_in.is_some() {
             return;
         }
-        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.incarnation(), worker.listed.addr.clone());
         let crash =
             Crash { worker: incarnation, addr, evidence: run.evidence, is_confirmed: false };
         self.add_task_crash(now, task, &crash, now.since(run.since));
@@ -212,7 +212,7 @@
             return;
         }
         let Some(worker) = self.workers.get(name) else { return };
-        let (incarnation, addr) = (worker.life(), worker.listed.addr.clone());
+        let (incarnation, addr) = (worker.incarnation(), worker.listed.addr.clone());
         // Includes records by the id alone, which were written before the worker told when it
         // started.
         for same in self.unconfirmed_crashes.find(|other, _| !other.differs_from(&incarnation)) {
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -125,7 +125,7 @@
     /// Worker processes that may have crashed.
     unconfirmed_crashes: jobs::crash::UnconfirmedCrashes,
     /// Worker processes that have ended but may still be listed, with when the end was noticed.
-    ended_lives: BTreeMap<Incarnation, Millis>,
+    ended_incarnations: BTreeMap<Incarnation, Millis>,
     /// Jobs whose counts of crashes have changed.
     recount_jobs: BTreeSet<JobKey>,
     /// Counts of worker crashes by their outcome, since the takeover.
@@ -146,8 +146,8 @@
     is_overloaded: bool,
     /// Whether the list of workers was last read before a pause of the owner.
     list_stale: bool,
-    /// When the first of the workers that steps wait for will have been up for long enough.
-    next_settled: Option<Millis>,
+    /// When the first of the workers that steps wait for becomes stable.
+    next_stable: Option<Millis>,
     /// Whether something changed that may allow another task to be placed.
     needs_placement: bool,
     /// Set while earlier owners may have started runs that are not recorded. Inherited tasks are
@@ -187,7 +187,7 @@
             usages: WorkspaceUsages::default(),
             shares: ShareLimits::default(),
             unconfirmed_crashes: jobs::crash::UnconfirmedCrashes::default(),
-            ended_lives: BTreeMap::new(),
+            ended_incarnations: BTreeMap::new(),
             recount_jobs: BTreeSet::new(),
             crash_counts: jobs::crash::CrashCounts::default(),
             expired_waits: 0,
@@ -198,7 +198,7 @@
             stored_batch: 0,
             is_overloaded: false,
             list_stale: false,
-            next_settled: None,
+            next_stable: None,
             needs_placement: true,
             unrecorded_starts: unrecorded_starts
                 .then(|| WaitLogTimer::new(now, HOLDBACK_LOG_DELAY)),
@@ -219,15 +219,15 @@
         self.stored_batch
     }
 
-    /// The current process of a worker, if the worker is known.
-    pub fn worker_life(&self, worker: &Name) -> Option<Incarnation> {
-        self.workers.get(worker).map(Worker::life)
+    /// The current incarnation of a worker, if the worker is known.
+    pub fn worker_incarnation(&self, worker: &Name) -> Option<Incarnation> {
+        self.workers.get(worker).map(Worker::incarnation)
     }
 
-    /// Whether a worker is known to have restarted since `life`. Returns false if either start time
-    /// is unknown.
-    pub fn has_restarted(&self, life: &Incarnation) -> bool {
-        self.worker_life(&life.id).is_some_and(|now| now.differs_from(life))
+    /// Whether a worker is known to have restarted since `incarnation`. Returns false if either
+    /// start time is unknown.
+    pub fn has_restarted(&self, incarnation: &Incarnation) -> bool {
+        self.worker_incarnation(&incarnation.id).is_some_and(|now| now.differs_from(incarnation))
     }
 
     /// The address at which a worker is called.
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -1,33 +1,34 @@
-//! Who owns each shard: the fold of the log's claims, and when to claim.
+//! The ownership of shards: the claims read from the log, and the decision when to claim a shard.
 
 use crate::clock::Millis;
 use crate::id::{EntryId, Name, hash};
 use crate::record::Claim;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An owner not heard for this long is suspected.
-pub const SUSPECT: Millis = Millis(3_000);
-/// Each further candidate waits this much longer before it claims.
-const STAGGER: Millis = Millis(500);
-/// A claim not read back after this long is decided again.
+/// An owner without a heartbeat for this long is taken for failed.
+pub const OWNER_TIMEOUT: Millis = Millis(3_000);
+/// Each entry waits this much longer for every entry that ranks before it as the next owner.
+const CLAIM_STAGGER: Millis = Millis(500);
+/// A claim that was not read back from the log after this long is decided anew.
 const CLAIM_TIMEOUT: Millis = Millis(2_000);
 
-/// Each claim since the last owner that got to work makes the next one wait twice as long, up to
-/// this many times: entries that cannot hear each other do not take the shard from one another
-/// without end.
+/// The delay before a claim doubles with each claim since the last active owner, at most this many
+/// times, so that entries that cannot reach each other do not keep taking the shard from one
+/// another.
 const MAX_DOUBLINGS: u32 = 8;
-/// Claims without an owner at work that make nobody wait.
-const FREE_CLAIMS: u32 = 3;
+/// The number of claims since the last active owner that cause no delay.
+const UNDELAYED_CLAIMS: u32 = 3;
 
-/// The claims on all shards, folded in the order of the log: from the last owner that got to work
-/// on, or from the first.
+/// The claims on all shards in the order of the log. The claims on a shard start with that of its
+/// last active owner, or with the first one.
 #[derive(Debug, Default)]
 pub struct Claims {
     shards: BTreeMap<Name, Vec<Claim>>,
 }
 
 impl Claims {
-    /// Folds one claim; `false` if it is void.
+    /// Applies a claim from the log; returns `false` if it is void because its epoch was claimed
+    /// before.
     pub fn fold(&mut self, claim: &Claim) -> bool {
         if claim.epoch != self.epoch(&claim.shard) + 1 {
             return false;
@@ -36,7 +37,7 @@
         true
     }
 
-    /// The owner of this epoch has its state at all replicas: earlier claims are forgotten.
+    /// Drops the claims before `epoch`, whose owner has its state at all replicas.
     pub fn active(&mut self, shard: &str, epoch: u64) {
         if let Some(history) = self.shards.get_mut(shard)
             && history.iter().any(|claim| claim.epoch == epoch)
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Takes a history from a snapshot of the log if it is newer.
+    /// Replaces the claims on a shard by those from a snapshot of the log; returns `false` if they
+    /// are not newer.
     pub fn restore(&mut self, claims: &[Claim]) -> bool {
         let Some(newest) = claims.last() else { return false };
         if self.epoch(&newest.shard) >= newest.epoch {
@@ -55,65 +57,66 @@
         true
     }
 
-    /// The claims on a shard in order.
+    /// The claims on a shard, in order of their epochs.
     pub fn history(&self, shard: &str) -> &[Claim] {
         self.shards.get(shard).map_or(&[], Vec::as_slice)
     }
 
-    /// The claim in force.
+    /// The last valid claim on a shard, which names its owner.
     pub fn last(&self, shard: &str) -> Option<&Claim> {
         self.history(shard).last()
     }
 
-    /// The epoch in force, 0 if there is none.
+    /// The epoch of the last valid claim; 0 if the shard was never claimed.
     pub fn epoch(&self, shard: &str) -> u64 {
         self.last(shard).map_or(0, |claim| claim.epoch)
     }
 
-    /// The histories of all shards, for a snapshot of the log.
+    /// The claims on all shards, for a snapshot of the log.
     pub fn histories(&self) -> Vec<Vec<Claim>> {
         self.shards.values().cloned().collect()
     }
 
-    /// All shards ever claimed, with the claim in force.
+    /// The last valid claim on every shard.
     pub fn all(&self) -> impl Iterator<Item = &Claim> {
         self.shards.values().filter_map(|history| history.last())
     }
 }
 
-/// What an entry knows about another one of its failure domain.
+/// Another entry of the same failure domain.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its present run.
+    /// Its name and incarnation.
     pub id: EntryId,
-    /// When it was last heard.
+    /// When its last heartbeat arrived.
     pub heard: Millis,
     /// Whether it is stopping.
     pub leaving: bool,
 }
 
-/// Decides when this entry claims shards of its failure domain.
+/// Decides when this entry claims a shard of its failure domain.
 #[derive(Debug)]
 pub struct Claimant {
     me: EntryId,
     domain: Name,
     since: Millis,
-    tried: BTreeMap<Name, (u64, Millis)>,
+    last_claims: BTreeMap<Name, (u64, Millis)>,
     released: BTreeMap<Name, u64>,
 }
 
 impl Claimant {
-    /// A claimant that starts at `now`; peers get the suspicion time to be heard first.
+    /// Creates a claimant that starts at `now`. Peers get [`OWNER_TIMEOUT`] for a first heartbeat
+    /// before it claims a shard.
     pub fn new(me: EntryId, domain: Name, now: Millis) -> Self {
-        Self { me, domain, since: now, tried: BTreeMap::new(), released: BTreeMap::new() }
+        Self { me, domain, since: now, last_claims: BTreeMap::new(), released: BTreeMap::new() }
     }
 
-    /// The owner of `epoch` gave this shard up in favour of this entry.
+    /// Records that the owner of `epoch` released this shard for this entry to claim.
     pub fn release(&mut self, shard: Name, epoch: u64) {
         self.released.insert(shard, epoch);
     }
 
-    /// The claim to append for one shard, if any.
+    /// The claim on a shard to append to the log, if this entry should claim it now.
     pub fn decide(
         &mut self,
         now: Millis,
@@ -123,19 +126,21 @@
     ) -> Option<Claim> {
         let last = claims.last(shard);
         let epoch = last.map_or(0, |claim| claim.epoch);
-        let pending = self.tried.get(shard);
-        if pending.is_some_and(|(tried, at)| *tried > epoch && now.since(*at) < CLAIM_TIMEOUT) {
+        let pending = self.last_claims.get(shard);
+        if pending
+            .is_some_and(|(last_claims, at)| *last_claims > epoch && now.since(*at) < CLAIM_TIMEOUT)
+        {
             return None;
         }
         let idle = claims.history(shard).len() as u32;
-        let doublings = idle.saturating_sub(FREE_CLAIMS).min(MAX_DOUBLINGS);
-        let patience = Millis((STAGGER.0 << doublings) - STAGGER.0);
-        if pending.is_some_and(|(_, at)| now.since(*at) < patience) {
+        let doublings = idle.saturating_sub(UNDELAYED_CLAIMS).min(MAX_DOUBLINGS);
+        let delay = Millis((CLAIM_STAGGER.0 << doublings) - CLAIM_STAGGER.0);
+        if pending.is_some_and(|(_, at)| now.since(*at) < delay) {
             return None;
         }
         let replicas = self.replicas(now, peers);
         let wanted = match last {
-            None => now.since(self.since) >= SUSPECT + self.turn(now, shard, peers),
+            None => now.since(self.since) >= OWNER_TIMEOUT + self.claim_delay(now, shard, peers),
             Some(claim) if claim.owner == self.me => self.wants_change(now, claim, &replicas),
             Some(claim) if self.released.get(shard) == Some(&claim.epoch) => true,
             Some(claim) => self.suspects(now, claim, shard, peers),
@@ -143,21 +148,23 @@
         if !wanted {
             return None;
         }
-        self.tried.insert(shard.clone(), (epoch + 1, now));
+        self.last_claims.insert(shard.clone(), (epoch + 1, now));
         let [shard, domain] = [shard, &self.domain].map(Name::clone);
         Some(Claim { shard, domain, epoch: epoch + 1, owner: self.me.clone(), replicas })
     }
 
     fn replicas(&self, now: Millis, peers: &BTreeMap<Name, Peer>) -> Vec<EntryId> {
-        let fresh = peers.values().filter(|peer| now.since(peer.heard) < SUSPECT && !peer.leaving);
+        let fresh =
+            peers.values().filter(|peer| now.since(peer.heard) < OWNER_TIMEOUT && !peer.leaving);
         fresh.map(|peer| peer.id.clone()).collect()
     }
 
-    /// Whether the owner should change the replicas of its shard: one is lost or a new one came.
+    /// Whether this owner should claim its shard anew because the set of its possible replicas
+    /// changed.
     fn wants_change(&self, now: Millis, claim: &Claim, fresh: &[EntryId]) -> bool {
         let known: BTreeSet<&EntryId> = claim.replicas.iter().collect();
         let seen: BTreeSet<&EntryId> = fresh.iter().collect();
-        now.since(self.since) >= SUSPECT && known != seen
+        now.since(self.since) >= OWNER_TIMEOUT && known != seen
     }
 
     fn suspects(
@@ -167,21 +174,21 @@
         shard: &Name,
         peers: &BTreeMap<Name, Peer>,
     ) -> bool {
-        let limit = SUSPECT + self.turn(now, shard, peers);
+        let limit = OWNER_TIMEOUT + self.claim_delay(now, shard, peers);
         match peers.get(&claim.owner.name) {
             Some(peer) if peer.id.incarnation > claim.owner.incarnation => {
-                now.since(self.since) >= self.turn(now, shard, peers)
+                now.since(self.since) >= self.claim_delay(now, shard, peers)
             }
             Some(peer) => now.since(peer.heard.max(self.since)) >= limit,
             None => now.since(self.since) >= limit,
         }
     }
 
-    /// How long this entry waits for candidates that go first.
-    fn turn(&self, now: Millis, shard: &Name, peers: &BTreeMap<Name, Peer>) -> Millis {
+    /// How long this entry waits for the entries that rank before it for this shard.
+    fn claim_delay(&self, now: Millis, shard: &Name, peers: &BTreeMap<Name, Peer>) -> Millis {
         let weight = |name: &Name| hash(&[shard.as_bytes(), name.as_bytes()]);
         let mine = weight(&self.me.name);
         let first = self.replicas(now, peers).iter().filter(|id| weight(&id.name) > mine).count();
-        Millis(STAGGER.0 * first as u64)
+        Millis(CLAIM_STAGGER.0 * first as u64)
     }
 }
--- a/src/controller/fold.rs
+++ b/src/controller/log_state.rs
@@ -1,77 +1,78 @@
-//! The fold of the platform's log at one entry: tables, claims, and what the log keeps of shards.
+//! The state that one entry derives from the platform's log: tables, claims, jobs, and the states
+//! of shards without replicas.
 //!
-//! An entry that starts after retention has dropped the log's beginning, or that fell behind it,
-//! is not in sync: it holds publishes and claims back until a snapshot record tells it what came
-//! before them.
+//! An entry is out of sync if log retention dropped records before it read them. It then buffers
+//! publishes and claims until a snapshot record gives it the state before them.
 
 use crate::clock::Millis;
 use crate::controller::claims::Claims;
-use crate::controller::replica::{Replica, State, Update};
+use crate::controller::replica::{Replica, StateSnapshot, Update};
 use crate::controller::table::{Revision, Tables};
 use crate::id::{EntryId, JobId, Name};
 use crate::job::{JobSpec, StateChange, TaskOutcome};
 use crate::record::{Claim, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a folded record changed.
+/// What a record from the log changed.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
-    /// A new table is in force here.
+pub enum LogChange {
+    /// A new table took effect at this entry.
     Table,
-    /// A claim is in force.
+    /// A claim won its epoch.
     Claim(Claim),
-    /// The log holds a shard's notes up to this number.
-    Noted {
+    /// The log holds the state changes of a shard up to this number.
+    StateStored {
         /// The shard.
         shard: Name,
         /// The epoch.
         epoch: u64,
-        /// The last note held.
+        /// The number of the last change in the log.
         seq: u64,
     },
-    /// A job is kept in the log.
+    /// The record of a job was read from the log.
     Job(JobId),
 }
 
-/// A job as the log has it.
+/// A job, as its records in the log describe it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogJob {
-    /// What was asked for.
+    /// The submitted job.
     pub spec: JobSpec,
     /// When it was accepted.
     pub at: Millis,
-    /// When its record was last appended, by the offset.
+    /// The log offset at which its record was last appended.
     pub offset: u64,
-    /// Tasks that ended.
+    /// The outcomes of its ended tasks, by index.
     pub ended: BTreeMap<u32, TaskOutcome>,
 }
 
-/// The fold.
+/// The state derived from the log, and how far the log was read.
 #[derive(Debug)]
-pub struct Fold {
+pub struct LogState {
     domain: Name,
     next: u64,
     synced: bool,
-    first: u64,
-    held: Vec<(u64, Record)>,
+    gap_end: u64,
+    buffered: Vec<(u64, Record)>,
     snapshot: u64,
-    /// The tables.
+    /// The published tables.
     pub tables: Tables,
-    /// The claims.
+    /// The claims on shards.
     pub claims: Claims,
     states: BTreeMap<Name, Replica>,
     jobs: BTreeMap<JobId, LogJob>,
 }
 
-impl Fold {
-    /// An empty fold for an entry of `domain`: shards of other failure domains are passed over.
+impl LogState {
+    /// Creates the state for an entry of `domain`. Shard states of other failure domains are
+    /// skipped.
     pub fn new(domain: Name) -> Self {
         Self {
             domain,
             next: 0,
             synced: true,
-            first: 0,
-            held: Vec::new(),
+            gap_end: 0,
+            buffered: Vec::new(),
             snapshot: 0,
             tables: Tables::default(),
             claims: Claims::default(),
@@ -80,12 +81,12 @@
         }
     }
 
-    /// The offset to read next.
+    /// The next log offset to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether everything before [`Fold::next`] is known.
+    /// Whether the effect of every record before [`LogState::next`] is known.
     pub fn synced(&self) -> bool {
         self.synced
     }
@@ -95,37 +96,38 @@
         self.snapshot
     }
 
-    /// The log begins at `first`, later than the offset to read next: records were missed.
+    /// Skips to offset `first`, where the log now begins, and goes out of sync because records were
+    /// lost.
     pub fn gap(&mut self, first: u64) {
         self.next = first;
-        self.first = first;
+        self.gap_end = first;
         self.synced = false;
-        self.held.clear();
+        self.buffered.clear();
     }
 
-    /// Folds the records of the append at `offset`.
-    pub fn apply(&mut self, offset: u64, records: Vec<Record>) -> Vec<Change> {
+    /// Applies the records of the append at `offset` and returns what they changed.
+    pub fn apply(&mut self, offset: u64, records: Vec<Record>) -> Vec<LogChange> {
         let mut changes = Vec::new();
         self.next = offset + 1;
         for record in records {
-            self.record(offset, record, &mut changes);
+            self.apply_record(offset, record, &mut changes);
         }
         changes
     }
 
-    fn record(&mut self, offset: u64, record: Record, changes: &mut Vec<Change>) {
+    fn apply_record(&mut self, offset: u64, record: Record, changes: &mut Vec<LogChange>) {
         match record {
             Record::Publish(_) | Record::Claim(_) | Record::Active { .. } if !self.synced => {
-                self.held.push((offset, record));
+                self.buffered.push((offset, record));
             }
             Record::Publish(publish) => {
                 if self.tables.publish(&publish) {
-                    changes.push(Change::Table);
+                    changes.push(LogChange::Table);
                 }
             }
             Record::Claim(claim) => {
                 if self.claims.fold(&claim) {
-                    changes.push(Change::Claim(claim));
+                    changes.push(LogChange::Claim(claim));
                 }
             }
             Record::Active { shard, epoch } => self.claims.active(&shard, epoch),
@@ -138,16 +140,16 @@
             Record::Job { job, spec, at } => {
                 let fresh = LogJob { spec, at, offset, ended: BTreeMap::new() };
                 self.jobs.entry(job.clone()).or_insert(fresh).offset = offset;
-                changes.push(Change::Job(job));
+                changes.push(LogChange::Job(job));
             }
-            Record::Ended { job, index, outcome } => self.ended(&job, index, outcome),
+            Record::Ended { job, index, outcome } => self.apply_task_end(&job, index, outcome),
             Record::Closed { job } => drop(self.jobs.remove(&job)),
             Record::Base { shard, state } => {
                 let (epoch, seq) = (state.epoch, state.seq);
-                self.noted(shard, epoch, Some(state), seq + 1, Vec::new(), changes);
+                self.apply_state(shard, epoch, Some(state), seq + 1, Vec::new(), changes);
             }
             Record::Notes { shard, epoch, first, notes } => {
-                self.noted(shard, epoch, None, first, notes, changes);
+                self.apply_state(shard, epoch, None, first, notes, changes);
             }
         }
     }
@@ -157,29 +159,29 @@
         upto: u64,
         table: Option<Revision>,
         claims: Vec<Vec<Claim>>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<LogChange>,
     ) {
-        if upto < self.first {
+        if upto < self.gap_end {
             return;
         }
         self.synced = true;
         if self.tables.restore(table) {
-            changes.push(Change::Table);
+            changes.push(LogChange::Table);
         }
         for history in claims {
             let last = history.last().cloned();
             if self.claims.restore(&history) {
-                changes.extend(last.map(Change::Claim));
+                changes.extend(last.map(LogChange::Claim));
             }
         }
-        for (offset, record) in std::mem::take(&mut self.held) {
+        for (offset, record) in std::mem::take(&mut self.buffered) {
             if offset >= upto {
-                self.record(offset, record, changes);
+                self.apply_record(offset, record, changes);
             }
         }
     }
 
-    fn ended(&mut self, job: &JobId, index: u32, outcome: TaskOutcome) {
+    fn apply_task_end(&mut self, job: &JobId, index: u32, outcome: TaskOutcome) {
         let Some(known) = self.jobs.get_mut(job) else { return };
         known.ended.insert(index, outcome);
         if known.ended.len() as u32 >= known.spec.tasks {
@@ -187,32 +189,32 @@
         }
     }
 
-    fn noted(
+    fn apply_state(
         &mut self,
         shard: Name,
         epoch: u64,
-        base: Option<State>,
+        base: Option<StateSnapshot>,
         first: u64,
         notes: Vec<StateChange>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<LogChange>,
     ) {
         let last = self.claims.last(&shard);
         if !last.is_some_and(|claim| claim.epoch == epoch && claim.domain == self.domain) {
             return;
         }
         let replica = self.states.entry(shard.clone()).or_default();
-        if let Ok(seq) = replica.update(Update { epoch, base, first, notes }) {
-            changes.push(Change::Noted { shard, epoch, seq });
+        if let Ok(seq) = replica.update(Update { epoch, base, first, changes: notes }) {
+            changes.push(LogChange::StateStored { shard, epoch, seq });
         }
     }
 
-    /// What the log holds of a shard from epochs without replicas.
-    pub fn state(&self, shard: &str) -> State {
+    /// The state of a shard in the log, from epochs without replicas.
+    pub fn state(&self, shard: &str) -> StateSnapshot {
         self.states.get(shard).map(|replica| replica.state().clone()).unwrap_or_default()
     }
 
-    /// What a new owner needs of a shard's past: the entries that may have owned it, by a claim or
-    /// because it was handed over to them, and the jobs that the log has.
+    /// What a new owner needs to know about a shard before its claim: the entries that may have
+    /// owned it by a claim or a handover, and the jobs in the log.
     pub fn before(&self, claim: &Claim) -> (BTreeSet<EntryId>, Vec<(JobId, LogJob)>) {
         let shard = &claim.shard;
         let earlier = self.claims.history(shard).iter().filter(|at| at.epoch < claim.epoch);
@@ -222,7 +224,7 @@
         (former, jobs.map(|(id, job)| (id.clone(), job.clone())).collect())
     }
 
-    /// A record with all that a later reader needs to know of what came before.
+    /// A snapshot record, from which a later reader can start without the records before it.
     pub fn snapshot(&self) -> Record {
         let table = self.tables.folded().cloned();
         Record::Snapshot { end_offset: self.next, table, claims: self.claims.histories() }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,15 +1,13 @@
-//! The decisions, as plain state machines: no socket, no clock, no task inside.
+//! The decisions of the scheduler, as state machines without sockets, clocks or async tasks.
 //!
-//! Each takes the time and an event and returns what has to be done; the entry's shell does it.
+//! Each takes the present time and an event and returns actions, which the entry carries out.
 
-pub mod book;
 pub mod claims;
-pub mod flights;
-pub mod fold;
 pub mod gossip;
 pub mod health;
+pub mod in_flight;
 pub mod list;
-pub mod offer;
+pub mod log_state;
 pub mod place;
 pub mod queue;
 pub mod quota;
@@ -17,5 +15,7 @@
 pub mod replica;
 pub mod retry;
 pub mod shard;
+pub mod shard_ranking;
+pub mod shard_state;
 pub mod slots;
 pub mod table;
--- a/src/controller/shard/journal.rs
+++ b/src/controller/shard/journal.rs
@@ -1,191 +1,204 @@
-//! An owner's notes on their way to the replicas, and what waits for them to arrive.
+//! State changes that replicas or the log do not hold yet, and the effects that wait for them.
 
-use crate::controller::book::Book;
-use crate::controller::replica::{State, Update};
+use crate::controller::replica::{StateSnapshot, Update};
+use crate::controller::shard_state::ShardState;
 use crate::id::{EntryId, Name};
 use crate::job::StateChange;
 use crate::record::{Claim, Record};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most notes of one update.
-const MAX_NOTES: usize = 4096;
+/// The most state changes in one update.
+const MAX_UPDATE_CHANGES: usize = 4096;
 
-/// How far one replica is.
+/// What one replica, or the log, has acknowledged.
 #[derive(Debug, Clone, Copy, Default)]
 struct Progress {
-    based: bool,
+    /// Whether it holds the full state of this epoch.
+    has_base: bool,
+    /// The number of the last change that it holds.
     acked: u64,
 }
 
-/// Notes in order, each with an effect that waits until every replica holds the note.
+/// Numbered state changes, each with an optional effect that is held back until every replica holds
+/// the change.
 #[derive(Debug)]
 pub struct Journal<E> {
     epoch: u64,
     seq: u64,
-    notes: VecDeque<(u64, StateChange)>,
+    changes: VecDeque<(u64, StateChange)>,
     replicas: BTreeMap<EntryId, Progress>,
+    /// The progress of the log; `Some` only in an epoch without replicas.
     log: Option<Progress>,
-    sent: u64,
-    /// After a replica was left out: the first note whose acknowledgement shows that another one
-    /// was there after that, and the last one that was committed before.
-    proof: u64,
-    settled: u64,
+    /// The last change that was handed out for the log.
+    last_appended: u64,
+    /// The change that all remaining replicas must acknowledge after a replica was removed, before
+    /// anything more counts as committed.
+    proof_seq: u64,
+    /// The last change that was committed before that removal.
+    settled_seq: u64,
     effects: VecDeque<(u64, E)>,
 }
 
 impl<E> Journal<E> {
-    /// The journal of an epoch that goes on from note `seq`.
+    /// Creates the journal of an epoch whose first change has the number `seq + 1`.
     pub fn new(claim: &Claim, seq: u64) -> Self {
         let mut journal = Self {
             epoch: claim.epoch,
             seq,
-            notes: VecDeque::new(),
+            changes: VecDeque::new(),
             replicas: BTreeMap::new(),
             log: None,
-            sent: seq,
-            proof: 0,
-            settled: 0,
+            last_appended: seq,
+            proof_seq: 0,
+            settled_seq: 0,
             effects: VecDeque::new(),
         };
-        journal.begin(claim);
+        journal.start_epoch(claim);
         journal
     }
 
-    /// Goes on in a new epoch of the same owner: replicas need a new base, effects still wait.
-    pub fn begin(&mut self, claim: &Claim) {
+    /// Starts a new epoch of the same owner. Replicas need the full state again; pending effects
+    /// keep waiting.
+    pub fn start_epoch(&mut self, claim: &Claim) {
         self.epoch = claim.epoch;
         self.replicas = claim.replicas.iter().map(|id| (id.clone(), Progress::default())).collect();
         self.log = self.replicas.is_empty().then(Progress::default);
-        self.sent = self.seq;
-        (self.proof, self.settled) = (0, 0);
+        self.last_appended = self.seq;
+        (self.proof_seq, self.settled_seq) = (0, 0);
     }
 
-    /// The epoch.
+    /// The epoch of the owner's claim.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The number of the last note.
+    /// The number of the last change.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Adds a note; `effect` comes out of [`Journal::ready`] once all replicas hold it.
-    pub fn push(&mut self, note: StateChange, effect: Option<E>) -> u64 {
+    /// Appends a change and returns its number. [`Journal::next_ready`] returns `effect` once every
+    /// replica holds the change.
+    pub fn push(&mut self, change: StateChange, effect: Option<E>) -> u64 {
         self.seq += 1;
-        self.notes.push_back((self.seq, note));
+        self.changes.push_back((self.seq, change));
         if let Some(effect) = effect {
             self.effects.push_back((self.seq, effect));
         }
         self.seq
     }
 
-    /// What a replica still needs; `None` if it has everything.
-    pub fn update(&self, id: &EntryId, book: &Book) -> Option<Update> {
+    /// The next update for a replica; `None` if it holds everything.
+    pub fn update(&self, id: &EntryId, state: &ShardState) -> Option<Update> {
         let progress = self.replicas.get(id)?;
-        if !progress.based {
-            let base = State { epoch: self.epoch, seq: self.seq, book: book.clone() };
+        if !progress.has_base {
+            let base = StateSnapshot { epoch: self.epoch, seq: self.seq, contents: state.clone() };
             let (epoch, first) = (self.epoch, self.seq + 1);
-            return Some(Update { epoch, base: Some(base), first, notes: Vec::new() });
+            return Some(Update { epoch, base: Some(base), first, changes: Vec::new() });
         }
-        let notes = self.after(progress.acked);
+        let changes = self.changes_after(progress.acked);
         let first = progress.acked + 1;
-        (!notes.is_empty()).then_some(Update { epoch: self.epoch, base: None, first, notes })
+        (!changes.is_empty()).then_some(Update { epoch: self.epoch, base: None, first, changes })
     }
 
-    fn after(&self, seq: u64) -> Vec<StateChange> {
-        let later = self.notes.iter().filter(|(at, _)| *at > seq);
-        later.take(MAX_NOTES).map(|(_, note)| note.clone()).collect()
+    fn changes_after(&self, seq: u64) -> Vec<StateChange> {
+        let later = self.changes.iter().filter(|(at, _)| *at > seq);
+        later.take(MAX_UPDATE_CHANGES).map(|(_, change)| change.clone()).collect()
     }
 
-    /// The record to append in an epoch without replicas; `None` if all was handed out.
-    pub fn record(&mut self, shard: &Name, book: &Book) -> Option<Record> {
+    /// The next record to append in an epoch without replicas; `None` if every change was handed
+    /// out.
+    pub fn next_record(&mut self, shard: &Name, state: &ShardState) -> Option<Record> {
         let log = self.log.as_mut()?;
         let (epoch, shard) = (self.epoch, shard.clone());
-        if !log.based {
-            log.based = true;
-            self.sent = self.seq;
-            let state = State { epoch, seq: self.seq, book: book.clone() };
+        if !log.has_base {
+            log.has_base = true;
+            self.last_appended = self.seq;
+            let state = StateSnapshot { epoch, seq: self.seq, contents: state.clone() };
             return Some(Record::Base { shard, state });
         }
-        let notes = self.after(self.sent);
+        let notes = self.changes_after(self.last_appended);
         if notes.is_empty() {
             return None;
         }
-        let first = self.sent + 1;
-        self.sent += notes.len() as u64;
+        let first = self.last_appended + 1;
+        self.last_appended += notes.len() as u64;
         Some(Record::Notes { shard, epoch, first, notes })
     }
 
-    /// In an epoch without replicas: append the whole state again, before retention drops it.
-    pub fn renew_base(&mut self) {
+    /// Makes the next record of an epoch without replicas hold the full state, which has to be
+    /// appended again before log retention drops it.
+    pub fn reset_log_base(&mut self) {
         if let Some(log) = &mut self.log {
-            log.based = false;
+            log.has_base = false;
         }
     }
 
-    /// A replica holds everything up to `seq` of `epoch`.
-    pub fn acked(&mut self, id: &EntryId, epoch: u64, seq: u64) {
+    /// Records that a replica holds every change of `epoch` up to `seq`.
+    pub fn record_ack(&mut self, id: &EntryId, epoch: u64, seq: u64) {
         let progress = self.replicas.get_mut(id).filter(|_| epoch == self.epoch);
         if let Some(progress) = progress {
-            progress.based = true;
+            progress.has_base = true;
             progress.acked = progress.acked.max(seq);
         }
-        self.trim();
+        self.drop_committed();
     }
 
-    /// The log holds everything up to `seq` of `epoch`.
-    pub fn logged(&mut self, epoch: u64, seq: u64) {
+    /// Records that the log holds every change of `epoch` up to `seq`.
+    pub fn record_logged(&mut self, epoch: u64, seq: u64) {
         let log = self.log.as_mut().filter(|_| epoch == self.epoch);
         if let Some(log) = log {
             log.acked = log.acked.max(seq);
         }
-        self.trim();
+        self.drop_committed();
     }
 
-    /// A replica lacks notes and needs the base again.
-    pub fn rebase(&mut self, id: &EntryId) {
+    /// Makes the next update to a replica that misses changes hold the full state.
+    pub fn request_base(&mut self, id: &EntryId) {
         if let Some(progress) = self.replicas.get_mut(id) {
-            progress.based = false;
+            progress.has_base = false;
         }
     }
 
-    /// A replica is gone for good: nothing waits for it any more, unless it is the last one. A
-    /// claimant may have sealed it before it died, and may count on the others being gone: what they
-    /// acknowledged before shows nothing. So nothing more is committed until all that are left have
-    /// acknowledged a note made after that. `true` if there is one to send.
-    pub fn gone(&mut self, id: &EntryId) -> bool {
+    /// Removes a replica whose VM no longer exists, unless it is the last one. Effects no longer
+    /// wait for it.
+    ///
+    /// A claimant may have sealed that replica before it died and may take the others for gone, so
+    /// their earlier acknowledgements do not prove that this entry still owns the shard. Nothing
+    /// more is committed until every remaining replica has acknowledged a change made after the
+    /// removal. Returns whether there is such a change to send.
+    pub fn remove_replica(&mut self, id: &EntryId) -> bool {
         if self.replicas.len() <= 1 || !self.replicas.contains_key(id) {
             return false;
         }
-        self.settled = self.committed();
+        self.settled_seq = self.committed();
         self.replicas.remove(id);
-        self.proof = self.push(StateChange::Barrier, None);
+        self.proof_seq = self.push(StateChange::Barrier, None);
         true
     }
 
-    /// The replicas that updates go to.
+    /// The replicas that get updates.
     pub fn replicas(&self) -> Vec<EntryId> {
         self.replicas.keys().cloned().collect()
     }
 
-    /// The last note that every replica holds.
+    /// The number of the last committed change: every replica, or the log, holds it.
     pub fn committed(&self) -> u64 {
         let all = self.replicas.values().chain(&self.log);
-        let held = |at: &Progress| if at.based { at.acked } else { 0 };
+        let held = |at: &Progress| if at.has_base { at.acked } else { 0 };
         let least = all.map(held).min().unwrap_or(self.seq);
-        if least >= self.proof { least } else { least.min(self.settled) }
+        if least >= self.proof_seq { least } else { least.min(self.settled_seq) }
     }
 
-    fn trim(&mut self) {
+    fn drop_committed(&mut self) {
         let committed = self.committed();
-        while self.notes.front().is_some_and(|(seq, _)| *seq <= committed) {
-            self.notes.pop_front();
+        while self.changes.front().is_some_and(|(seq, _)| *seq <= committed) {
+            self.changes.pop_front();
         }
     }
 
-    /// The next effect whose note every replica holds.
-    pub fn ready(&mut self) -> Option<E> {
+    /// Removes and returns the next effect whose change is committed.
+    pub fn next_ready(&mut self) -> Option<E> {
         let committed = self.committed();
         let (seq, _) = self.effects.front()?;
         if *seq > committed {
@@ -194,8 +207,8 @@
         self.effects.pop_front().map(|(_, effect)| effect)
     }
 
-    /// Effects that still wait.
-    pub fn waiting(&self) -> usize {
+    /// The number of effects that wait for their change to be committed.
+    pub fn pending_effects(&self) -> usize {
         self.effects.len()
     }
 }
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -1,168 +1,182 @@
-//! Finding the owner of a shard, and the shard for a job or a key.
+//! Routing of requests to the owner of a shard, and the choice of a shard for a job or an
+//! idempotency key.
 
 use crate::clock::Millis;
-use crate::controller::offer::{self, Candidate, Offer, Room};
-use crate::controller::shard::office::{Answer, Event, Refusal};
+use crate::controller::shard::owner::{Answer, Event, Refusal};
+use crate::controller::shard_ranking::{self, Candidate, JobDemand, ShardCapacity};
 use crate::entry::{Entry, ShardHandle, lock};
 use crate::id::{JobId, Name, rendezvous};
 use crate::job::{JobSpec, JobStatus};
 use crate::record::Claim;
 use crate::size::Size;
 use crate::table::Row;
-use crate::wire::msg::{Ask, OwnerAsk, Reason, Refused, Run, ShardStatus, Tell};
+use crate::wire::msg::{
+    Executed, OwnerRequest, PeerRequest, PeerResponse, Reason, RequestError, ShardStatus,
+};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// How long one try to reach an owner may take.
-const OWNER_LIMIT: Millis = Millis(2_000);
-/// Pause before an owner is looked for again.
-const OWNER_PAUSE: Millis = Millis(100);
-/// Callers come again after this long when a shard has no owner.
-const OWNER_RETRY: Millis = Millis(2_000);
+/// Timeout of one attempt to reach an owner.
+const OWNER_TIMEOUT: Millis = Millis(2_000);
+/// Delay between two attempts.
+const OWNER_RETRY_DELAY: Millis = Millis(100);
+/// The `Retry-After` delay when a shard has no reachable owner.
+const NO_OWNER_RETRY: Millis = Millis(2_000);
 
-/// The refusal of a caller whose shard has no owner now. Nothing was run.
-fn no_owner(run: Run) -> Refused {
-    Refused { reason: Reason::NoOwner, run, after: Some(OWNER_RETRY) }
+/// The error for a request to a shard whose owner could not be reached; `run` says whether the
+/// request may have been carried out.
+fn no_owner(run: Executed) -> RequestError {
+    RequestError { reason: Reason::NoOwner, run, after: Some(NO_OWNER_RETRY) }
 }
 
 impl Entry {
-    /// Asks the owner of a shard, wherever it is, and tries again while ownership changes. All
-    /// questions to owners are idempotent.
+    /// Sends a request to the owner of a shard, which may be this entry, and retries while ownership
+    /// changes. A retry is safe because all requests to owners are idempotent.
     ///
     /// # Errors
     /// If no owner answers within `limit`.
     pub(crate) async fn ask_owner(
         self: &Arc<Self>,
         shard: &Name,
-        ask: OwnerAsk,
+        request: OwnerRequest,
         limit: Millis,
-    ) -> Result<Tell, Refused> {
+    ) -> Result<PeerResponse, RequestError> {
         let until = self.now() + limit;
-        let mut run = Run::No;
+        let mut run = Executed::No;
         loop {
-            match self.try_owner(shard, ask.clone()).await {
-                Ok(Tell::NotOwner) => {}
-                Ok(Tell::Pending) => run = Run::Unknown,
-                Ok(tell) => return Ok(tell),
+            match self.try_owner(shard, request.clone()).await {
+                Ok(PeerResponse::NotOwner) => {}
+                Ok(PeerResponse::Pending) => run = Executed::Unknown,
+                Ok(response) => return Ok(response),
                 Err(true) => {}
-                Err(false) => run = Run::Unknown,
+                Err(false) => run = Executed::Unknown,
             }
-            if self.now() + OWNER_PAUSE >= until {
+            if self.now() + OWNER_RETRY_DELAY >= until {
                 return Err(no_owner(run));
             }
-            tokio::time::sleep(OWNER_PAUSE.duration()).await;
+            tokio::time::sleep(OWNER_RETRY_DELAY.duration()).await;
         }
     }
 
-    /// One try; the error says whether surely nothing was sent.
-    async fn try_owner(self: &Arc<Self>, shard: &Name, ask: OwnerAsk) -> Result<Tell, bool> {
+    /// Makes one attempt; the error is `true` if the request certainly was not sent.
+    async fn try_owner(
+        self: &Arc<Self>,
+        shard: &Name,
+        request: OwnerRequest,
+    ) -> Result<PeerResponse, bool> {
         if let Some(handle) = self.handle(shard)
-            && handle.shard().office().is_some()
+            && handle.shard().owner().is_some()
         {
-            return Ok(self.answer_owner(&handle, ask).await);
+            return Ok(self.answer_owner(&handle, request).await);
         }
         let name = self.owner_of(shard).filter(|name| *name != self.me.name).ok_or(true)?;
         let addr = lock(&self.peers).addr(&name).ok_or(true)?;
-        let ask = Ask::Owner { shard: shard.clone(), ask };
-        let answer = self.quic.ask(&name, addr, ask, OWNER_LIMIT).await;
+        let request = PeerRequest::Owner { shard: shard.clone(), request };
+        let answer = self.quic.request(&name, addr, request, OWNER_TIMEOUT).await;
         answer.map_err(|err| err.is_unsent())
     }
 
-    /// Answers a question to the owner of a shard, if that is this entry.
+    /// Handles a request to the owner of a shard, if that is this entry.
     pub(super) async fn answer_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
-        ask: OwnerAsk,
-    ) -> Tell {
+        request: OwnerRequest,
+    ) -> PeerResponse {
         let now = self.now();
-        match ask {
-            OwnerAsk::Submit { job, spec } => {
-                self.ask_office(handle, |token| Event::Submit { token, job, spec }).await
+        match request {
+            OwnerRequest::Submit { job, spec } => {
+                self.ask_local_owner(handle, |token| Event::Submit { token, job, spec }).await
             }
-            OwnerAsk::Cancel { job } => {
-                self.ask_office(handle, |token| Event::Cancel { token, job }).await
+            OwnerRequest::Cancel { job } => {
+                self.ask_local_owner(handle, |token| Event::Cancel { token, job }).await
             }
-            OwnerAsk::Key { key, holder } => {
-                self.ask_office(handle, |token| Event::Key { token, key, holder }).await
+            OwnerRequest::TakeKey { key, holder } => {
+                self.ask_local_owner(handle, |token| Event::TakeKey { token, key, holder }).await
             }
-            OwnerAsk::FreeKey { key, holder } => {
+            OwnerRequest::FreeKey { key, holder } => {
                 let done = self.step(handle, Event::FreeKey { key, holder });
-                if done { Tell::Done } else { Tell::NotOwner }
+                if done { PeerResponse::Done } else { PeerResponse::NotOwner }
             }
-            OwnerAsk::Status { job } => match handle.shard().office() {
-                Some(office) => Tell::Status(office.status(&job, now)),
-                None => Tell::NotOwner,
+            OwnerRequest::JobStatus { job } => match handle.shard().owner() {
+                Some(shard_owner) => PeerResponse::JobStatus(shard_owner.status(&job, now)),
+                None => PeerResponse::NotOwner,
             },
-            OwnerAsk::Jobs { team } => match handle.shard().office() {
-                Some(office) => {
-                    let jobs = office.book().jobs.iter();
+            OwnerRequest::ListJobs { team } => match handle.shard().owner() {
+                Some(shard_owner) => {
+                    let jobs = shard_owner.state().jobs.iter();
                     let wanted = jobs
                         .filter(|(_, job)| team.as_ref().is_none_or(|team| job.spec.team == *team));
-                    Tell::Jobs(wanted.filter_map(|(id, _)| office.status(id, now)).collect())
+                    PeerResponse::Jobs(
+                        wanted.filter_map(|(id, _)| shard_owner.status(id, now)).collect(),
+                    )
                 }
-                None => Tell::NotOwner,
+                None => PeerResponse::NotOwner,
             },
-            OwnerAsk::State => self.shard_status(handle).map_or(Tell::NotOwner, Tell::Shard),
+            OwnerRequest::ShardStatus => {
+                self.shard_status(handle).map_or(PeerResponse::NotOwner, PeerResponse::ShardStatus)
+            }
         }
     }
 
-    async fn ask_office(
+    async fn ask_local_owner(
         self: &Arc<Self>,
         handle: &Arc<ShardHandle>,
         event: impl FnOnce(u64) -> Event,
-    ) -> Tell {
-        let token = self.next();
+    ) -> PeerResponse {
+        let token = self.next_number();
         let (reply, waiting) = oneshot::channel();
-        lock(&self.replies).insert(token, reply);
+        lock(&self.pending_replies).insert(token, reply);
         if !self.step(handle, event(token)) {
-            lock(&self.replies).remove(&token);
-            return Tell::NotOwner;
+            lock(&self.pending_replies).remove(&token);
+            return PeerResponse::NotOwner;
         }
-        let answer = tokio::time::timeout(OWNER_LIMIT.duration(), waiting).await;
-        lock(&self.replies).remove(&token);
+        let answer = tokio::time::timeout(OWNER_TIMEOUT.duration(), waiting).await;
+        lock(&self.pending_replies).remove(&token);
         match answer {
-            Ok(Ok(answer)) => Tell::Answer(answer),
-            _ => Tell::Pending,
+            Ok(Ok(answer)) => PeerResponse::OwnerAnswer(answer),
+            _ => PeerResponse::Pending,
         }
     }
 
     fn shard_status(&self, handle: &ShardHandle) -> Option<ShardStatus> {
         let mut shard = handle.shard();
-        let office = shard.office()?;
-        let rooms = office.rooms();
+        let shard_owner = shard.owner()?;
+        let rooms = shard_owner.ledgers();
         let workers = rooms.map(|(name, at)| (name.clone(), at.total(), at.used())).collect();
         Some(ShardStatus {
             shard: handle.id.clone(),
-            epoch: office.epoch(),
+            epoch: shard_owner.epoch(),
             owner: self.me.clone(),
-            replicas: office.replicas(),
+            replicas: shard_owner.replicas(),
             workers,
-            aside: office.aside(),
-            loads: office.loads().iter().map(|(kind, load)| (kind.clone(), *load)).collect(),
+            set_aside: shard_owner.excluded_workers(),
+            loads: shard_owner.loads().iter().map(|(kind, load)| (kind.clone(), *load)).collect(),
         })
     }
 
-    /// The shard that keeps an idempotency key.
+    /// The shard that stores an idempotency key.
     pub(crate) fn key_shard(&self, key: &str) -> Option<Name> {
         let fold = lock(&self.fold);
         let shards: Vec<Name> = fold.claims.all().map(|claim| claim.shard.clone()).collect();
         rendezvous(key, shards.iter()).cloned()
     }
 
-    /// What the shards of the cell could take, as far as this entry knows.
-    fn known_rooms(&self) -> Vec<(Name, Name, Room)> {
+    /// The capacity that the shards of the cell offer, as far as this entry knows: shard, failure
+    /// domain and capacity.
+    fn known_rooms(&self) -> Vec<(Name, Name, ShardCapacity)> {
         let mut rooms = lock(&self.peers).rooms(self.now());
         for handle in self.shards() {
             let mut shard = handle.shard();
-            let Some(office) = shard.office() else { continue };
-            let room = office.room();
+            let Some(shard_owner) = shard.owner() else { continue };
+            let room = shard_owner.capacity();
             rooms.push((handle.id.clone(), self.settings.domain.clone(), room));
         }
         rooms
     }
 
-    /// The shards to offer a job to, best first: its row's site first, then those with room now,
-    /// then those with the fewest tasks waiting.
+    /// The shards to offer a job to, best first: those of this failure domain if the row gives it a
+    /// weight above zero, then those that can start the job now, then by the weight of their failure
+    /// domain and by their load.
     ///
     /// # Errors
     /// If no worker is large enough, or if that is not known because a shard has no owner now.
@@ -171,7 +185,7 @@
         row: &Row,
         spec: &JobSpec,
         seed: u64,
-    ) -> Result<Vec<Name>, Refused> {
+    ) -> Result<Vec<Name>, RequestError> {
         let local = &self.settings.domain;
         let rooms = self.known_rooms();
         let candidates: Vec<Candidate> = rooms
@@ -179,25 +193,27 @@
             .filter(|(_, domain, _)| row.domain_weight(domain) > 0)
             .map(|(shard, domain, room)| Candidate {
                 shard: shard.clone(),
-                far: domain != local && row.domain_weight(local) > 0,
+                is_remote: domain != local && row.domain_weight(local) > 0,
                 weight: row.domain_weight(domain),
-                room: *room,
+                capacity: *room,
             })
             .collect();
         let count = if spec.gang { spec.tasks } else { 1 };
-        let offer = Offer { size: spec.size, count, weight: row.weight };
-        let order = offer::order(&candidates, &offer, seed);
+        let demand = JobDemand { size: spec.size, count, weight: row.weight };
+        let order = shard_ranking::rank_shards(&candidates, &demand, seed);
         match order.is_empty() {
             false => Ok(order),
-            true if self.knows_all_rooms(row, &rooms) => {
-                Err(Refused { reason: Reason::Job(Refusal::NeverFits), run: Run::No, after: None })
-            }
-            true => Err(no_owner(Run::No)),
+            true if self.knows_all_rooms(row, &rooms) => Err(RequestError {
+                reason: Reason::Job(Refusal::NeverFits),
+                run: Executed::No,
+                after: None,
+            }),
+            true => Err(no_owner(Executed::No)),
         }
     }
 
-    /// Whether the owners of all shards that may take a row's work have said what they have.
-    fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, Room)]) -> bool {
+    /// Whether the owners of all shards that may run a row's work have announced their capacity.
+    fn knows_all_rooms(&self, row: &Row, rooms: &[(Name, Name, ShardCapacity)]) -> bool {
         let fold = lock(&self.fold);
         let mut shards =
             fold.claims.all().filter(|claim| row.domain_weight(&claim.domain) > 0).peekable();
@@ -209,7 +225,7 @@
         shards.peek().is_some() && shards.all(known)
     }
 
-    /// A job's state, from the owner of its shard.
+    /// The status of a job, from the owner of its shard.
     ///
     /// # Errors
     /// If there is no such job, or no owner answers.
@@ -217,15 +233,15 @@
         self: &Arc<Self>,
         job: &JobId,
         limit: Millis,
-    ) -> Result<JobStatus, Refused> {
-        let ask = OwnerAsk::Status { job: job.clone() };
+    ) -> Result<JobStatus, RequestError> {
+        let ask = OwnerRequest::JobStatus { job: job.clone() };
         match self.ask_owner(&job.shard, ask, limit).await? {
-            Tell::Status(Some(status)) => Ok(status),
-            _ => Err(Refused { reason: Reason::NotFound, run: Run::No, after: None }),
+            PeerResponse::JobStatus(Some(status)) => Ok(status),
+            _ => Err(RequestError { reason: Reason::NotFound, run: Executed::No, after: None }),
         }
     }
 
-    /// Offers a job to a shard.
+    /// Submits a job to the owner of a shard.
     ///
     /// # Errors
     /// If it is refused, or no owner answers.
@@ -234,14 +250,14 @@
         job: JobId,
         spec: JobSpec,
         limit: Millis,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RequestError> {
         let shard = job.shard.clone();
-        match self.ask_owner(&shard, OwnerAsk::Submit { job, spec }, limit).await? {
-            Tell::Answer(Answer::Submitted { .. }) => Ok(()),
-            Tell::Answer(Answer::Refused(why)) => {
-                Err(Refused { reason: Reason::Job(why), run: Run::No, after: None })
+        match self.ask_owner(&shard, OwnerRequest::Submit { job, spec }, limit).await? {
+            PeerResponse::OwnerAnswer(Answer::Submitted { .. }) => Ok(()),
+            PeerResponse::OwnerAnswer(Answer::Refused(why)) => {
+                Err(RequestError { reason: Reason::Job(why), run: Executed::No, after: None })
             }
-            _ => Err(no_owner(Run::Unknown)),
+            _ => Err(no_owner(Executed::Unknown)),
         }
     }
 }
--- a/src/filter/admit.rs
+++ b/src/filter/admit.rs
@@ -1,19 +1,19 @@
-//! Bounds on what is taken in at all.
+//! The filter that refuses requests that are too large or past their deadline.
 
 use crate::entry::Entry;
-use crate::filter::{Classified, not_run};
-use crate::wire::msg::{Reason, Refused};
+use crate::filter::{ClassifiedRequest, not_run};
+use crate::wire::msg::{Reason, RequestError};
 
-/// Checks the body's size and the time that is left.
+/// Checks the size of the body and the deadline.
 ///
 /// # Errors
-/// If the body is too large or the answer is due already.
-pub fn apply(entry: &Entry, classified: &Classified) -> Result<(), Refused> {
+/// If the body is too large or the deadline has passed.
+pub fn apply(entry: &Entry, classified: &ClassifiedRequest) -> Result<(), RequestError> {
     match () {
-        _ if classified.exchange.body.len() > entry.settings.max_body => {
+        _ if classified.request.body.len() > entry.settings.max_body => {
             Err(not_run(Reason::TooLarge, None))
         }
-        _ if entry.now() >= classified.due => Err(not_run(Reason::TooLate, None)),
+        _ if entry.now() >= classified.deadline => Err(not_run(Reason::TooLate, None)),
         _ => Ok(()),
     }
 }
--- a/src/filter/problem.rs
+++ b/src/filter/problem.rs
@@ -1,24 +1,25 @@
-//! Refusals as `application/problem+json` (RFC 9457), with `run` and a reason of a fixed list.
+//! Error responses as `application/problem+json` (RFC 9457), with two members of our own: `run`,
+//! whether the request may have been run, and `reason`, one of a fixed list.
 
-use crate::controller::shard::office::Refusal;
-use crate::wire::msg::{Reason, Refused, Run};
+use crate::controller::shard::owner::Refusal;
+use crate::wire::msg::{Executed, Reason, RequestError};
 use poem::Response;
 use poem::http::StatusCode;
 use poem::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use serde::Serialize;
 
-/// A refusal for callers.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 struct Problem {
     #[serde(rename = "type")]
     kind: &'static str,
     title: String,
     status: u16,
-    run: Run,
+    run: Executed,
     reason: serde_json::Value,
 }
 
-/// The status of a refusal.
+/// The HTTP status for a reason.
 pub fn status(reason: &Reason) -> StatusCode {
     match reason {
         Reason::Unauthorized => StatusCode::UNAUTHORIZED,
@@ -41,16 +42,16 @@
     }
 }
 
-/// `run` as the time line has it.
-pub fn run_name(run: Run) -> &'static str {
+/// The value of `run` in events of the timeline.
+pub fn run_name(run: Executed) -> &'static str {
     match run {
-        Run::No => "no",
-        Run::Unknown => "unknown",
+        Executed::No => "no",
+        Executed::Unknown => "unknown",
     }
 }
 
-/// The answer for a refusal.
-pub fn response(refused: &Refused) -> Response {
+/// The HTTP response for a refused or failed request.
+pub fn response(refused: &RequestError) -> Response {
     let status = status(&refused.reason);
     let reason = match refused.reason {
         Reason::Job(why) => serde_json::to_value(why),
@@ -71,7 +72,7 @@
     builder.body(serde_json::to_vec(&problem).unwrap_or_default())
 }
 
-/// A refusal as an error of an API call.
-pub fn error(refused: &Refused) -> poem::Error {
+/// The same response as an error of an API handler.
+pub fn error(refused: &RequestError) -> poem::Error {
     poem::Error::from_response(response(refused))
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,6 +1,6 @@
-//! The table that operators edit: one row for each kind of work, columns with weights and limits.
+//! The table that operators edit: a row for each kind of work, with columns for weights and limits.
 //!
-//! A table is a CSV file as a spreadsheet saves it. [`Table::parse`] reports every fault at once.
+//! A table is a CSV file as spreadsheets save it. [`Table::parse`] reports all faults of a file at once.
 
 use crate::clock::Millis;
 use crate::id::Name;
@@ -8,24 +8,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Prefix of a row that marks a VM instead of a kind of work.
+/// Prefix of a row's name if the row is for a VM instead of a kind of work.
 const VM_PREFIX: &str = "vm:";
-/// Prefix of a column that holds the weight of a failure domain.
+/// Prefix of the heading of a column that holds the weights of a failure domain.
 const DOMAIN_PREFIX: &str = "site:";
-/// The largest table accepted, in bytes.
+/// Maximum size of a table, in bytes.
 pub const MAX_TABLE_BYTES: usize = 256 * 1024;
-/// The largest weight of any column.
+/// Maximum weight in any column.
 const MAX_WEIGHT: u32 = 1000;
-/// The longest deadline, in milliseconds: one day.
+/// Maximum deadline, in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// The most attempts a row may ask for.
+/// Maximum number of retries that a row may set.
 const MAX_RETRIES: u32 = 10;
 
 /// How a kind of work is scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkClass {
-    /// Answered by a runner within one HTTP exchange.
+    /// Processed by a runner within one HTTP request.
     Request,
     /// Runs on a worker until it finishes.
     Batch,
@@ -33,63 +33,64 @@
     Service,
 }
 
-/// One row: the policy for a kind of work.
+/// A row of the table: the policy for a kind of work.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The kind of work.
+    /// Kind of work.
     pub kind: Name,
-    /// The team that the row belongs to.
+    /// Team that the row belongs to.
     pub team: Name,
-    /// How the kind is scheduled.
+    /// How this kind of work is scheduled.
     pub class: WorkClass,
-    /// Urgency: a waiting task gains this many points for each second.
+    /// Urgency: the priority points that a waiting task gains for each second.
     pub weight: u32,
-    /// The most running at once: requests for each entry, tasks in the whole cell.
+    /// Maximum number running at the same time: requests for each entry, tasks in the whole cell.
     pub limit: u32,
-    /// The most waiting at once: requests for each entry, tasks for each shard.
+    /// Maximum number waiting at the same time: requests for each entry, tasks for each shard.
     pub queue: u32,
-    /// How long a request may take, or a task may wait, in milliseconds.
+    /// Maximum time that a request may take, or a task may wait.
     pub deadline: Millis,
-    /// Whether the work may be run again.
-    pub repeat: bool,
-    /// How often a failed task is tried again.
+    /// Whether the work may be run more than once.
+    #[serde(rename = "repeat")]
+    pub repeatable: bool,
+    /// How often a failed task is retried.
     pub retries: u32,
-    /// Weight of filling workers up.
+    /// Placement weight for packing tasks onto few workers.
     pub pack: u32,
-    /// Weight of spreading over workers.
+    /// Placement weight for spreading tasks over many workers.
     pub spread: u32,
-    /// Processors that the row's team may hold in the whole cell, in thousandths of a core, for tasks
-    /// of this row to start; 0: no limit.
+    /// CPU quota of the row's team in the whole cell, in thousandths of a core: above it, tasks of this
+    /// row don't start. 0 for no quota.
     pub quota: u32,
-    /// Weight of each failure domain; one not named has weight 0.
+    /// Placement weight of each failure domain; domains that aren't listed have weight 0.
     #[serde(rename = "sites")]
     pub domain_weights: BTreeMap<Name, u32>,
 }
 
-/// A table whose every cell was checked.
+/// A table that has been parsed and validated.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// The rows by kind.
+    /// Rows by kind of work.
     pub rows: BTreeMap<Name, Row>,
-    /// VMs that the table takes out of use.
+    /// VMs that the table takes out of service.
     #[serde(rename = "leaving")]
     pub excluded_vms: BTreeSet<Name>,
-    /// The largest quota of each team that has one.
+    /// Largest CPU quota in the rows of each team that has a quota.
     quotas: BTreeMap<Name, u64>,
 }
 
-/// One fault of a table.
+/// A fault in a table file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// The line of the file, from 1; 0 for the whole file.
+    /// Line of the file, from 1; 0 for the whole file.
     pub line: u64,
-    /// The row's kind, if it could be read.
+    /// Kind of work of the row; empty if it could not be read.
     pub row: String,
-    /// The column's heading.
+    /// Heading of the column.
     pub column: String,
-    /// The value found.
+    /// Invalid value.
     pub value: String,
-    /// What would be right.
+    /// Description of a valid value.
     #[serde(rename = "want")]
     pub expected: String,
 }
@@ -98,13 +99,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "line {}: row {:?}, column {:?}: {:?} is wrong: want {}",
+            "line {}: row {:?}, column {:?}: {:?} is invalid: expected {}",
             self.line, self.row, self.column, self.value, self.expected
         )
     }
 }
 
-/// The columns that each table has, with what a cell of each holds.
+/// Required columns, each with a description of its valid values.
 const COLUMNS: [(&str, &str); 12] = [
     ("kind", "a name of letters, digits, '-' and '_', once in the table"),
     ("team", "a name of letters, digits, '-' and '_'"),
@@ -120,16 +121,16 @@
     ("quota", "thousandths of a core, from 0 to 4000000000, 0 for no quota"),
 ];
 
-/// What the cell of a site column holds.
+/// Description of the valid values in the column of a failure domain.
 const DOMAIN_WEIGHT_HELP: &str = "a whole number from 0 to 1000";
 
-/// Whether `s` can name a kind, a team, a VM, a shard or a failure domain.
+/// Whether `s` is a valid name of a kind of work, team, VM, shard or failure domain.
 pub fn is_name(s: &str) -> bool {
-    let ok = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    !s.is_empty() && s.len() <= 64 && s.chars().all(ok)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    !s.is_empty() && s.len() <= 64 && s.chars().all(is_allowed)
 }
 
-/// One line under its headings, with the faults found so far.
+/// A line of the file with its headings and the faults found in it so far.
 struct TableLine<'a> {
     number: u64,
     headings: &'a [String],
@@ -138,8 +139,9 @@
 }
 
 impl TableLine<'_> {
+    /// Text of the line's cell in a column; empty if there is none.
     fn cell(&self, column: &str) -> &str {
-        let at = self.headings.iter().position(|head| head == column);
+        let at = self.headings.iter().position(|heading| heading == column);
         at.and_then(|i| self.cells.get(i)).unwrap_or("").trim()
     }
 
@@ -154,12 +156,13 @@
         self.faults.push(fault);
     }
 
+    /// Parses a cell, or adds a fault if its value is invalid.
     fn parse_cell<T>(&mut self, column: &str, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
-        let got = parse(self.cell(column));
-        if got.is_none() {
+        let value = parse(self.cell(column));
+        if value.is_none() {
             self.add_fault(column, expected_value(column));
         }
-        got
+        value
     }
 
     fn number(&mut self, column: &str, min: u64, max: u64) -> Option<u64> {
@@ -176,15 +179,15 @@
 
     fn domain_weights(&mut self) -> BTreeMap<Name, u32> {
         let mut weights = BTreeMap::new();
-        for head in self.headings.iter().filter(|head| head.starts_with(DOMAIN_PREFIX)) {
-            let weight = match self.cell(head) {
+        for heading in self.headings.iter().filter(|heading| heading.starts_with(DOMAIN_PREFIX)) {
+            let weight = match self.cell(heading) {
                 "" => Some(0),
                 s => s.parse().ok().filter(|n| *n <= MAX_WEIGHT),
             };
             match weight {
                 Some(0) => {}
-                Some(n) => drop(weights.insert(head[DOMAIN_PREFIX.len()..].into(), n)),
-                None => self.add_fault(head, DOMAIN_WEIGHT_HELP),
+                Some(n) => drop(weights.insert(heading[DOMAIN_PREFIX.len()..].into(), n)),
+                None => self.add_fault(heading, DOMAIN_WEIGHT_HELP),
             }
         }
         weights
@@ -198,13 +201,13 @@
         let limit = self.number_u32("limit", 1, 1_000_000);
         let queue = self.number_u32("queue", 0, 1_000_000);
         let deadline = self.number("deadline", 1, MAX_DEADLINE_MS);
-        let repeat = self.parse_cell("repeat", parse_yes_no);
+        let repeatable = self.parse_cell("repeat", parse_yes_no);
         let retries = self.number_u32("retries", 0, MAX_RETRIES);
         let pack = self.number_u32("pack", 0, MAX_WEIGHT);
         let spread = self.number_u32("spread", 0, MAX_WEIGHT);
         let quota = self.number_u32("quota", 0, 4_000_000_000);
         let domain_weights = self.domain_weights();
-        if repeat == Some(false) && retries.is_some_and(|n| n > 0) {
+        if repeatable == Some(false) && retries.is_some_and(|n| n > 0) {
             self.add_fault("retries", expected_value("retries"));
         }
         Some(Row {
@@ -215,7 +218,7 @@
             limit: limit?,
             queue: queue?,
             deadline: Millis(deadline?),
-            repeat: repeat?,
+            repeatable: repeatable?,
             retries: retries?,
             pack: pack?,
             spread: spread?,
@@ -254,7 +257,7 @@
 fn check_headings(headings: &[String]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (name, expected) in COLUMNS {
-        if !headings.iter().any(|head| head == name) {
+        if !headings.iter().any(|heading| heading == name) {
             faults.push(file_fault(
                 1,
                 name,
@@ -264,23 +267,23 @@
         }
     }
     let mut seen = BTreeSet::new();
-    for head in headings {
-        let known = COLUMNS.iter().any(|(name, _)| name == head);
-        let is_domain = head.strip_prefix(DOMAIN_PREFIX).is_some_and(is_name);
-        match seen.insert(head) {
+    for heading in headings {
+        let known = COLUMNS.iter().any(|(name, _)| name == heading);
+        let is_domain = heading.strip_prefix(DOMAIN_PREFIX).is_some_and(is_name);
+        match seen.insert(heading) {
             true if known || is_domain => {}
-            true => faults.push(file_fault(1, head, head, "a known heading or site:DOMAIN")),
-            false => faults.push(file_fault(1, head, head, "each heading once")),
+            true => faults.push(file_fault(1, heading, heading, "a known heading or site:DOMAIN")),
+            false => faults.push(file_fault(1, heading, heading, "each heading once")),
         }
     }
     faults
 }
 
 impl Table {
-    /// Reads a table from CSV text.
+    /// Parses and validates a table in CSV format.
     ///
     /// # Errors
-    /// Every fault of the file, in the order of its lines.
+    /// All faults of the file, in the order of its lines.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let mut table = Self::parse_rows(text)?;
         for row in table.rows.values().filter(|row| row.quota > 0) {
@@ -290,7 +293,7 @@
         Ok(table)
     }
 
-    /// Processors that a team may hold in the whole cell, in thousandths of a core; 0: no limit.
+    /// CPU quota of a team in the whole cell, in thousandths of a core; 0 for no quota.
     pub fn quota(&self, team: &str) -> u64 {
         self.quotas.get(team).copied().unwrap_or(0)
     }
@@ -351,7 +354,7 @@
         line.faults
     }
 
-    /// The differences from `self` to `other`, one line of text each, for people.
+    /// Describes the differences from `self` to `other`, one line of text for each.
     pub fn diff(&self, other: &Self) -> Vec<String> {
         let mut lines = Vec::new();
         for (kind, row) in &self.rows {
@@ -383,7 +386,7 @@
                 ("limit", row.limit.to_string()),
                 ("queue", row.queue.to_string()),
                 ("deadline", row.deadline.to_string()),
-                ("repeat", row.repeat.to_string()),
+                ("repeat", row.repeatable.to_string()),
                 ("retries", row.retries.to_string()),
                 ("pack", row.pack.to_string()),
                 ("spread", row.spread.to_string()),
@@ -396,7 +399,7 @@
         changed.map(|(old, new)| format!("{} {} -> {}", old.0, old.1, new.1)).collect()
     }
 
-    /// The weight of `domain` for this kind of work.
+    /// Placement weight of `domain` for this kind of work.
     pub fn domain_weight(&self, domain: &str) -> u32 {
         self.domain_weights.get(domain).copied().unwrap_or(0)
     }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -4,9 +4,9 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sprucerudder::controller::gossip::{Delta, Inbox, Outbox, Taken};
+use sprucerudder::controller::gossip::{Delta, DeltaOutcome, Inbox, Outbox};
 use sprucerudder::id::{EntryId, Name};
-use sprucerudder::wire::msg::ShardBeat;
+use sprucerudder::wire::msg::ShardHeartbeat;
 use std::collections::BTreeMap;
 
 const SHARDS: usize = 3;
@@ -43,9 +43,9 @@
     EntryId { name: name.into(), incarnation }
 }
 
-fn beat(shard: usize, epoch: u64) -> ShardBeat {
+fn beat(shard: usize, epoch: u64) -> ShardHeartbeat {
     let shard: Name = format!("rack{shard}").into();
-    ShardBeat { shard, epoch, owner: false, flying: false, room: None }
+    ShardHeartbeat { shard, epoch, is_owner: false, start_pending: false, room: None }
 }
 
 /// One direction: a sender, a receiver, and all that was ever under way.
@@ -57,7 +57,7 @@
     sent: Vec<Delta>,
     answers: Vec<(EntryId, u64)>,
     /// The sender's state by number.
-    past: BTreeMap<u64, Vec<ShardBeat>>,
+    past: BTreeMap<u64, Vec<ShardHeartbeat>>,
 }
 
 impl Pair {
@@ -73,7 +73,7 @@
         }
     }
 
-    fn state(&self) -> Vec<ShardBeat> {
+    fn state(&self) -> Vec<ShardHeartbeat> {
         (0..SHARDS).map(|shard| beat(shard, self.now[shard])).collect()
     }
 
@@ -84,13 +84,16 @@
         self.sent.push(delta);
     }
 
-    fn arrive(&mut self, index: usize) -> Taken {
+    fn arrive(&mut self, index: usize) -> DeltaOutcome {
         let delta = self.sent[index].clone();
         let before = self.inbox.held(1);
         let taken = self.inbox.take(&entry("a", 1), delta.clone());
         let held = self.inbox.held(1);
-        assert!(held >= before || taken == Taken::Gap, "never back: {before} to {held}");
-        if taken == Taken::Yes {
+        assert!(
+            held >= before || taken == DeltaOutcome::MissingBase,
+            "never back: {before} to {held}"
+        );
+        if taken == DeltaOutcome::Applied {
             assert_eq!(held, delta.seq);
             assert_eq!(self.inbox.shards(), self.past[&held], "state {held} as it was sent");
         }
@@ -145,7 +148,7 @@
     let mut pair = Pair::new();
     pair.send();
     assert_eq!(pair.sent[0].shards.len(), SHARDS);
-    assert_eq!(pair.arrive(0), Taken::Yes);
+    assert_eq!(pair.arrive(0), DeltaOutcome::Applied);
     pair.outbox.acked(&entry("b", 1), 1);
     pair.send();
     assert_eq!(pair.sent[1].shards, Vec::new());
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -6,12 +6,12 @@
 
 use common::{OwnerHarness, SplitMix64, WORKERS_PER_RACK, job_spec, table};
 use sprucerudder::controller::gossip::{Inbox, Outbox};
-use sprucerudder::controller::shard::office::Event;
+use sprucerudder::controller::shard::owner::Event;
 use sprucerudder::id::{EntryId, TaskId};
 use sprucerudder::job::{StateChange, TaskOutcome};
 use sprucerudder::size::Size;
 use sprucerudder::trace::Stamp;
-use sprucerudder::wire::msg::{Ask, Envelope, NEWEST, ShardBeat, encode};
+use sprucerudder::wire::msg::{Envelope, NEWEST_VERSION, PeerRequest, ShardHeartbeat, encode};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
@@ -63,7 +63,7 @@
     let owner = |rack| {
         let mut owner =
             OwnerHarness::new(&format!("rack{rack}"), &[WORKER; WORKERS_PER_RACK], rows.clone());
-        owner.office.set_shards(workers.div_ceil(WORKERS_PER_RACK));
+        owner.shard_owner.set_shards(workers.div_ceil(WORKERS_PER_RACK));
         owner.submit(job_spec("build", 44, false, Size::new(1_400, 2_000, 0)));
         for less in 0..stuck {
             owner.submit(job_spec("build", 1, false, Size::new(16_000, 32_000 - less, 2)));
@@ -126,8 +126,10 @@
     assert!(large * 10 <= small * 12, "{small} and {large} allocations a shard");
 }
 
-fn bytes(ask: Ask) -> usize {
-    encode(NEWEST, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask }).expect("bytes").len()
+fn bytes(ask: PeerRequest) -> usize {
+    encode(NEWEST_VERSION, &Envelope { stamp: Stamp(u64::MAX / 2), body: ask })
+        .expect("bytes")
+        .len()
 }
 
 #[test]
@@ -143,20 +145,20 @@
         incarnation: 1_764_000_000_000,
         owner: EntryId { name: "nasr-hall-entry-1".into(), incarnation: 1_764_000_000_000 },
     };
-    let notes: Vec<StateChange> = (0..100).map(bind).collect();
+    let changes: Vec<StateChange> = (0..100).map(bind).collect();
     let update =
-        sprucerudder::controller::replica::Update { epoch: 9, base: None, first: 1, notes };
-    let size = bytes(Ask::Update { shard: "nasr-hall-rack-12".into(), update });
+        sprucerudder::controller::replica::Update { epoch: 9, base: None, first: 1, changes };
+    let size = bytes(PeerRequest::Update { shard: "nasr-hall-rack-12".into(), update });
     assert!(size <= BINDINGS, "{size} bytes for 100 bindings");
 }
 
 #[test]
 fn heartbeats_grow_with_what_changed_only() {
-    let shard = |index: u32, epoch| ShardBeat {
+    let shard = |index: u32, epoch| ShardHeartbeat {
         shard: format!("nasr-hall-rack-{index}").into(),
         epoch,
-        owner: false,
-        flying: false,
+        is_owner: false,
+        start_pending: false,
         room: None,
     };
     let me = EntryId { name: "a".into(), incarnation: 1 };
